--- a/core/ggsschedule/bench_driver_test.go
+++ b/core/ggsschedule/bench_driver_test.go
@@ -19,7 +19,7 @@
 	kinds       []requestKind
 }
 
-// A requestKind is one kind of request and its share of the arrivals.
+// A requestKind is a kind of request and its share of the arrivals.
 type requestKind struct {
 	share      float64
 	priority   ggscore.Priority
@@ -28,12 +28,12 @@
 	deferrable time.Duration
 }
 
-// A scenario is what happens to a deployment during one run of the driver.
+// A scenario describes the faults and load changes during one run of the driver.
 type scenario struct {
 	name string
 	// peak multiplies the arrivals in the middle third.
 	peak float64
-	// shift moves all popularity to other adapters at half time.
+	// shift moves the popularity to other adapters at half time.
 	shift bool
 	// restart restarts a third of the runners at half time.
 	restart bool
@@ -52,13 +52,13 @@
 	seed                                   uint64
 }
 
-// An outcome is what one run of the driver measured.
+// An outcome holds the measurements of one run of the driver.
 type outcome struct {
-	stalls, lookupWaits                      []time.Duration
-	used, offered                            float64
-	submitted, done, refused, lost           int
-	loads, failedLoads, evictions, overfull  int
-	evictedBeneath, missing, refusedDeferred int
+	stalls, lookupWaits                     []time.Duration
+	used, offered                           float64
+	submitted, done, refused, lost          int
+	loads, failedLoads, evictions, overfull int
+	evictedInUse, missing, refusedDeferred  int
 }
 
 func (o *outcome) efficiency() float64 { return o.used / max(o.offered, 1) }
@@ -73,7 +73,7 @@
 	return all[min(int(q*float64(len(all))), len(all)-1)]
 }
 
-// An event is something that happens at a virtual time.
+// An event is an action at a virtual time.
 type event struct {
 	at  time.Time
 	seq int
@@ -94,7 +94,7 @@
 	return x
 }
 
-// An engine is a stand-in for one runner.
+// An engine simulates one runner.
 type engine struct {
 	id          ggscore.EndpointID
 	incarnation int
@@ -104,7 +104,7 @@
 	loading     int
 }
 
-// A driver runs a scheduler against engines on a virtual clock.
+// A driver runs a scheduler against simulated engines on a virtual clock.
 type driver struct {
 	d         deployment
 	c         scenario
@@ -146,7 +146,7 @@
 	}
 	share := d.share
 	share.LoadsPerSecond /= c.slowness
-	v.do(v.s.SetLoadShare(v.now, share))
+	v.execute(v.s.SetLoadShare(v.now, share))
 	for i := range d.runners {
 		e := &engine{
 			id:       ggscore.EndpointID(fmt.Sprintf("r%02d", i)),
@@ -157,7 +157,7 @@
 		v.byID[e.id] = e
 		spec := runner(string(e.id))
 		spec.Slots, spec.AdapterSlots = d.slots, d.adapterSlots
-		v.do(v.s.SetEndpoint(v.now, spec, ggscore.ModeFull))
+		v.execute(v.s.SetEndpoint(v.now, spec, ggscore.ModeFull))
 		v.after(time.Duration(i)*time.Second/time.Duration(d.runners), func() { v.report(e) })
 	}
 	if c.restart {
@@ -178,7 +178,7 @@
 	return &v.out
 }
 
-// advance moves the clock and integrates the use of slots while work waits.
+// advance moves the clock and integrates the use of slots while requests are queued.
 func (v *driver) advance(t time.Time) {
 	if v.measuring() && v.waiting > 0 {
 		dt := t.Sub(v.now).Seconds()
@@ -188,7 +188,7 @@
 	v.now = t
 }
 
-// arrivals makes the whole trace, the same for every policy.
+// arrivals generates the whole trace of requests, which is the same for every policy.
 func (v *driver) arrivals(w workload) {
 	r := rand.New(rand.NewPCG(v.d.seed, 1))
 	ranks := r.Perm(v.d.adapters)
@@ -220,11 +220,11 @@
 	if v.measuring() {
 		v.out.submitted++
 	}
-	v.do(v.s.Submit(v.now, q))
+	v.execute(v.s.Submit(v.now, q))
 }
 
-// do carries out orders.
-func (v *driver) do(orders []ggscore.Order) {
+// execute executes orders on the engines.
+func (v *driver) execute(orders []ggscore.Order) {
 	for _, o := range slices.Clone(orders) {
 		switch o.Kind {
 		case ggscore.OrderDispatch:
@@ -247,7 +247,7 @@
 		v.tickAt = t
 		v.at(maxTime(t, v.now), func() {
 			v.tickAt = time.Time{}
-			v.do(v.s.Tick(v.now))
+			v.execute(v.s.Tick(v.now))
 		})
 	}
 }
@@ -257,13 +257,13 @@
 	since, ok := e.resident[o.Adapter]
 	if !ok {
 		v.out.missing++
-		v.after(time.Millisecond, func() { v.do(v.s.RequestEnded(v.now, o.Request.ID, ggscore.EndAdapterMissing)) })
+		v.after(time.Millisecond, func() { v.execute(v.s.RequestEnded(v.now, o.Request.ID, ggscore.EndAdapterMissing)) })
 		return
 	}
 	v.waiting--
 	v.running++
 	e.running[o.Adapter]++
-	born := e.incarnation
+	incarnation := e.incarnation
 	if v.measuring() {
 		v.out.stalls = append(v.out.stalls, max(0, since.Sub(v.submitted[o.Request.ID])))
 		if o.Request.Priority == ggscore.PriorityInteractive {
@@ -273,7 +273,7 @@
 	v.after(v.runs[o.Request.ID], func() {
 		v.running--
 		end := ggscore.EndDone
-		if e.incarnation == born {
+		if e.incarnation == incarnation {
 			e.running[o.Adapter]--
 		} else {
 			end = ggscore.EndUnknown
@@ -282,7 +282,7 @@
 		if v.measuring() {
 			v.out.done++
 		}
-		v.do(v.s.RequestEnded(v.now, o.Request.ID, end))
+		v.execute(v.s.RequestEnded(v.now, o.Request.ID, end))
 	})
 }
 
@@ -301,11 +301,11 @@
 	}
 	d := time.Duration(250 * float64(time.Millisecond) * v.c.slowness * max(1, float64(v.inTransit)/24))
 	failed := v.random.Float64() < v.c.failing
-	born := e.incarnation
+	incarnation := e.incarnation
 	v.after(d, func() {
 		v.inTransit--
 		end := ggscore.EndDone
-		if e.incarnation != born {
+		if e.incarnation != incarnation {
 			end = ggscore.EndUnknown
 		} else {
 			e.loading--
@@ -321,7 +321,7 @@
 			e.resident[o.Adapter] = v.now
 			e.order = append(e.order, o.Adapter)
 		}
-		v.do(v.s.LoadEnded(v.now, o.Endpoint, o.Adapter, end))
+		v.execute(v.s.LoadEnded(v.now, o.Endpoint, o.Adapter, end))
 	})
 }
 
@@ -332,25 +332,25 @@
 	}
 	v.after(5*time.Millisecond, func() {
 		if e.running[o.Adapter] > 0 {
-			v.out.evictedBeneath++
+			v.out.evictedInUse++
 		}
 		delete(e.resident, o.Adapter)
 		e.order = slices.DeleteFunc(e.order, func(r ggscore.AdapterRef) bool { return r == o.Adapter })
-		v.do(v.s.UnloadEnded(v.now, o.Endpoint, o.Adapter, ggscore.EndDone))
+		v.execute(v.s.UnloadEnded(v.now, o.Endpoint, o.Adapter, ggscore.EndDone))
 	})
 }
 
-// report sends a snapshot that arrives 200 ms after it was taken.
+// report sends a snapshot of an engine that arrives after 200 ms.
 func (v *driver) report(e *engine) {
 	p := ggscore.RunnerReport{Endpoint: e.id, Incarnation: fmt.Sprint(e.incarnation), At: v.now}
 	for _, a := range e.order {
 		p.Resident = append(p.Resident, ggscore.ResidentAdapter{Ref: a, Running: e.running[a]})
 	}
-	v.after(200*time.Millisecond, func() { v.do(v.s.Report(v.now, p)) })
+	v.after(200*time.Millisecond, func() { v.execute(v.s.Report(v.now, p)) })
 	v.after(time.Second, func() { v.report(e) })
 }
 
-// restart makes a third of the engines lose all they hold.
+// restart restarts a third of the engines with empty state.
 func (v *driver) restart() {
 	for _, e := range v.engines[:len(v.engines)/3] {
 		e.incarnation++
@@ -361,7 +361,7 @@
 	}
 }
 
-// A zipf picks ranks with probability in inverse proportion to the rank.
+// A zipf picks ranks with a probability inversely proportional to the rank.
 type zipf struct{ sums []float64 }
 
 func newZipf(n int) zipf {
--- a/core/ggsschedule/cost_test.go
+++ b/core/ggsschedule/cost_test.go
@@ -10,20 +10,22 @@
 	"greengageslip/core/ggsschedule"
 )
 
-// A load is a scheduler under steady load, with the request that runs longest.
-type load struct {
+// A steadyLoad is a scheduler under steady load, with its requests in the order of
+// dispatch.
+type steadyLoad struct {
 	s        *ggsschedule.Scheduler
 	now      time.Time
 	requests []*ggscore.Request
-	free     []int
+	picks    []int
 	running  []int
 	loading  []ggscore.Order
 	reported time.Time
 }
 
-// newLoad returns a scheduler with runners and adapters that it has seen.
-func newLoad(runners, adapters int, zipf bool) *load {
-	l := &load{s: ggsschedule.New(ggsschedule.Options{Seed: 1}), now: epoch()}
+// newSteadyLoad returns a scheduler with runners whose adapters have all been requested
+// once.
+func newSteadyLoad(runners, adapters int, zipf bool) *steadyLoad {
+	l := &steadyLoad{s: ggsschedule.New(ggsschedule.Options{Seed: 1}), now: epoch()}
 	l.s.SetLoadShare(l.now, ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 3})
 	for i := range runners {
 		e := runner(fmt.Sprintf("r%d", i))
@@ -37,22 +39,22 @@
 		l.requests = append(l.requests, request(fmt.Sprintf("q%d", i), fmt.Sprintf("a%d", i)))
 		l.requests[i].Budget = 2 * time.Second
 		l.now = l.now.Add(time.Millisecond)
-		l.carryOut(l.s.Submit(l.now, l.requests[i]))
+		l.execute(l.s.Submit(l.now, l.requests[i]))
 		l.endOldest(8 * runners)
 	}
-	l.free = l.free[:0]
+	l.picks = l.picks[:0]
 	for range 1 << 16 {
 		i := r.IntN(adapters)
 		if zipf {
 			i = z.pick(r)
 		}
-		l.free = append(l.free, i)
+		l.picks = append(l.picks, i)
 	}
 	return l
 }
 
-// carryOut follows the scheduler's orders.
-func (l *load) carryOut(orders []ggscore.Order) {
+// execute records dispatched requests and ordered loads and evictions.
+func (l *steadyLoad) execute(orders []ggscore.Order) {
 	for _, o := range orders {
 		switch o.Kind {
 		case ggscore.OrderDispatch:
@@ -67,7 +69,7 @@
 }
 
 // report delivers every runner's report once a second.
-func (l *load) report() {
+func (l *steadyLoad) report() {
 	if l.now.Sub(l.reported) < time.Second {
 		return
 	}
@@ -77,47 +79,48 @@
 		for _, a := range m.Resident {
 			p.Resident = append(p.Resident, ggscore.ResidentAdapter{Ref: a})
 		}
-		l.carryOut(l.s.Report(l.now, p))
+		l.execute(l.s.Report(l.now, p))
 	}
 }
 
-// endOldest ends runs until at most n are left, and all loads and evictions.
-func (l *load) endOldest(n int) {
+// endOldest ends all loads and evictions, and then the oldest runs until at most n are
+// left.
+func (l *steadyLoad) endOldest(n int) {
 	for len(l.loading) > 0 {
 		o := l.loading[0]
 		l.loading = l.loading[1:]
 		if o.Kind == ggscore.OrderLoad {
-			l.carryOut(l.s.LoadEnded(l.now, o.Endpoint, o.Adapter, ggscore.EndDone))
+			l.execute(l.s.LoadEnded(l.now, o.Endpoint, o.Adapter, ggscore.EndDone))
 		} else {
-			l.carryOut(l.s.UnloadEnded(l.now, o.Endpoint, o.Adapter, ggscore.EndDone))
+			l.execute(l.s.UnloadEnded(l.now, o.Endpoint, o.Adapter, ggscore.EndDone))
 		}
 	}
 	for len(l.running) > n {
 		i := l.running[0]
 		l.running = l.running[1:]
-		l.carryOut(l.s.RequestEnded(l.now, l.requests[i].ID, ggscore.EndDone))
+		l.execute(l.s.RequestEnded(l.now, l.requests[i].ID, ggscore.EndDone))
 	}
 	if t := l.s.NextTick(); !t.IsZero() && !t.After(l.now) {
-		l.carryOut(l.s.Tick(l.now))
+		l.execute(l.s.Tick(l.now))
 	}
 }
 
-// BenchmarkDecision measures one request's decisions under steady load, with
-// the loads, evictions, waits and refusals that it brings about: an operation is
-// a request from Submit to its end.
+// BenchmarkDecision measures all decisions for one request under steady load, including
+// the loads, evictions, waits and refusals that it causes. An operation is a request
+// from Submit to its end.
 func BenchmarkDecision(b *testing.B) {
 	for name, c := range map[string]struct{ runners, adapters int }{
 		"runners=12/adapters=3000":   {12, 3000},
 		"runners=16/adapters=200000": {16, 200000},
 	} {
 		b.Run(name, func(b *testing.B) {
-			l := newLoad(c.runners, c.adapters, true)
+			l := newSteadyLoad(c.runners, c.adapters, true)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
 				l.now = l.now.Add(20 * time.Millisecond)
-				q := l.requests[l.free[n&(len(l.free)-1)]]
-				l.carryOut(l.s.Submit(l.now, q))
+				q := l.requests[l.picks[n&(len(l.picks)-1)]]
+				l.execute(l.s.Submit(l.now, q))
 				l.endOldest(6 * c.runners)
 				l.report()
 			}
@@ -125,8 +128,8 @@
 	}
 }
 
-// BenchmarkHotPath measures Submit, dispatch and RequestEnded of a request
-// whose adapter is resident.
+// BenchmarkHotPath measures Submit, dispatch and RequestEnded of a request whose
+// adapter is resident.
 func BenchmarkHotPath(b *testing.B) {
 	for name, c := range map[string]struct{ runners, adapters int }{
 		"runners=12/adapters=3000":   {12, 3000},
@@ -144,27 +147,26 @@
 }
 
 // hotPath returns a scheduler and a request whose adapter is resident.
-func hotPath(runners, adapters int) (*load, *ggscore.Request) {
-	l := newLoad(runners, adapters, true)
+func hotPath(runners, adapters int) (*steadyLoad, *ggscore.Request) {
+	l := newSteadyLoad(runners, adapters, true)
 	l.now = l.now.Add(time.Minute)
-	l.carryOut(l.s.Tick(l.now))
+	l.execute(l.s.Tick(l.now))
 	q := l.requests[0]
-	l.carryOut(l.s.Submit(l.now, q))
+	l.execute(l.s.Submit(l.now, q))
 	l.endOldest(0)
 	return l, q
 }
 
-// cycle submits a request and ends it.
-func (l *load) cycle(q *ggscore.Request) int {
+// cycle submits a request and ends it. It returns the number of orders from Submit.
+func (l *steadyLoad) cycle(q *ggscore.Request) int {
 	l.now = l.now.Add(5 * time.Millisecond)
 	n := len(l.s.Submit(l.now, q))
 	l.s.RequestEnded(l.now, q.ID, ggscore.EndDone)
 	return n
 }
 
-// TestHotPathAllocatesNothing guards the dispatcher's latency against pauses of
-// the garbage collector. It isn't parallel, since the allocations of the whole
-// process are counted.
+// Allocations on the hot path would cause garbage collection pauses in the dispatcher.
+// The test isn't parallel, since it counts the allocations of the whole process.
 //
 //nolint:paralleltest // see above
 func TestHotPathAllocatesNothing(t *testing.T) {
--- a/core/ggsschedule/dispatch.go
+++ b/core/ggsschedule/dispatch.go
@@ -9,10 +9,10 @@
 	"greengageslip/core/ggsqueue"
 )
 
-// bind chooses the only endpoint that a baseline policy allows for a job.
+// bind selects the only endpoint on which a baseline policy allows a job.
 func (s *Scheduler) bind(now time.Time, j *job) {
 	j.bound = nil
-	if s.options.Policy == PolicyCost || j.adapter.anywhere() {
+	if s.options.Policy == PolicyCost || j.adapter.needsNoReplica() {
 		return
 	}
 	var allowed []*endpoint
@@ -56,15 +56,15 @@
 	})
 }
 
-// drain dispatches waiting jobs to an endpoint while it has free slots.
+// drain dispatches queued jobs to an endpoint while it has free slots.
 func (s *Scheduler) drain(now time.Time, e *endpoint) {
-	for e.accepts(now) && e.free() > 0 {
+	for e.accepts(now) && e.freeSlots() > 0 {
 		j, r := s.choose(now, e)
 		if j == nil {
 			return
 		}
 		if !now.Before(j.deadline) {
-			s.refuseQueued(now, j, "budget ran out while waiting")
+			s.refuseQueued(now, j, "request budget ran out in the queue")
 			continue
 		}
 		s.dequeue(j)
@@ -72,7 +72,7 @@
 	}
 }
 
-// choose returns the waiting job that an endpoint serves next, or nil.
+// choose returns the queued job to run next on an endpoint, or nil.
 func (s *Scheduler) choose(now time.Time, e *endpoint) (*job, *replica) {
 	var best *ggsqueue.Item[*job]
 	var on *replica
@@ -87,7 +87,7 @@
 			consider(r.adapter, r)
 		}
 	}
-	for _, a := range e.service.everywhere {
+	for _, a := range e.service.noReplicaNeeded {
 		if a.waiting >= 0 && e.serves(now, a.ref) {
 			consider(a, nil)
 		}
@@ -98,9 +98,9 @@
 	return best.Value, on
 }
 
-// headFor returns the first waiting job of an adapter that may run on e.
+// headFor returns the first queued job of an adapter that may run on e.
 func (s *Scheduler) headFor(a *adapter, e *endpoint) *ggsqueue.Item[*job] {
-	if s.options.Policy == PolicyCost || a.anywhere() {
+	if s.options.Policy == PolicyCost || a.needsNoReplica() {
 		return a.queue.Head()
 	}
 	var best *ggsqueue.Item[*job]
@@ -114,19 +114,19 @@
 	return best
 }
 
-// route returns an endpoint where a job can run at once: the one with the most
-// free slots, since it is the last to run out of them.
+// route returns the endpoint with the most free slots on which a job can run at once,
+// or nil.
 func (s *Scheduler) route(now time.Time, j *job) (*endpoint, *replica) {
 	a := j.adapter
 	var best *endpoint
 	var on *replica
 	room := 0
 	consider := func(e *endpoint, r *replica) {
-		if (j.bound == nil || j.bound == e) && e.serves(now, a.ref) && e.free() > room {
-			best, on, room = e, r, e.free()
+		if (j.bound == nil || j.bound == e) && e.serves(now, a.ref) && e.freeSlots() > room {
+			best, on, room = e, r, e.freeSlots()
 		}
 	}
-	if a.anywhere() {
+	if a.needsNoReplica() {
 		for _, e := range a.service.endpoints {
 			consider(e, nil)
 		}
@@ -140,7 +140,7 @@
 	return best, on
 }
 
-// leastLoaded returns the endpoint with the least work.
+// leastLoaded returns the endpoint with the fewest running and bound jobs.
 func leastLoaded(all []*endpoint) *endpoint {
 	best := all[0]
 	for _, e := range all[1:] {
@@ -151,12 +151,12 @@
 	return best
 }
 
-// rendezvous returns the endpoint with the greatest hash for an adapter.
+// rendezvous returns the endpoint with the highest rendezvous hash for an adapter.
 func rendezvous(all []*endpoint, ref ggscore.AdapterRef) *endpoint {
 	var best *endpoint
 	var top uint64
 	for _, e := range all {
-		h := rank(e, ref)
+		h := rendezvousHash(e, ref)
 		if best == nil || h > top {
 			best, top = e, h
 		}
@@ -164,8 +164,8 @@
 	return best
 }
 
-// rank is the rendezvous hash of an endpoint for an adapter.
-func rank(e *endpoint, ref ggscore.AdapterRef) uint64 {
+// rendezvousHash hashes an endpoint together with an adapter.
+func rendezvousHash(e *endpoint, ref ggscore.AdapterRef) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(string(e.spec.ID))
@@ -176,9 +176,10 @@
 	return d.Sum64()
 }
 
-// placedOn returns on how many endpoints an adapter's waiting requests count.
-func (a *adapter) placedOn(now time.Time) int {
-	if a.anywhere() {
+// placementCount returns the number of endpoints among which an adapter's queued
+// requests are divided.
+func (a *adapter) placementCount(now time.Time) int {
+	if a.needsNoReplica() {
 		return len(a.service.endpoints)
 	}
 	n := 0
@@ -191,8 +192,8 @@
 	return n
 }
 
-// servable reports whether any endpoint could serve the adapter's requests as
-// things stand, if need be after a load or a pause.
+// servable reports whether any endpoint could serve the adapter's requests in its
+// present mode, if necessary after a load or a pause.
 func (a *adapter) servable() bool {
 	for _, e := range a.service.endpoints {
 		if e.spec.Leaving || e.mode == ggscore.ModeNone {
@@ -202,8 +203,8 @@
 			return true
 		}
 		r := e.find(a)
-		there := r != nil && r.state != stateGone
-		if e.protects(a.ref) && (there || a.anywhere()) {
+		held := r != nil && r.state != stateGone
+		if e.protects(a.ref) && (held || a.needsNoReplica()) {
 			return true
 		}
 	}
--- a/core/ggsschedule/endpoints.go
+++ b/core/ggsschedule/endpoints.go
@@ -8,29 +8,29 @@
 	ggscore "greengageslip/core"
 )
 
-// Protect names the adapters that may not be evicted from an endpoint. Those
-// are also the ones that it serves in ModeResidentOnly. The endpoint must be
-// known; nil ends the protection.
+// Protect sets the adapters that may not be evicted from an endpoint. These are also
+// the adapters that the endpoint serves in ModeResidentOnly. An unknown endpoint is
+// ignored; nil ends the protection.
 func (s *Scheduler) Protect(now time.Time, id ggscore.EndpointID, refs []ggscore.AdapterRef) []ggscore.Order {
 	s.begin(now)
 	e := s.endpoints[id]
 	if e == nil {
 		return s.finish(now)
 	}
-	e.protection = nil
+	e.protectedRefs = nil
 	if len(refs) > 0 {
-		e.protection = make(map[ggscore.AdapterRef]bool, len(refs))
+		e.protectedRefs = make(map[ggscore.AdapterRef]bool, len(refs))
 	}
 	for _, r := range refs {
-		e.protection[r] = true
+		e.protectedRefs[r] = true
 	}
 	s.drain(now, e)
 	s.refuseUnservable(now, e.service)
 	return s.finish(now)
 }
 
-// RemoveEndpoint forgets an endpoint. The caller still reports the ends of the
-// requests that run there.
+// RemoveEndpoint removes an endpoint. The caller must still report the ends of the
+// requests that run on it.
 func (s *Scheduler) RemoveEndpoint(now time.Time, id ggscore.EndpointID) []ggscore.Order {
 	s.begin(now)
 	e := s.endpoints[id]
@@ -42,9 +42,9 @@
 	v := e.service
 	v.endpoints = slices.DeleteFunc(v.endpoints, func(o *endpoint) bool { return o == e })
 	for len(e.replicas) > 0 {
-		s.drop(now, e.replicas[0], true)
+		s.removeReplica(now, e.replicas[0], true)
 	}
-	s.unbind(now, e)
+	s.rebind(now, e)
 	s.refuseUnservable(now, v)
 	return s.finish(now)
 }
@@ -69,19 +69,20 @@
 	e.spec = p
 	e.mode = m
 	if m != before && (before == ggscore.ModeNone || m == ggscore.ModeFull) {
-		s.doubtResidents(now, e, before)
+		s.invalidateResidents(now, e, before)
 	}
 	s.drain(now, e)
 	s.refuseUnservable(now, e.service)
 	return s.finish(now)
 }
 
-// doubtResidents begins an ownership anew. While another VM may have been the
-// owner it may have evicted what we believe to be resident: requests would be
-// sent to an adapter that is gone, or is being unloaded. Nothing is believed
-// until a report that is newer than the ownership, and everything is pinned
-// until one shows it idle; what was protected all along can't have been evicted.
-func (s *Scheduler) doubtResidents(now time.Time, e *endpoint, before ggscore.OwnerMode) {
+// invalidateResidents marks the residency of replicas as uncertain when an ownership
+// begins. Another VM may have owned the endpoint meanwhile and evicted adapters, so
+// requests could be dispatched to an adapter that is gone or unloading. Replicas stay
+// uncertain until a report that is newer than the ownership, and pinned until a report
+// shows them idle. Adapters that were protected throughout can't have been evicted and
+// stay resident.
+func (s *Scheduler) invalidateResidents(now time.Time, e *endpoint, before ggscore.OwnerMode) {
 	e.ownedAt = now
 	for _, r := range e.replicas {
 		r.pinned = true
@@ -89,15 +90,15 @@
 		kept := before == ggscore.ModeResidentOnly && r.protected()
 		switch {
 		case r.state == stateResident && !kept:
-			r.become(stateLoadUncertain, now)
+			r.setState(stateLoadUncertain, now)
 		case r.state == stateLoading || r.state == stateUnloading:
-			r.crossed = true
+			r.interrupted = true
 		}
 	}
 }
 
-// refuseUnservable answers the waiting requests that no endpoint can serve any
-// more, instead of letting them wait for nothing.
+// refuseUnservable refuses the queued requests that no endpoint can serve any more.
+// Otherwise they would wait until their budget runs out.
 func (s *Scheduler) refuseUnservable(now time.Time, v *service) {
 	for i := 0; i < len(v.waiting); {
 		a := v.waiting[i]
@@ -106,13 +107,14 @@
 			continue
 		}
 		for a.queue.Len() > 0 {
-			s.refuseQueued(now, a.queue.Head().Value, "no endpoint can serve it now")
+			s.refuseQueued(now, a.queue.Head().Value, "no endpoint can serve the request now")
 		}
 	}
 }
 
-// unbind binds jobs anew that a baseline policy had bound to a removed endpoint.
-func (s *Scheduler) unbind(now time.Time, e *endpoint) {
+// rebind schedules again the jobs that a baseline policy had bound to a removed
+// endpoint.
+func (s *Scheduler) rebind(now time.Time, e *endpoint) {
 	for _, a := range slices.Clone(e.service.waiting) {
 		var bound []*job
 		for _, j := range a.queued() {
@@ -122,7 +124,7 @@
 		}
 		for _, j := range bound {
 			s.dequeue(j)
-			s.enter(now, j)
+			s.schedule(now, j)
 		}
 	}
 }
--- a/core/ggsschedule/first_report_test.go
+++ b/core/ggsschedule/first_report_test.go
@@ -12,9 +12,8 @@
 	"greengageslip/core/ggsschedule"
 )
 
-// Callers were told that nobody could serve them in time right after a planned
-// stop: the new owner's runners had not reported yet, it took them for full and
-// predicted loads by the rate that it had reached so far, which was nothing.
+// A new owner refused requests after a planned stop: its runners had not reported yet
+// and counted as full, and the rate of loads reached so far was zero.
 func TestNewOwnerDoesNotRefuseBeforeTheFirstReport(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsschedule/loads.go
+++ b/core/ggsschedule/loads.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// loadRetryBase and loadRetryLimit bound the pause after failed loads of
-	// one adapter.
+	// loadRetryBase and loadRetryLimit bound the backoff after failed loads of one adapter.
 	loadRetryBase  = 250 * time.Millisecond
 	loadRetryLimit = 20 * time.Second
-	// maxDoublings keeps the back-off from overflowing.
+	// maxDoublings prevents an overflow of the backoff.
 	maxDoublings = 10
-	// goneKept is how long an evicted adapter is remembered without a report.
-	goneKept = 30 * time.Second
-	// failingWeight is the weight of a new sample in the fraction of failed
-	// loads, and leastSuccess bounds what is made of it.
-	failingWeight = 32
-	leastSuccess  = 0.1
+	// goneRetention is how long the entry of an evicted adapter is kept if the runner
+	// doesn't report.
+	goneRetention = 30 * time.Second
+	// failureSmoothing is the inverse weight of a new sample in the fraction of failed
+	// loads. The predicted fraction of successful loads is at least minSuccessRate.
+	failureSmoothing = 32
+	minSuccessRate   = 0.1
 )
 
-// A bucket counts this owner's share of the weight store's limits.
+// A bucket is the token bucket for this owner's share of the weight store's limits.
 type bucket struct {
 	share  ggscore.LoadShare
 	tokens float64
 	at     time.Time
-	// inTransit counts loads that are ordered or reserved and not settled.
+	// inTransit counts loads that are ordered or reserved and haven't settled.
 	inTransit int
-	// reserved counts tokens taken by loads that wait for an eviction. They
-	// count as still in the bucket: were it to fill up behind them, a slow
-	// eviction would let a load come on top of a full burst.
+	// reserved counts tokens held by loads that wait for an eviction. They still count
+	// against the bucket's capacity. Otherwise the bucket could fill up during a slow
+	// eviction, and the reserved load would exceed a full burst.
 	reserved int
-	// failing is the recent fraction of loads that failed.
-	failing float64
+	// failureRate is the recent fraction of loads that failed.
+	failureRate float64
 }
 
-// ended learns from the end of a load how many fail.
-func (b *bucket) ended(failed bool) {
+// recordEnd updates the failure rate with the end of a load.
+func (b *bucket) recordEnd(failed bool) {
 	x := 0.0
 	if failed {
 		x = 1
 	}
-	b.failing += (x - b.failing) / failingWeight
+	b.failureRate += (x - b.failureRate) / failureSmoothing
 }
 
-// fill adds the tokens that came up to now. The bucket holds one token, or one
-// second's worth when that is more: shares of all owners add up to the weight
+// fill adds the tokens that accrued up to now. The bucket's capacity is one token or
+// one second's worth, whichever is more. The shares of all owners add up to the weight
 // store's limit, and so do their bursts.
 func (b *bucket) fill(now time.Time) {
 	d := now.Sub(b.at)
@@ -57,30 +57,30 @@
 	}
 	b.at = now
 	b.tokens += d.Seconds() * b.share.LoadsPerSecond
-	b.clip()
+	b.capTokens()
 }
 
-// clip bounds the tokens to the burst.
-func (b *bucket) clip() {
+// capTokens bounds the tokens to the burst.
+func (b *bucket) capTokens() {
 	burst := max(1, b.share.LoadsPerSecond)
 	b.tokens = min(b.tokens, burst-float64(b.reserved))
 }
 
-// allowed reports whether a load that was reserved may be ordered. The share may
-// have shrunk since then, and hold fewer tokens than are reserved.
-func (b *bucket) allowed(now time.Time) bool {
+// reservedAllowed reports whether a reserved load may be ordered now. The share may
+// have shrunk since the reservation and hold fewer tokens than are reserved.
+func (b *bucket) reservedAllowed(now time.Time) bool {
 	b.fill(now)
 	held := b.tokens + float64(b.reserved)
 	return held >= 1 && b.share.LoadsPerSecond > 0 && b.inTransit <= b.share.InTransit
 }
 
-// ready reports whether a load may be ordered. The bucket has been filled.
+// ready reports whether a load may be ordered. The caller must have called fill.
 func (b *bucket) ready() bool {
 	return b.tokens >= 1 && b.share.LoadsPerSecond > 0 && b.inTransit < b.share.InTransit
 }
 
-// readyAt returns when the rate allows the next load, or the zero time when it
-// is for the end of another load to allow it.
+// readyAt returns when the rate allows the next load. It returns the zero time if a
+// load can start only after the share changes or another load ends.
 func (b *bucket) readyAt(now time.Time) time.Time {
 	if b.share.LoadsPerSecond <= 0 || b.inTransit >= b.share.InTransit {
 		return time.Time{}
@@ -89,10 +89,12 @@
 	return now.Add(time.Duration(math.Ceil(wait * float64(time.Second))))
 }
 
-// success returns the recent fraction of loads that succeeded.
-func (b *bucket) success() float64 { return max(1-b.failing, leastSuccess) }
+// successRate returns the recent fraction of loads that succeeded, at least
+// minSuccessRate.
+func (b *bucket) successRate() float64 { return max(1-b.failureRate, minSuccessRate) }
 
-// LoadEnded takes the end of a load.
+// LoadEnded reports the end of a load. A late report for a replica that is no longer
+// loading is ignored.
 func (s *Scheduler) LoadEnded(now time.Time, id ggscore.EndpointID, ref ggscore.AdapterRef, k ggscore.EndKind) []ggscore.Order {
 	s.begin(now)
 	r := s.pendingOrder(id, ref, stateLoading)
@@ -100,21 +102,21 @@
 		return s.finish(now)
 	}
 	a, e := r.adapter, r.endpoint
-	s.bucket.ended(k != ggscore.EndDone)
+	s.bucket.recordEnd(k != ggscore.EndDone)
 	switch {
-	case r.crossed || k == ggscore.EndUnknown:
-		r.crossed = false
-		r.become(stateLoadUncertain, now)
+	case r.interrupted || k == ggscore.EndUnknown:
+		r.interrupted = false
+		r.setState(stateLoadUncertain, now)
 	case k == ggscore.EndDone:
 		s.settleLoad(r)
-		r.become(stateResident, now)
+		r.setState(stateResident, now)
 		a.failures = 0
 		a.retryAt = time.Time{}
 		s.drain(now, e)
 	default:
 		s.settleLoad(r)
-		r.become(stateGone, now)
-		s.backOff(now, a)
+		r.setState(stateGone, now)
+		s.delayLoads(now, a)
 	}
 	return s.finish(now)
 }
@@ -125,11 +127,12 @@
 	s.bucket.fill(now)
 	s.bucket.at = now
 	s.bucket.share = h
-	s.bucket.clip()
+	s.bucket.capTokens()
 	return s.finish(now)
 }
 
-// UnloadEnded takes the end of an eviction.
+// UnloadEnded reports the end of an eviction. A late report for a replica that is no
+// longer unloading is ignored.
 func (s *Scheduler) UnloadEnded(now time.Time, id ggscore.EndpointID, ref ggscore.AdapterRef, k ggscore.EndKind) []ggscore.Order {
 	s.begin(now)
 	r := s.pendingOrder(id, ref, stateUnloading)
@@ -139,55 +142,55 @@
 	next := r.successor
 	r.successor = nil
 	switch {
-	case r.crossed || k == ggscore.EndUnknown:
-		r.crossed = false
-		r.become(stateUnloadUncertain, now)
+	case r.interrupted || k == ggscore.EndUnknown:
+		r.interrupted = false
+		r.setState(stateUnloadUncertain, now)
 	case k == ggscore.EndDone:
-		r.become(stateGone, now)
+		r.setState(stateGone, now)
 	default:
-		r.become(stateResident, now)
+		r.setState(stateResident, now)
 	}
 	if next != nil && next.state == stateReserved {
-		s.succeed(now, r, next)
+		s.loadSuccessor(now, r, next)
 	}
 	s.drain(now, r.endpoint)
 	return s.finish(now)
 }
 
-// backOff pauses the loads of an adapter after a failed one, and refuses the
-// requests that can't wait that long.
-func (s *Scheduler) backOff(now time.Time, a *adapter) {
+// delayLoads starts the backoff of an adapter after a failed load. It refuses the
+// requests whose deadline is before the next load could finish.
+func (s *Scheduler) delayLoads(now time.Time, a *adapter) {
 	a.retryAt = now.Add(s.backoff(a.failures, loadRetryBase, loadRetryLimit))
 	a.failures++
-	if a.placedOn(now) > 0 {
+	if a.placementCount(now) > 0 {
 		return
 	}
 	for _, j := range a.queued() {
 		if a.retryAt.Add(s.options.LoadTime).After(j.deadline) {
-			s.refuseQueued(now, j, "adapter could not be loaded in time")
+			s.refuseQueued(now, j, "adapter load failed; next attempt is too late for the deadline")
 		}
 	}
 }
 
-// backoff returns a pause that doubles with each failure, with jitter: half of
-// it is random, so that adapters that failed together are not tried together.
+// backoff returns a delay that doubles with each failure. Half of the delay is random,
+// so adapters whose loads failed together are not retried together.
 func (s *Scheduler) backoff(failures int, base, limit time.Duration) time.Duration {
 	d := min(base<<min(failures, maxDoublings), limit)
 	return d/2 + time.Duration(s.random.Int64N(int64(d/2)+1))
 }
 
-// cancelReserved gives the token of a load that wasn't ordered back.
+// cancelReserved cancels a reserved load that wasn't ordered and returns its token.
 func (s *Scheduler) cancelReserved(now time.Time, r *replica) {
 	s.settleLoad(r)
 	s.bucket.fill(now)
 	s.bucket.reserved--
 	s.bucket.tokens++
-	r.become(stateGone, now)
+	r.setState(stateGone, now)
 }
 
-// drop forgets a replica. One that was lost without our doing is listed for
-// loading again.
-func (s *Scheduler) drop(now time.Time, r *replica, lost bool) {
+// removeReplica removes a replica. If the replica was lost without an order of this
+// owner, its adapter is listed for loading again.
+func (s *Scheduler) removeReplica(now time.Time, r *replica, lost bool) {
 	if r.state == stateReserved {
 		s.cancelReserved(now, r)
 	}
@@ -196,17 +199,17 @@
 	r.state = stateGone
 	a.replicas = slices.DeleteFunc(a.replicas, func(o *replica) bool { return o == r })
 	e.replicas = slices.DeleteFunc(e.replicas, func(o *replica) bool { return o == r })
-	if lost && !a.listed && !a.anywhere() {
-		a.listed = true
+	if lost && !a.inRefill && !a.needsNoReplica() {
+		a.inRefill = true
 		a.service.refill = append(a.service.refill, a)
 	}
 }
 
-// load orders a load into a free slot. The token was taken, and the bucket is
-// filled up to now.
+// load orders a load into a free slot. The caller must have taken the token and filled
+// the bucket up to now.
 func (s *Scheduler) load(now time.Time, r *replica) {
 	s.bucket.reserved--
-	r.become(stateLoading, now)
+	r.setState(stateLoading, now)
 	s.orders = append(s.orders, ggscore.Order{
 		Kind:     ggscore.OrderLoad,
 		Endpoint: r.endpoint.spec.ID,
@@ -214,16 +217,16 @@
 	})
 }
 
-// lose forgets a replica that the engine turned out not to hold.
-func (s *Scheduler) lose(now time.Time, r *replica) {
-	r.become(stateGone, now)
+// markMissing marks a replica as gone after the engine reported its adapter as missing.
+func (s *Scheduler) markMissing(now time.Time, r *replica) {
+	r.setState(stateGone, now)
 	r.pinned = false
-	r.foreign = 0
+	r.foreignRuns = 0
 }
 
-// pendingOrder returns the replica that an order's end is about, or nil when the
-// end comes late: the endpoint was removed, or the order is forgotten.
-func (s *Scheduler) pendingOrder(id ggscore.EndpointID, ref ggscore.AdapterRef, want replicaState) *replica {
+// pendingOrder returns the replica that the end of an order refers to. It returns nil
+// for a late end: the endpoint was removed, or the replica has left the given state.
+func (s *Scheduler) pendingOrder(id ggscore.EndpointID, ref ggscore.AdapterRef, state replicaState) *replica {
 	e := s.endpoints[id]
 	if e == nil {
 		return nil
@@ -233,20 +236,21 @@
 		return nil
 	}
 	r := e.find(a)
-	if r == nil || r.state != want {
+	if r == nil || r.state != state {
 		return nil
 	}
 	return r
 }
 
-// place makes an entry for an adapter on an endpoint. A request may still be on
-// its way to the engine since before a restart, and run on the adapter once it
-// is back; requests that haven't ended therefore pin the new entry.
-func (s *Scheduler) place(now time.Time, a *adapter, e *endpoint, t replicaState) *replica {
-	s.sweepGone(now, e)
+// addReplica creates the entry of an adapter on an endpoint. A request that was
+// dispatched before an engine restart may still be on its way to the engine and run on
+// the adapter once it is loaded again. Requests that haven't ended therefore count as
+// running on the new entry.
+func (s *Scheduler) addReplica(now time.Time, a *adapter, e *endpoint, t replicaState) *replica {
+	s.removeGone(now, e)
 	r := &replica{adapter: a, endpoint: e, state: t, since: now, used: now}
 	for _, j := range e.running {
-		if j.adapter == a && !a.anywhere() {
+		if j.adapter == a && !a.needsNoReplica() {
 			j.replica = r
 			r.running++
 		}
@@ -256,23 +260,23 @@
 	return r
 }
 
-// sweepGone forgets adapters that are long gone from a runner that doesn't
-// report. A report that is still on its way is younger than that.
-func (s *Scheduler) sweepGone(now time.Time, e *endpoint) {
+// removeGone removes entries of long gone adapters from a runner that doesn't report. A
+// report that is still in flight is newer than goneRetention.
+func (s *Scheduler) removeGone(now time.Time, e *endpoint) {
 	for i := len(e.replicas) - 1; i >= 0; i-- {
-		if r := e.replicas[i]; r.state == stateGone && now.Sub(r.since) > goneKept {
-			s.drop(now, r, false)
+		if r := e.replicas[i]; r.state == stateGone && now.Sub(r.since) > goneRetention {
+			s.removeReplica(now, r, false)
 		}
 	}
 }
 
-// reserve takes a token for a load of an adapter on an endpoint.
+// reserve takes a token for the load of an adapter on an endpoint.
 func (s *Scheduler) reserve(now time.Time, a *adapter, e *endpoint) *replica {
 	r := e.find(a)
 	if r == nil {
-		r = s.place(now, a, e, stateReserved)
+		r = s.addReplica(now, a, e, stateReserved)
 	}
-	r.become(stateReserved, now)
+	r.setState(stateReserved, now)
 	r.used = now
 	r.inTransit = true
 	s.bucket.inTransit++
@@ -281,7 +285,7 @@
 	return r
 }
 
-// settleLoad ends a load's count against the weight store's limit.
+// settleLoad removes a load from the count of loads in transit.
 func (s *Scheduler) settleLoad(r *replica) {
 	if r.inTransit {
 		r.inTransit = false
@@ -289,10 +293,10 @@
 	}
 }
 
-// succeed gives the slot of an adapter that was unloaded to the one that it
-// was reserved for. If the slot isn't free after all, the token goes back.
-func (s *Scheduler) succeed(now time.Time, r, next *replica) {
-	if r.state == stateGone && s.bucket.allowed(now) && next.endpoint.loads(now) && next.endpoint.freeAdapterSlots() > 0 {
+// loadSuccessor loads the reserved replica into the slot of an unloaded one. If the
+// slot isn't free or the load isn't allowed any more, it returns the token.
+func (s *Scheduler) loadSuccessor(now time.Time, r, next *replica) {
+	if r.state == stateGone && s.bucket.reservedAllowed(now) && next.endpoint.allowsLoads(now) && next.endpoint.freeAdapterSlots() > 0 {
 		s.load(now, next)
 		return
 	}
@@ -301,7 +305,7 @@
 
 // unload orders an eviction.
 func (s *Scheduler) unload(now time.Time, r *replica) {
-	r.become(stateUnloading, now)
+	r.setState(stateUnloading, now)
 	s.orders = append(s.orders, ggscore.Order{
 		Kind:     ggscore.OrderUnload,
 		Endpoint: r.endpoint.spec.ID,
@@ -309,13 +313,13 @@
 	})
 }
 
-// become moves a replica to a state.
-func (r *replica) become(t replicaState, now time.Time) {
+// setState sets the replica's state and the time at which the state began.
+func (r *replica) setState(t replicaState, now time.Time) {
 	r.state = t
 	r.since = now
 }
 
-// queued returns the adapter's waiting jobs in the order of their arrival.
+// queued returns the adapter's queued jobs in the order of their arrival.
 func (a *adapter) queued() []*job {
 	var all []*job
 	for i := range a.queue.All {
--- a/core/ggsschedule/machine_test.go
+++ b/core/ggsschedule/machine_test.go
@@ -15,19 +15,19 @@
 // adapterCount is more than an engine holds, so that evictions are needed.
 const adapterCount = 4
 
-// A slotKey names an adapter on an endpoint.
+// A slotKey identifies an adapter on an endpoint.
 type slotKey struct {
 	endpoint ggscore.EndpointID
 	adapter  ggscore.AdapterRef
 }
 
-// A modelRun is a request on an engine.
+// A modelRun is a request with its run on an engine.
 type modelRun struct {
-	request  *ggscore.Request
-	key      slotKey
-	engine   *modelEngine
-	born     int
-	deadline time.Time
+	request     *ggscore.Request
+	key         slotKey
+	engine      *modelEngine
+	incarnation int
+	deadline    time.Time
 	// dispatches and waiting follow the contract of ggscore.Scheduler.
 	waiting, ended bool
 	dispatches     int
@@ -40,33 +40,35 @@
 	load bool
 }
 
-// A modelEngine is what a runner really is.
+// A modelEngine is the true state of a runner.
 type modelEngine struct {
 	spec        ggscore.Endpoint
 	mode        ggscore.OwnerMode
 	incarnation int
-	// resident holds the runs on each adapter that are not the scheduler's:
-	// an earlier owner's, or ours whose end was lost.
+	// resident holds, for each adapter, the runs that the scheduler doesn't track: runs of
+	// an earlier owner, and own runs whose end was lost.
 	resident  map[ggscore.AdapterRef]int
 	protected []ggscore.AdapterRef
-	// told and toldAt are the last incarnation that the scheduler was told, and
-	// ownedAt is when its ownership began or was last in doubt.
-	told            string
-	toldAt, ownedAt time.Time
+	// reportedIncarnation and reportedAt are from the last report that the scheduler
+	// applied, and ownedAt is when its ownership last began.
+	reportedIncarnation string
+	reportedAt, ownedAt time.Time
 }
 
-// life names the incarnation and the ownership that the scheduler believes in.
-func (e *modelEngine) life() string { return fmt.Sprint(e.told, e.ownedAt.UnixNano()) }
+// ownership identifies the incarnation and the ownership that the scheduler knows.
+func (e *modelEngine) ownership() string {
+	return fmt.Sprint(e.reportedIncarnation, e.ownedAt.UnixNano())
+}
 
-// A lateEffect is an order whose end was lost and that takes effect later.
-type lateEffect struct {
-	at   time.Time
-	born int
-	load bool
-	key  slotKey
+// A delayedEffect is an order whose end was lost and that takes effect later.
+type delayedEffect struct {
+	at          time.Time
+	incarnation int
+	load        bool
+	key         slotKey
 }
 
-// A machine checks every order against the engines' true state.
+// A machine checks every order against the true state of the engines.
 type machine struct {
 	s         *ggsschedule.Scheduler
 	now       time.Time
@@ -75,20 +77,20 @@
 	loads     map[slotKey]int
 	unloads   map[slotKey]int
 	unsettled map[slotKey]unsettled
-	// evidence holds what the scheduler was told of adapters: true after a
-	// finished load or a report, false after an eviction's order.
-	evidence map[slotKey]bool
-	evicted  map[slotKey]time.Time
-	// orderedTo holds the incarnation and the ownership that the scheduler
-	// believed in when it ordered a load or an eviction.
-	orderedTo map[slotKey]string
-	snapshots []ggscore.RunnerReport
-	late      []lateEffect
-	share     ggscore.LoadShare
-	tokens    float64
-	filled    time.Time
-	n         int
-	t         *rapid.T
+	// knownResident holds what the scheduler may assume of an adapter: true after a
+	// finished load or a report, false after an order to evict it.
+	knownResident map[slotKey]bool
+	evicted       map[slotKey]time.Time
+	// orderedUnder holds the incarnation and the ownership that the scheduler knew when it
+	// ordered a load or an eviction.
+	orderedUnder map[slotKey]string
+	snapshots    []ggscore.RunnerReport
+	delayed      []delayedEffect
+	share        ggscore.LoadShare
+	tokens       float64
+	filled       time.Time
+	n            int
+	t            *rapid.T
 }
 
 func (m *machine) engine(id ggscore.EndpointID) *modelEngine {
@@ -100,8 +102,8 @@
 	return nil
 }
 
-// ours counts our requests on an adapter, or on the whole engine.
-func (m *machine) ours(e *modelEngine, ref *ggscore.AdapterRef) int {
+// ownRuns counts this owner's requests on an adapter, or on the whole engine.
+func (m *machine) ownRuns(e *modelEngine, ref *ggscore.AdapterRef) int {
 	n := 0
 	for _, r := range m.runs {
 		if r.engine == e && !r.ended && !r.waiting && (ref == nil || r.key.adapter == *ref) {
@@ -111,11 +113,11 @@
 	return n
 }
 
-// alive counts our requests that the engine still runs on an adapter.
-func (m *machine) alive(e *modelEngine, ref ggscore.AdapterRef) int {
+// activeRuns counts this owner's requests that the engine still runs on an adapter.
+func (m *machine) activeRuns(e *modelEngine, ref ggscore.AdapterRef) int {
 	n := 0
 	for _, r := range m.runs {
-		if r.engine == e && !r.ended && !r.waiting && r.key.adapter == ref && r.born == e.incarnation {
+		if r.engine == e && !r.ended && !r.waiting && r.key.adapter == ref && r.incarnation == e.incarnation {
 			n++
 		}
 	}
@@ -137,7 +139,7 @@
 		case ggscore.OrderRefuse:
 			r := m.run(o.Request.ID)
 			m.assert(r.waiting && !r.ended, "refused a request that isn't waiting")
-			m.assert(o.Failure.Outcome == ggscore.OutcomeNotRun, "refusal without notRun")
+			m.assert(o.Failure.Outcome == ggscore.OutcomeNotRun, "refusal without outcome notRun")
 			r.ended = true
 		}
 	}
@@ -148,31 +150,31 @@
 	k := slotKey{o.Endpoint, o.Adapter}
 	m.assert(e != nil && e.spec.Service == r.request.Service, "dispatched to another service's endpoint")
 	m.assert(!e.spec.Leaving, "dispatched to a leaving endpoint")
-	m.assert(e.mode == ggscore.ModeFull || e.mode == ggscore.ModeResidentOnly && slices.Contains(e.protected, o.Adapter), "dispatched against the mode")
-	m.assert(m.ours(e, nil) < e.spec.Slots, "dispatched beyond the slots")
+	m.assert(e.mode == ggscore.ModeFull || e.mode == ggscore.ModeResidentOnly && slices.Contains(e.protected, o.Adapter), "dispatched in a mode that forbids it")
+	m.assert(m.ownRuns(e, nil) < e.spec.Slots, "dispatched beyond the slots")
 	m.assert(r.waiting && !r.ended && o.Adapter == r.request.Adapter, "dispatched a request that isn't waiting")
-	m.assert(r.dispatches == 0 || r.provedNotRun, "dispatched twice without proof")
+	m.assert(r.dispatches == 0 || r.provedNotRun, "dispatched again without proof that the first run had no effect")
 	if e.spec.Kind == ggscore.KindModel {
-		m.assert(m.evidence[k], "dispatched to an adapter that isn't known to be resident")
-		m.assert(m.unloads[k] == 0 && m.unsettled[k].at.IsZero(), "dispatched to an adapter whose order is unsettled")
+		m.assert(m.knownResident[k], "dispatched to an adapter that isn't known to be resident")
+		m.assert(m.unloads[k] == 0 && m.unsettled[k].at.IsZero(), "dispatched to an adapter whose last order has an unknown end")
 	}
 	r.dispatches++
 	r.provedNotRun = false
 	r.waiting = false
-	r.engine, r.born, r.key = e, e.incarnation, k
+	r.engine, r.incarnation, r.key = e, e.incarnation, k
 }
 
 func (m *machine) checkLoad(o ggscore.Order) {
 	e := m.engine(o.Endpoint)
 	k := slotKey{o.Endpoint, o.Adapter}
-	m.assert(e != nil && e.mode == ggscore.ModeFull && !e.spec.Leaving, "load against the mode")
-	m.assert(m.loads[k]+m.unloads[k] == 0 && m.unsettled[k].at.IsZero(), "load while another order is unsettled")
+	m.assert(e != nil && e.mode == ggscore.ModeFull && !e.spec.Leaving, "load in a mode that forbids it")
+	m.assert(m.loads[k]+m.unloads[k] == 0 && m.unsettled[k].at.IsZero(), "load while another order has an unknown end")
 	m.assert(m.share.LoadsPerSecond > 0, "load without a share")
 	m.fill()
 	m.tokens--
 	m.assert(m.tokens > -1e-6, "loads beyond the rate")
 	m.loads[k]++
-	m.orderedTo[k] = e.life()
+	m.orderedUnder[k] = e.ownership()
 	inTransit := 0
 	for _, n := range m.loads {
 		inTransit += n
@@ -183,12 +185,12 @@
 func (m *machine) checkUnload(o ggscore.Order) {
 	e := m.engine(o.Endpoint)
 	k := slotKey{o.Endpoint, o.Adapter}
-	m.assert(e != nil && e.mode == ggscore.ModeFull, "eviction against the mode")
+	m.assert(e != nil && e.mode == ggscore.ModeFull, "eviction in a mode that forbids it")
 	m.assert(!slices.Contains(e.protected, o.Adapter), "eviction of a protected adapter")
-	m.assert(m.ours(e, &o.Adapter) == 0 && e.resident[o.Adapter] == 0, "eviction beneath a run")
+	m.assert(m.ownRuns(e, &o.Adapter) == 0 && e.resident[o.Adapter] == 0, "eviction of an adapter with active runs")
 	m.unloads[k]++
-	m.orderedTo[k] = e.life()
-	m.evidence[k] = false
+	m.orderedUnder[k] = e.ownership()
+	m.knownResident[k] = false
 	delete(m.unsettled, k)
 }
 
@@ -198,7 +200,7 @@
 	}
 }
 
-// fill advances the reference token bucket.
+// fill refills the reference token bucket.
 func (m *machine) fill() {
 	burst := max(1, m.share.LoadsPerSecond)
 	m.tokens = min(burst, m.tokens+m.now.Sub(m.filled).Seconds()*m.share.LoadsPerSecond)
@@ -215,30 +217,30 @@
 	return nil
 }
 
-// advance moves the clock, and lets late orders take effect.
+// advance moves the clock and applies the effects of delayed orders.
 func (m *machine) advance(d time.Duration) {
 	m.now = m.now.Add(d)
-	m.late = slices.DeleteFunc(m.late, func(l lateEffect) bool {
+	m.delayed = slices.DeleteFunc(m.delayed, func(l delayedEffect) bool {
 		if l.at.After(m.now) {
 			return false
 		}
-		m.effect(l)
+		m.applyEffect(l)
 		return true
 	})
 }
 
-// effect lets an order take effect on the engine.
-func (m *machine) effect(l lateEffect) {
+// applyEffect applies the effect of an order to the engine.
+func (m *machine) applyEffect(l delayedEffect) {
 	e := m.engine(l.key.endpoint)
-	if e == nil || e.incarnation != l.born {
+	if e == nil || e.incarnation != l.incarnation {
 		return
 	}
-	_, there := e.resident[l.key.adapter]
+	_, resident := e.resident[l.key.adapter]
 	switch {
-	case l.load && !there && len(e.resident) < e.spec.AdapterSlots:
+	case l.load && !resident && len(e.resident) < e.spec.AdapterSlots:
 		e.resident[l.key.adapter] = 0
-	case !l.load && there:
-		m.assert(m.alive(e, l.key.adapter) == 0, "adapter was evicted beneath a run")
+	case !l.load && resident:
+		m.assert(m.activeRuns(e, l.key.adapter) == 0, "adapter with active runs was evicted")
 		delete(e.resident, l.key.adapter)
 	}
 }
@@ -255,7 +257,7 @@
 	m.check(m.s.SetEndpoint(m.now, e.spec, e.mode))
 }
 
-// pick draws an engine or a run that fits.
+// pickFrom draws one of the elements that fit.
 func pickFrom[T any](m *machine, what string, all []T, fits func(T) bool) (T, bool) {
 	var some []T
 	for _, x := range all {
@@ -278,12 +280,12 @@
 		return
 	}
 	k := rapid.SampledFrom([]ggscore.EndKind{ggscore.EndDone, ggscore.EndDone, ggscore.EndFailed, ggscore.EndUnknown, ggscore.EndAdapterMissing}).Draw(m.t, "end")
-	live := r.born == r.engine.incarnation
-	_, there := r.engine.resident[r.key.adapter]
-	if k == ggscore.EndAdapterMissing && live && there {
+	live := r.incarnation == r.engine.incarnation
+	_, resident := r.engine.resident[r.key.adapter]
+	if k == ggscore.EndAdapterMissing && live && resident {
 		k = ggscore.EndDone
 	}
-	if k == ggscore.EndUnknown && live && there && rapid.Bool().Draw(m.t, "engine goes on") {
+	if k == ggscore.EndUnknown && live && resident && rapid.Bool().Draw(m.t, "engine goes on") {
 		r.engine.resident[r.key.adapter]++
 	}
 	r.ended = k == ggscore.EndDone || k == ggscore.EndUnknown
@@ -320,20 +322,20 @@
 		return
 	}
 	end := rapid.SampledFrom([]ggscore.EndKind{ggscore.EndDone, ggscore.EndDone, ggscore.EndFailed, ggscore.EndUnknown}).Draw(m.t, "end")
-	l := lateEffect{born: e.incarnation, load: load, key: k, at: m.now}
-	_, there := e.resident[k.adapter]
-	if end == ggscore.EndDone && load && !there && len(e.resident) >= e.spec.AdapterSlots {
+	l := delayedEffect{incarnation: e.incarnation, load: load, key: k, at: m.now}
+	_, resident := e.resident[k.adapter]
+	if end == ggscore.EndDone && load && !resident && len(e.resident) >= e.spec.AdapterSlots {
 		end = ggscore.EndFailed
 	}
-	if end == ggscore.EndFailed && !load && !there {
-		// An engine that no longer holds the adapter says so: it is gone.
+	if end == ggscore.EndFailed && !load && !resident {
+		// An engine without the adapter acknowledges its unload.
 		end = ggscore.EndDone
 	}
 	switch end {
 	case ggscore.EndDone:
-		m.effect(l)
-		m.evidence[k] = load
-		if m.orderedTo[k] != e.life() {
+		m.applyEffect(l)
+		m.knownResident[k] = load
+		if m.orderedUnder[k] != e.ownership() {
 			m.unsettled[k] = unsettled{m.now, load}
 		}
 		if !load {
@@ -343,10 +345,10 @@
 		m.unsettled[k] = unsettled{m.now, load}
 		if rapid.Bool().Draw(m.t, "takes effect") {
 			l.at = m.now.Add(time.Duration(rapid.SampledFrom([]int64{0, 5, 500, 900}).Draw(m.t, "later ms")) * time.Millisecond)
-			m.late = append(m.late, l)
+			m.delayed = append(m.delayed, l)
 		}
 	default:
-		m.evidence[k] = !load && there
+		m.knownResident[k] = !load && resident
 	}
 	if load {
 		m.check(m.s.LoadEnded(m.now, k.endpoint, k.adapter, end))
@@ -355,22 +357,22 @@
 	m.check(m.s.UnloadEnded(m.now, k.endpoint, k.adapter, end))
 }
 
-// look returns what an engine says of itself now.
-func (m *machine) look(e *modelEngine) ggscore.RunnerReport {
+// takeReport returns an engine's report of its present state.
+func (m *machine) takeReport(e *modelEngine) ggscore.RunnerReport {
 	p := ggscore.RunnerReport{Endpoint: e.spec.ID, Incarnation: fmt.Sprint(e.incarnation), At: m.now}
 	for i := range adapterCount {
 		a := ref(fmt.Sprintf("a%d", i))
-		if n, there := e.resident[a]; there {
-			p.Resident = append(p.Resident, ggscore.ResidentAdapter{Ref: a, Running: n + m.alive(e, a)})
+		if n, resident := e.resident[a]; resident {
+			p.Resident = append(p.Resident, ggscore.ResidentAdapter{Ref: a, Running: n + m.activeRuns(e, a)})
 		}
 	}
 	return p
 }
 
-// snapshot lets an engine look at itself; the report arrives later, if at all.
+// snapshot takes an engine's report; it is delivered later or never.
 func (m *machine) snapshot() {
 	if e, ok := pickFrom(m, "engine", m.engines, anyEngine); ok {
-		m.snapshots = append(m.snapshots, m.look(e))
+		m.snapshots = append(m.snapshots, m.takeReport(e))
 	}
 }
 
@@ -380,24 +382,24 @@
 	}
 }
 
-// deliverReport hands a report in, and follows what it settles.
+// deliverReport delivers a report and updates what it settles.
 func (m *machine) deliverReport(p ggscore.RunnerReport) {
 	e := m.engine(p.Endpoint)
-	if e == nil || e.mode == ggscore.ModeNone || p.At.Before(e.ownedAt) || !p.At.After(e.toldAt) {
+	if e == nil || e.mode == ggscore.ModeNone || p.At.Before(e.ownedAt) || !p.At.After(e.reportedAt) {
 		m.check(m.s.Report(m.now, p))
 		return
 	}
-	e.toldAt, e.told = p.At, p.Incarnation
+	e.reportedAt, e.reportedIncarnation = p.At, p.Incarnation
 	for i := range adapterCount {
 		k := slotKey{p.Endpoint, ref(fmt.Sprintf("a%d", i))}
-		there := slices.ContainsFunc(p.Resident, func(r ggscore.ResidentAdapter) bool { return r.Ref == k.adapter })
+		resident := slices.ContainsFunc(p.Resident, func(r ggscore.ResidentAdapter) bool { return r.Ref == k.adapter })
 		u := m.unsettled[k]
-		settled := there && u.load && p.At.After(u.at) || !there && p.At.After(u.at) && !u.load || !there && p.At.After(u.at.Add(time.Second))
+		settled := resident && u.load && p.At.After(u.at) || !resident && p.At.After(u.at) && !u.load || !resident && p.At.After(u.at.Add(time.Second))
 		if settled {
 			delete(m.unsettled, k)
 		}
-		if there && m.loads[k]+m.unloads[k] == 0 && p.At.After(m.evicted[k]) {
-			m.evidence[k] = true
+		if resident && m.loads[k]+m.unloads[k] == 0 && p.At.After(m.evicted[k]) {
+			m.knownResident[k] = true
 		}
 	}
 	m.check(m.s.Report(m.now, p))
@@ -421,7 +423,7 @@
 func (m *machine) tick() {
 	m.check(m.s.Tick(m.now))
 	for _, r := range m.runs {
-		m.assert(!r.waiting || r.ended || r.deadline.After(m.now), "a request waits beyond its budget")
+		m.assert(!r.waiting || r.ended || r.deadline.After(m.now), "a request is still queued after its budget ran out")
 	}
 }
 
@@ -441,14 +443,14 @@
 	e.mode = rapid.SampledFrom([]ggscore.OwnerMode{ggscore.ModeFull, ggscore.ModeFull, ggscore.ModeResidentOnly, ggscore.ModeNone}).Draw(m.t, "mode")
 	e.spec.Leaving = rapid.IntRange(0, 5).Draw(m.t, "leaving") == 0
 	if before == ggscore.ModeNone {
-		m.otherOwner(e)
+		m.actAsOtherOwner(e)
 	}
 	if e.mode != before && (before == ggscore.ModeNone || e.mode == ggscore.ModeFull) {
 		e.ownedAt = m.now
 		for i := range adapterCount {
 			k := slotKey{e.spec.ID, ref(fmt.Sprintf("a%d", i))}
 			if before == ggscore.ModeNone || !slices.Contains(e.protected, k.adapter) {
-				m.evidence[k] = false
+				m.knownResident[k] = false
 				m.evicted[k] = m.now.Add(-1)
 			}
 		}
@@ -456,16 +458,17 @@
 	m.check(m.s.SetEndpoint(m.now, e.spec, e.mode))
 }
 
-// otherOwner lets another owner have acted on the idle adapters of an engine.
-func (m *machine) otherOwner(e *modelEngine) {
+// actAsOtherOwner evicts idle adapters of an engine and starts runs, as another owner
+// might have done.
+func (m *machine) actAsOtherOwner(e *modelEngine) {
 	for i := range adapterCount {
 		a := ref(fmt.Sprintf("a%d", i))
-		n, there := e.resident[a]
-		idle := n+m.ours(e, &a) == 0
+		n, resident := e.resident[a]
+		idle := n+m.ownRuns(e, &a) == 0
 		switch {
-		case there && idle && rapid.Bool().Draw(m.t, "evicted by another"):
+		case resident && idle && rapid.Bool().Draw(m.t, "evicted by another"):
 			delete(e.resident, a)
-		case there && rapid.Bool().Draw(m.t, "run by another"):
+		case resident && rapid.Bool().Draw(m.t, "run by another"):
 			e.resident[a]++
 		}
 	}
@@ -485,7 +488,7 @@
 	m.check(m.s.Protect(m.now, e.spec.ID, e.protected))
 }
 
-func (m *machine) foreignEnds() {
+func (m *machine) endForeignRuns() {
 	e, ok := pickFrom(m, "engine", m.engines, anyEngine)
 	if !ok {
 		return
@@ -529,7 +532,7 @@
 	}
 }
 
-// An action is one thing that may happen.
+// An action is one step of the generated history.
 type action struct {
 	name   string
 	weight int
@@ -539,7 +542,7 @@
 // String names the action in rapid's output.
 func (a action) String() string { return a.name }
 
-// actions returns what may happen, each as often as its weight says.
+// actions returns all actions, each repeated according to its weight.
 func (m *machine) actions() []action {
 	var all []action
 	for _, a := range []action{
@@ -557,7 +560,7 @@
 		{"restart", 1, m.restart},
 		{"set mode", 2, m.setMode},
 		{"protect", 1, m.protect},
-		{"foreign ends", 2, m.foreignEnds},
+		{"foreign ends", 2, m.endForeignRuns},
 		{"remove or add", 1, m.removeOrAdd},
 		{"set share", 1, m.setShare},
 		{"cancel", 1, m.cancel},
@@ -572,30 +575,29 @@
 // reportAll delivers a fresh report of every engine.
 func (m *machine) reportAll() {
 	for _, e := range m.engines {
-		m.deliverReport(m.look(e))
+		m.deliverReport(m.takeReport(e))
 	}
 }
 
-// TestSchedulerKeepsItsContract lets engines restart, fail loads, lose ends,
-// change owners and leave, with reports that come late, twice or never. A
-// caller would see a broken or foreign answer if an adapter went from under a
-// run, a second run of a release if one were dispatched twice, and silence if a
-// request were lost.
+// Engines restart, fail loads, lose ends, leave and change owners, and reports come
+// late, twice or never. The scheduler must not evict an adapter from under a run,
+// dispatch a request twice or lose one: callers would get broken answers, duplicate
+// runs or no answer.
 func TestSchedulerKeepsItsContract(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{
-			s:         ggsschedule.New(ggsschedule.Options{Seed: 1, Policy: ggsschedule.Policy(rapid.IntRange(0, 3).Draw(t, "policy"))}),
-			now:       epoch(),
-			loads:     make(map[slotKey]int),
-			unloads:   make(map[slotKey]int),
-			unsettled: make(map[slotKey]unsettled),
-			evidence:  make(map[slotKey]bool),
-			evicted:   make(map[slotKey]time.Time),
-			orderedTo: make(map[slotKey]string),
-			share:     ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 3},
-			filled:    epoch(),
-			t:         t,
+			s:             ggsschedule.New(ggsschedule.Options{Seed: 1, Policy: ggsschedule.Policy(rapid.IntRange(0, 3).Draw(t, "policy"))}),
+			now:           epoch(),
+			loads:         make(map[slotKey]int),
+			unloads:       make(map[slotKey]int),
+			unsettled:     make(map[slotKey]unsettled),
+			knownResident: make(map[slotKey]bool),
+			evicted:       make(map[slotKey]time.Time),
+			orderedUnder:  make(map[slotKey]string),
+			share:         ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 3},
+			filled:        epoch(),
+			t:             t,
 		}
 		m.check(m.s.SetLoadShare(m.now, m.share))
 		m.addEngine("asistente", ggscore.KindModel)
--- a/core/ggsschedule/main_test.go
+++ b/core/ggsschedule/main_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestMain raises the number of generated histories, since the rarer guards
-// need thousands of them to show that they are missing, and fixes their seed, so
-// that the verdict is the same every time. Flags override both.
+// TestMain raises the number of generated histories, since the rarer faults show only
+// in thousands of them. It fixes the seed, so that the verdict is reproducible. Flags
+// override both.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.checks": "5000", "rapid.seed": "1"} {
--- a/core/ggsschedule/options.go
+++ b/core/ggsschedule/options.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// A Policy chooses how requests are routed and adapters are evicted.
+// A Policy selects how requests are routed and adapters are evicted.
 type Policy int
 
-// The policies. All but PolicyCost are baselines for measurements: they bind a
-// request to a runner when it arrives, and evict what was used least recently.
+// The policies. All but PolicyCost are baselines for measurements: they bind a request
+// to a runner on arrival and evict the least recently used adapter.
 const (
-	// PolicyCost weighs stalls, batches and the cost of coming back.
+	// PolicyCost weighs load stalls, batch sizes and the cost of reloading an evicted
+	// adapter.
 	PolicyCost Policy = iota
 	// PolicyRandom binds a request to a random runner.
 	PolicyRandom
-	// PolicyLeastLoaded binds a request to the runner with the least work.
+	// PolicyLeastLoaded binds a request to the runner with the fewest running and bound
+	// requests.
 	PolicyLeastLoaded
-	// PolicyRendezvousLRU binds a request by rendezvous hashing of its adapter.
+	// PolicyRendezvousLRU binds a request to a runner by rendezvous hashing of its adapter.
 	PolicyRendezvousLRU
 )
 
-// String returns the policy's name in tables.
+// String returns the policy's name as printed in measurement tables.
 func (p Policy) String() string {
 	switch p {
 	case PolicyCost:
@@ -42,30 +44,29 @@
 	defaultStallWeight = 0.5
 )
 
-// Options set a Scheduler up. Zero values stand for the defaults.
+// Options configure a Scheduler. Zero values select the defaults.
 type Options struct {
 	Policy Policy
-	// StallWeight moves the policy between short load stalls (1) and full
-	// batches (0). SetPolicy overrides it; zero stands for 0.5.
+	// StallWeight trades short load stalls (1) against full batches (0). SetPolicy
+	// overrides it. The default is 0.5.
 	StallWeight float64
-	// LoadTime is how long a load takes at full speed; zero stands for 250 ms.
+	// LoadTime is how long a load takes at full speed. The default is 250 ms.
 	LoadTime time.Duration
-	// Seed drives the jitter of retries and the random baseline.
+	// Seed seeds the jitter of retries and the random baseline.
 	Seed uint64
-	// MaxQueued bounds the waiting requests of one service; zero stands for
-	// 4096.
+	// MaxQueued bounds the queued requests of one service. The default is 4096.
 	MaxQueued int
-	// MaxAdapters is the number of adapters of one service beyond which idle
-	// ones are forgotten; zero stands for 32,768.
+	// MaxAdapters is the number of adapter entries of one service beyond which idle entries
+	// are removed. The default is 32,768.
 	MaxAdapters int
-	// ReportLag is how much older than its At a report's contents may be.
+	// ReportLag is how much older than RunnerReport.At a report's contents may be.
 	ReportLag time.Duration
-	// SettleAfter is how long an order whose end is unknown may still take
-	// effect; zero stands for 1 s.
+	// SettleAfter is how long an order that ended with EndUnknown may still take effect.
+	// The default is 1 s.
 	SettleAfter time.Duration
 }
 
-// withDefaults returns o with its zero values replaced.
+// withDefaults returns o with zero values replaced by the defaults.
 func (o Options) withDefaults() Options {
 	if o.StallWeight == 0 {
 		o.StallWeight = defaultStallWeight
--- a/core/ggsschedule/plan.go
+++ b/core/ggsschedule/plan.go
@@ -7,33 +7,33 @@
 	ggscore "greengageslip/core"
 )
 
-// A want is an adapter that waiting requests need, and how urgently.
-type want struct {
+// A loadCandidate is an adapter to load, with the urgency of the load.
+type loadCandidate struct {
 	adapter *adapter
 	// bound is the only endpoint that a baseline policy allows, or nil.
 	bound *endpoint
 	score float64
-	// ahead says that no request waits for it yet.
-	ahead bool
+	// prefetch is set if no request waits for the adapter yet.
+	prefetch bool
 }
 
-// orderLoads orders the loads that are worth it, as far as the share allows.
+// orderLoads orders the loads that are worthwhile, as far as the load share allows.
 func (s *Scheduler) orderLoads(now time.Time) {
-	s.wake = time.Time{}
-	for s.loadsWanted() {
+	s.nextLoadPass = time.Time{}
+	for s.mayNeedLoads() {
 		s.bucket.fill(now)
 		if !s.bucket.ready() {
-			s.wake = earliest(s.wake, s.bucket.readyAt(now))
+			s.nextLoadPass = earliest(s.nextLoadPass, s.bucket.readyAt(now))
 			return
 		}
-		if !s.orderBest(now) && !s.orderRefill(now) {
+		if !s.orderMostUrgent(now) && !s.orderRefill(now) {
 			return
 		}
 	}
 }
 
-// loadsWanted reports whether there may be anything to load.
-func (s *Scheduler) loadsWanted() bool {
+// mayNeedLoads reports whether any adapter may need a load.
+func (s *Scheduler) mayNeedLoads() bool {
 	for _, v := range s.ordered {
 		if v.kind == ggscore.KindModel && (len(v.waiting) > 0 || len(v.refill) > 0) {
 			return true
@@ -42,31 +42,32 @@
 	return false
 }
 
-// orderBest orders the load that is wanted most. It reports whether it did.
-func (s *Scheduler) orderBest(now time.Time) bool {
-	var wants []want
+// orderMostUrgent orders the most urgent load that is possible. It reports whether it
+// ordered one.
+func (s *Scheduler) orderMostUrgent(now time.Time) bool {
+	var candidates []loadCandidate
 	for _, v := range s.ordered {
 		if v.kind != ggscore.KindModel || !v.hasRoom(now) {
 			continue
 		}
 		for _, a := range v.waiting {
-			wants = s.appendWants(now, wants, a)
+			candidates = s.appendCandidates(now, candidates, a)
 		}
 	}
-	for len(wants) > 0 {
-		i := mostWanted(wants)
-		if s.orderLoad(now, wants[i]) {
+	for len(candidates) > 0 {
+		i := topCandidate(candidates)
+		if s.orderLoad(now, candidates[i]) {
 			return true
 		}
-		wants[i] = wants[len(wants)-1]
-		wants = wants[:len(wants)-1]
+		candidates[i] = candidates[len(candidates)-1]
+		candidates = candidates[:len(candidates)-1]
 	}
 	return false
 }
 
-// mostWanted returns the index of the want with the greatest score, the first
-// among equals.
-func mostWanted(all []want) int {
+// topCandidate returns the index of the candidate with the highest score, the first one
+// of equals.
+func topCandidate(all []loadCandidate) int {
 	best := 0
 	for i := range all {
 		if all[i].score > all[best].score {
@@ -76,11 +77,11 @@
 	return best
 }
 
-// hasRoom reports whether any endpoint has room for a load, or something that
-// may be evicted for it.
+// hasRoom reports whether any endpoint has an adapter slot that is free or can be freed
+// by an eviction.
 func (v *service) hasRoom(now time.Time) bool {
 	for _, e := range v.endpoints {
-		if !e.loads(now) {
+		if !e.allowsLoads(now) {
 			continue
 		}
 		if e.freeAdapterSlots() > e.reservedSlots() || slices.ContainsFunc(e.replicas, (*replica).evictable) {
@@ -90,31 +91,32 @@
 	return false
 }
 
-// appendWants appends what an adapter's waiting requests need, if anything.
-func (s *Scheduler) appendWants(now time.Time, all []want, a *adapter) []want {
-	if a.anywhere() {
+// appendCandidates appends the loads that an adapter's queued requests need, if any.
+func (s *Scheduler) appendCandidates(now time.Time, all []loadCandidate, a *adapter) []loadCandidate {
+	if a.needsNoReplica() {
 		return all
 	}
 	if now.Before(a.retryAt) {
-		s.wake = earliest(s.wake, a.retryAt)
+		s.nextLoadPass = earliest(s.nextLoadPass, a.retryAt)
 		return all
 	}
 	if s.options.Policy != PolicyCost {
-		return s.appendBound(now, all, a)
+		return s.appendBoundCandidates(now, all, a)
 	}
-	coming, there := a.supply(now)
-	if coming > 0 || (there > 0 && !s.worthReplica(now, a)) {
+	pending, resident := a.countReplicas(now)
+	if pending > 0 || (resident > 0 && !s.gainsFromReplica(now, a)) {
 		return all
 	}
-	if there == 0 && !s.inTime(now, a) {
+	if resident == 0 && !s.canMeetDeadline(now, a) {
 		return all
 	}
-	return append(all, want{adapter: a, score: s.score(now, a)})
+	return append(all, loadCandidate{adapter: a, score: s.score(now, a)})
 }
 
-// appendBound appends the wants of a baseline policy: each endpoint that
-// waiting requests are bound to and that lacks the adapter, oldest first.
-func (s *Scheduler) appendBound(now time.Time, all []want, a *adapter) []want {
+// appendBoundCandidates appends the candidates of a baseline policy: each endpoint
+// without the adapter to which queued requests are bound. The score is the longest
+// wait.
+func (s *Scheduler) appendBoundCandidates(now time.Time, all []loadCandidate, a *adapter) []loadCandidate {
 	first := len(all)
 	for i := range a.queue.All {
 		j := i.Value
@@ -122,53 +124,54 @@
 			continue
 		}
 		waited := now.Sub(j.queuedAt).Seconds()
-		at := slices.IndexFunc(all[first:], func(w want) bool { return w.bound == j.bound })
+		at := slices.IndexFunc(all[first:], func(c loadCandidate) bool { return c.bound == j.bound })
 		if at >= 0 {
-			w := &all[first+at]
-			w.score = max(w.score, waited)
+			c := &all[first+at]
+			c.score = max(c.score, waited)
 			continue
 		}
 		if r := j.bound.find(a); r == nil || r.state == stateGone {
-			all = append(all, want{adapter: a, bound: j.bound, score: waited})
+			all = append(all, loadCandidate{adapter: a, bound: j.bound, score: waited})
 		}
 	}
 	return all
 }
 
-// orderLoad orders one load, or the eviction that makes room for it.
-func (s *Scheduler) orderLoad(now time.Time, w want) bool {
-	e, victim := s.placement(now, w)
-	if e == nil || (w.ahead && victim != nil && s.evictionCost(now, victim)*hysteresis > w.adapter.rate(now)) {
+// orderLoad orders one load, or the eviction that makes room for it. It reports whether
+// it did.
+func (s *Scheduler) orderLoad(now time.Time, c loadCandidate) bool {
+	e, victim := s.placement(now, c)
+	if e == nil || (c.prefetch && victim != nil && s.evictionCost(now, victim)*hysteresis > c.adapter.rate(now)) {
 		return false
 	}
-	v := w.adapter.service
-	v.loads = v.loadsOfLate(now) + 1
-	v.loadsAt = now
-	r := s.reserve(now, w.adapter, e)
+	v := c.adapter.service
+	v.loadCount = v.recentLoads(now) + 1
+	v.loadCountAt = now
+	r := s.reserve(now, c.adapter, e)
 	if victim == nil {
 		s.load(now, r)
 		return true
 	}
-	v.evicted += (victim.adapter.rate(now) - v.evicted) / evictedWeight
+	v.evicted += (victim.adapter.rate(now) - v.evicted) / evictedSmoothing
 	victim.successor = r
 	s.unload(now, victim)
 	return true
 }
 
-// orderRefill orders the load of the most popular adapter that a restart took,
-// if no runner has it and there is room. It reports whether it did.
+// orderRefill orders the load of the most popular adapter that a restart removed, if no
+// runner has it and there is room. It reports whether it ordered one.
 func (s *Scheduler) orderRefill(now time.Time) bool {
 	for _, v := range s.ordered {
 		for len(v.refill) > 0 {
-			i := hottest(now, v.refill)
+			i := mostPopular(now, v.refill)
 			a := v.refill[i]
 			v.refill = slices.Delete(v.refill, i, i+1)
-			a.listed = false
-			coming, there := a.supply(now)
-			if coming+there > 0 || a.rate(now) < refillLeast {
+			a.inRefill = false
+			pending, resident := a.countReplicas(now)
+			if pending+resident > 0 || a.rate(now) < minRefillRate {
 				continue
 			}
-			if s.orderLoad(now, want{adapter: a, ahead: true}) {
+			if s.orderLoad(now, loadCandidate{adapter: a, prefetch: true}) {
 				return true
 			}
 		}
@@ -176,8 +179,8 @@
 	return false
 }
 
-// hottest returns the index of the most popular adapter.
-func hottest(now time.Time, all []*adapter) int {
+// mostPopular returns the index of the most popular adapter.
+func mostPopular(now time.Time, all []*adapter) int {
 	best := 0
 	for i, a := range all {
 		if a.rate(now) > all[best].rate(now) {
@@ -187,18 +190,19 @@
 	return best
 }
 
-// placement returns where to load an adapter, and what to evict for it.
-func (s *Scheduler) placement(now time.Time, w want) (*endpoint, *replica) {
+// placement returns where to load an adapter, and which replica to evict for it, if
+// any.
+func (s *Scheduler) placement(now time.Time, c loadCandidate) (*endpoint, *replica) {
 	var best *endpoint
 	var victim *replica
 	least := 0.0
-	for _, e := range w.adapter.service.endpoints {
-		r := e.find(w.adapter)
+	for _, e := range c.adapter.service.endpoints {
+		r := e.find(c.adapter)
 		taken := r != nil && r.state != stateGone
-		if !e.loads(now) || taken || (w.bound != nil && w.bound != e) {
+		if !e.allowsLoads(now) || taken || (c.bound != nil && c.bound != e) {
 			continue
 		}
-		cost := s.crowding(e)
+		cost := s.occupancyCost(e)
 		var v *replica
 		if e.freeAdapterSlots() <= e.reservedSlots() {
 			v = s.victim(now, e)
@@ -214,7 +218,7 @@
 	return best, victim
 }
 
-// reservedSlots counts free slots that are promised to a load already.
+// reservedSlots counts adapter slots that are reserved for loads.
 func (e *endpoint) reservedSlots() int {
 	n := 0
 	for _, r := range e.replicas {
--- a/core/ggsschedule/policies_test.go
+++ b/core/ggsschedule/policies_test.go
@@ -13,8 +13,8 @@
 	"greengageslip/core/ggsschedule"
 )
 
-// workloads returns both deployments' requests. A deferrable request waits up
-// to 15 s for a fuller batch.
+// workloads returns the requests of both deployments. A deferrable request waits up to
+// 15 s for a fuller batch.
 func workloads() []workload {
 	return []workload{
 		{name: "lookups", stallWeight: 0.8, kinds: []requestKind{
@@ -38,11 +38,10 @@
 	}
 }
 
-// whole is the deployment of today under one owner, as if it had no failure
-// domains. The rate of requests and the time of runs are in the proportion of
-// the letter's: 0.52 requests a second for each runner, 386 tokens a request,
-// 31 ms a token.
-func whole() deployment {
+// wholeDeployment is the present deployment under one owner, without failure domains. The
+// rates are in proportion to those given for it: 0.52 requests a second for each runner,
+// 386 tokens a request, 31 ms a token.
+func wholeDeployment() deployment {
 	return deployment{
 		runners: 12, slots: 8, adapterSlots: 12, adapters: 3000, perSecond: 6,
 		share:  ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 3},
@@ -50,10 +49,10 @@
 	}
 }
 
-// domain is what one owner has today: the runners of its failure domain and a
-// third of the weight store's limits.
-func domain() deployment {
-	d := whole()
+// failureDomain is what one owner controls at present: the runners of its failure
+// domain and a third of the weight store's limits.
+func failureDomain() deployment {
+	d := wholeDeployment()
 	d.runners, d.perSecond = 4, 2
 	d.share = ggscore.LoadShare{LoadsPerSecond: 4.0 / 3, InTransit: 1}
 	return d
@@ -65,7 +64,7 @@
 	}
 }
 
-// A cell is one run's outcome in the table.
+// A cell is the outcome of one run in the table.
 type cell struct {
 	w workload
 	c scenario
@@ -73,7 +72,7 @@
 	o *outcome
 }
 
-// runAll runs every policy on every scenario, a few at once.
+// runAll runs every policy on every scenario, a few concurrently.
 func runAll(d deployment, policies []ggsschedule.Policy) []*cell {
 	var cells []*cell
 	for _, w := range workloads() {
@@ -100,8 +99,8 @@
 	return cells
 }
 
-// table formats the outcomes. Stalls and lookups' waits are of requests that
-// ran; eff is slots used over slots offered while work waits.
+// table formats the outcomes. Stalls and waits of lookups cover requests that ran; eff
+// is the slots used divided by the slots offered while requests are queued.
 func table(cells []*cell) string {
 	var b strings.Builder
 	head := []any{"workload", "scenario", "policy", "p50", "p95", "p99", "eff", "sent", "done", "refus", "loads", "evict", "lookup95"}
@@ -115,15 +114,15 @@
 	return b.String()
 }
 
-// TestPolicies prints the table of docs/MEASUREMENTS.md with -v, and runs a
-// shorter one without. It holds the cost policy to what it must not lose again
-// against plain rendezvous hashing with LRU, the best baseline; with -short one
-// domain's runs are too short for that, and only check every policy's evictions.
+// TestPolicies guards the cost policy against falling behind rendezvous hashing with
+// LRU, the best baseline. With -v it prints the table of docs/MEASUREMENTS.md. With
+// -short the runs of one domain are too short for the bounds and check only the
+// invariants.
 func TestPolicies(t *testing.T) {
 	t.Parallel()
 	best := []ggsschedule.Policy{ggsschedule.PolicyCost, ggsschedule.PolicyRendezvousLRU}
 	all := append([]ggsschedule.Policy{ggsschedule.PolicyCost}, baselines()...)
-	for name, d := range map[string]deployment{"whole": whole(), "domain": domain()} {
+	for name, d := range map[string]deployment{"whole": wholeDeployment(), "domain": failureDomain()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			policies, bounds := best, true
@@ -139,28 +138,28 @@
 			cells := runAll(d, policies)
 			t.Logf("\n%s", table(cells))
 			for i, x := range cells {
-				holdInvariants(t, x)
+				checkInvariants(t, x)
 				if bounds && i%len(policies) == 0 {
-					holdBounds(t, x, cells[i+len(policies)-1])
+					checkBounds(t, x, cells[i+len(policies)-1])
 				}
 			}
 		})
 	}
 }
 
-// holdInvariants checks what every policy has to keep.
-func holdInvariants(t *testing.T, x *cell) {
+// checkInvariants checks what holds under every policy.
+func checkInvariants(t *testing.T, x *cell) {
 	t.Helper()
 	c := qt.New(t)
 	what := qt.Commentf("%s %s %s", x.w.name, x.c.name, x.p)
-	c.Check(x.o.evictedBeneath, qt.Equals, 0, what)
+	c.Check(x.o.evictedInUse, qt.Equals, 0, what)
 	c.Check(x.o.overfull, qt.Equals, 0, what)
 	c.Check(x.o.done > 0, qt.IsTrue, what)
 }
 
-// holdBounds compares the cost policy with a baseline. The bounds leave room
-// for the noise of short runs; the goals stand in docs/MEASUREMENTS.md.
-func holdBounds(t *testing.T, cost, base *cell) {
+// checkBounds compares the cost policy with a baseline. The bounds allow for the noise
+// of short runs; the goals are in docs/MEASUREMENTS.md.
+func checkBounds(t *testing.T, cost, base *cell) {
 	t.Helper()
 	c := qt.New(t)
 	what := qt.Commentf("%s %s", cost.w.name, cost.c.name)
@@ -172,14 +171,15 @@
 	c.Check(stall <= most, qt.IsTrue, qt.Commentf("%s %s: stall p95 %s, most %s", cost.w.name, cost.c.name, stall, most))
 	c.Check(cost.o.done > base.o.done, qt.IsTrue, what)
 	c.Check(cost.o.refused < base.o.refused, qt.IsTrue, what)
-	c.Check(cost.o.efficiency() >= leastEfficiency*base.o.efficiency(), qt.IsTrue, what)
+	c.Check(cost.o.efficiency() >= minEfficiency*base.o.efficiency(), qt.IsTrue, what)
 }
 
-// leastEfficiency is the part of the baseline's batch efficiency that is not to
-// be lost where loads fail on a slow store; elsewhere it is about 1 or more.
-const leastEfficiency = 0.8
+// minEfficiency is the minimum batch efficiency relative to the baseline. Only runs
+// with failing loads on a slow store come near the minimum; elsewhere the ratio is
+// about 1 or more.
+const minEfficiency = 0.8
 
-// stallFloor is a stall that no policy can better while more than one request in
+// stallFloor is a stall that no policy can undercut while more than one request in
 // twenty needs a load: an eviction, a load and a short wait for its token.
 const stallFloor = 300 * time.Millisecond
 
--- a/core/ggsschedule/reports.go
+++ b/core/ggsschedule/reports.go
@@ -7,12 +7,12 @@
 	ggscore "greengageslip/core"
 )
 
-// foreignMargin is how long before a report a run of ours must have begun to be
-// counted in it for sure.
-const foreignMargin = 500 * time.Millisecond
+// runStartMargin is how long before a report one of this owner's runs must have begun
+// to be certainly included in the report.
+const runStartMargin = 500 * time.Millisecond
 
-// Report takes what a runner says of itself. Reports that are older than the
-// last one, or than the ownership, are ignored.
+// Report applies a runner's report. Reports that are older than the last one or than
+// the ownership are ignored.
 func (s *Scheduler) Report(now time.Time, p ggscore.RunnerReport) []ggscore.Order {
 	s.begin(now)
 	e := s.endpoints[p.Endpoint]
@@ -26,123 +26,123 @@
 	}
 	e.incarnation = p.Incarnation
 	for _, r := range e.replicas {
-		r.seen = false
+		r.reported = false
 	}
 	for _, m := range p.Resident {
-		s.sawResident(now, at, e, m)
+		s.applyResident(now, at, e, m)
 	}
 	for _, ref := range p.Loading {
-		s.sawLoading(now, at, e, ref)
+		s.applyLoading(now, at, e, ref)
 	}
 	for _, r := range slices.Clone(e.replicas) {
-		if !r.seen {
-			s.sawNothing(now, at, r)
+		if !r.reported {
+			s.applyAbsent(now, at, r)
 		}
 	}
 	s.drain(now, e)
 	return s.finish(now)
 }
 
-// restart clears what was on an engine that has restarted. An order that was
-// under way, or whose end is unknown, may have reached the old engine or the new
-// one: only a report settles it.
+// restart clears the replicas of an engine that has restarted. An order that was in
+// flight, or whose end is unknown, may have reached the old or the new engine, so only
+// a report settles its replica.
 func (s *Scheduler) restart(now time.Time, e *endpoint) {
 	for _, r := range slices.Clone(e.replicas) {
 		r.pinned = false
-		r.foreign = 0
+		r.foreignRuns = 0
 		switch r.state {
 		case stateLoading, stateUnloading:
-			r.crossed = true
+			r.interrupted = true
 		case stateReserved, stateGone, stateLoadUncertain, stateUnloadUncertain:
 		case stateResident:
-			s.drop(now, r, true)
+			s.removeReplica(now, r, true)
 		}
 	}
 	e.failures = 0
-	e.openUntil = time.Time{}
+	e.pausedUntil = time.Time{}
 }
 
-// sawResident takes an adapter that a report shows resident.
-func (s *Scheduler) sawResident(now, at time.Time, e *endpoint, m ggscore.ResidentAdapter) {
+// applyResident applies a report's entry for a resident adapter.
+func (s *Scheduler) applyResident(now, at time.Time, e *endpoint, m ggscore.ResidentAdapter) {
 	a := e.service.adapter(now, m.Ref, s.options.MaxAdapters)
 	r := e.find(a)
 	if r == nil {
-		r = s.place(now, a, e, stateResident)
+		r = s.addReplica(now, a, e, stateResident)
 		r.since = at
-		r.foreign = m.Running
+		r.foreignRuns = m.Running
 	}
-	r.seen = true
-	r.sawRunning(at, m.Running)
+	r.reported = true
+	r.applyRunning(at, m.Running)
 	switch r.state {
 	case stateLoadUncertain:
 		if at.After(r.since) {
 			s.settleLoad(r)
-			r.become(stateResident, at)
+			r.setState(stateResident, at)
 		}
 	case stateUnloadUncertain:
-		s.unloadAgain(now, at, r)
+		s.retryUnload(now, at, r)
 	case stateGone:
 		if at.After(r.since.Add(s.options.SettleAfter)) {
-			r.become(stateResident, at)
-			r.foreign = m.Running
+			r.setState(stateResident, at)
+			r.foreignRuns = m.Running
 		}
 	case stateReserved, stateLoading, stateResident, stateUnloading:
 	}
 }
 
-// unloadAgain repeats an unload whose end was unknown, when a report shows the
-// adapter still there. The first one may yet take effect, so that requests sent
-// to the adapter meanwhile could lose it; once a second one has ended, the
-// adapter is known to be gone.
-func (s *Scheduler) unloadAgain(now, at time.Time, r *replica) {
+// retryUnload repeats an unload whose end was unknown when a report shows the adapter
+// still resident. The first unload may still take effect and would break requests
+// dispatched to the adapter meanwhile. Once a second unload has ended, the adapter is
+// known to be gone.
+func (s *Scheduler) retryUnload(now, at time.Time, r *replica) {
 	settled := at.After(r.since.Add(s.options.SettleAfter))
 	if settled && r.idle() && r.endpoint.mode == ggscore.ModeFull {
 		s.unload(now, r)
 	}
 }
 
-// sawLoading takes an adapter that a report shows being loaded. One that we
-// didn't order, an earlier owner did.
-func (s *Scheduler) sawLoading(now, at time.Time, e *endpoint, ref ggscore.AdapterRef) {
+// applyLoading applies a report's entry for a loading adapter. If this owner didn't
+// order the load, an earlier owner did.
+func (s *Scheduler) applyLoading(now, at time.Time, e *endpoint, ref ggscore.AdapterRef) {
 	a := e.service.adapter(now, ref, s.options.MaxAdapters)
 	r := e.find(a)
 	if r == nil {
-		r = s.place(now, a, e, stateLoadUncertain)
+		r = s.addReplica(now, a, e, stateLoadUncertain)
 		r.since = at
 	}
-	r.seen = true
+	r.reported = true
 }
 
-// sawNothing takes a replica that a report doesn't name.
-func (s *Scheduler) sawNothing(now, at time.Time, r *replica) {
+// applyAbsent updates a replica that a report doesn't name.
+func (s *Scheduler) applyAbsent(now, at time.Time, r *replica) {
 	switch r.state {
 	case stateResident, stateGone:
 		if at.After(r.since) {
-			s.drop(now, r, r.state == stateResident)
+			s.removeReplica(now, r, r.state == stateResident)
 		}
 	case stateLoadUncertain:
-		// The order may still be on its way for a while.
+		// The order may still be in flight until SettleAfter.
 		if at.After(r.since.Add(s.options.SettleAfter)) {
 			s.settleLoad(r)
-			s.drop(now, r, false)
+			s.removeReplica(now, r, false)
 		}
 	case stateUnloadUncertain:
 		if at.After(r.since) {
-			s.drop(now, r, false)
+			s.removeReplica(now, r, false)
 		}
 	case stateReserved, stateLoading, stateUnloading:
 	}
 }
 
-// sawRunning takes the number of runs that a report shows on an adapter. Runs
-// beyond ours pin it: an earlier owner's request would lose its adapter beneath
-// it. Since reports lag, our own count can't be taken off to prove that those
-// runs are over; only a report that shows none at all ends the pin.
-func (r *replica) sawRunning(at time.Time, running int) {
+// applyRunning applies the number of runs that a report shows on an adapter. Runs
+// beyond this owner's own pin the replica, since an eviction would break the requests
+// of an earlier owner. Reports lag, so a count that this owner's runs explain doesn't
+// prove that the other runs have ended. Only a report without any run ends the pin.
+func (r *replica) applyRunning(at time.Time, running int) {
 	if running == 0 {
 		if at.After(r.pinnedAt) {
 			r.pinned = false
-			r.foreign = 0
+			r.foreignRuns = 0
 		}
 		return
 	}
@@ -151,7 +151,7 @@
 		if j.replica == r && at.After(j.startedAt) {
 			began++
 		}
-		if j.replica == r && at.After(j.startedAt.Add(foreignMargin)) {
+		if j.replica == r && at.After(j.startedAt.Add(runStartMargin)) {
 			old++
 		}
 	}
@@ -159,5 +159,5 @@
 		r.pinned = true
 		r.pinnedAt = at
 	}
-	r.foreign = min(r.foreign, max(running-old, 0))
+	r.foreignRuns = min(r.foreignRuns, max(running-old, 0))
 }
--- a/core/ggsschedule/requests.go
+++ b/core/ggsschedule/requests.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// maxDispatches bounds the tries of one request.
+	// maxDispatches bounds the dispatch attempts of one request.
 	maxDispatches = 3
-	// failuresToPause is the number of failed runs in a row after which an
-	// endpoint gets no work for a while.
+	// failuresToPause is the number of consecutive failed runs after which an endpoint is
+	// paused.
 	failuresToPause = 3
-	// pauseBase and pauseLimit bound that pause.
+	// pauseBase and pauseLimit bound the backoff of a paused endpoint.
 	pauseBase  = 500 * time.Millisecond
 	pauseLimit = 15 * time.Second
-	// retryAfterLeast and retryAfterMost bound what refused callers are told.
-	retryAfterLeast = 100 * time.Millisecond
-	retryAfterMost  = 30 * time.Second
-	// runTimeWeight is the weight of a new sample in the mean time of a run.
-	runTimeWeight = 16
+	// minRetryAfter and maxRetryAfter bound the RetryAfter of refusals.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
+	// runTimeSmoothing is the inverse weight of a new sample in the mean time of a run.
+	runTimeSmoothing = 16
 )
 
-// Cancel ends a request that its caller gave up on. A waiting one is refused
-// at once. A running one keeps its slot and its adapter until RequestEnded,
-// since the engine may still use both; it is not tried again.
+// Cancel cancels a request at the caller's demand. A queued request is refused at once.
+// A running request keeps its slot and its adapter until RequestEnded, since the engine
+// may still use both; it is not retried.
 func (s *Scheduler) Cancel(now time.Time, id ggscore.RequestID) []ggscore.Order {
 	s.begin(now)
 	j := s.jobs[id]
@@ -36,12 +36,12 @@
 		j.cancelled = true
 	default:
 		s.dequeue(j)
-		s.refuse(j, ggscore.FailureCancelled, "cancelled while waiting", 0)
+		s.refuse(j, ggscore.FailureCancelled, "request cancelled while queued", 0)
 	}
 	return s.finish(now)
 }
 
-// RequestEnded takes the end of a run.
+// RequestEnded reports the end of a run.
 func (s *Scheduler) RequestEnded(now time.Time, id ggscore.RequestID, k ggscore.EndKind) []ggscore.Order {
 	s.begin(now)
 	j := s.jobs[id]
@@ -50,21 +50,21 @@
 	}
 	e, r := j.endpoint, j.replica
 	s.release(now, j, k)
-	s.judge(now, e, j, k)
+	s.updateHealth(now, e, j, k)
 	if r != nil && k == ggscore.EndAdapterMissing && r.state == stateResident {
-		s.lose(now, r)
+		s.markMissing(now, r)
 	}
 	if k == ggscore.EndFailed || k == ggscore.EndAdapterMissing {
-		s.again(now, j)
+		s.retry(now, j)
 	} else {
-		s.forget(j)
+		s.removeJob(j)
 	}
 	s.drain(now, e)
 	return s.finish(now)
 }
 
-// Submit takes a request. It is dispatched, put into a queue, or refused. A
-// request whose ID is already known is ignored.
+// Submit adds a request and dispatches, queues or refuses it. A request whose ID is
+// already known is ignored.
 func (s *Scheduler) Submit(now time.Time, r *ggscore.Request) []ggscore.Order {
 	s.begin(now)
 	if s.jobs[r.ID] != nil {
@@ -74,27 +74,27 @@
 	a := v.adapter(now, r.Adapter, s.options.MaxAdapters)
 	v.drift.Observe(now, a.rate(now) <= v.evicted)
 	a.meter.Add(now, v.drift.Since())
-	j := s.admit(now, r, a)
-	s.enter(now, j)
+	j := s.newJob(now, r, a)
+	s.schedule(now, j)
 	return s.finish(now)
 }
 
-// admit makes a job of a request.
-func (s *Scheduler) admit(now time.Time, r *ggscore.Request, a *adapter) *job {
-	j := s.free
+// newJob creates the job of a request.
+func (s *Scheduler) newJob(now time.Time, r *ggscore.Request, a *adapter) *job {
+	j := s.freeJobs
 	if j == nil {
 		j = &job{}
 	} else {
-		s.free = j.next
+		s.freeJobs = j.next
 	}
 	s.sequence++
 	*j = job{
-		request:  r,
-		adapter:  a,
-		queuedAt: now,
-		deadline: now.Add(r.Budget),
-		due:      now.Add(min(r.Deferrable, r.Budget/2)),
-		timer:    -1,
+		request:    r,
+		adapter:    a,
+		queuedAt:   now,
+		deadline:   now.Add(r.Budget),
+		batchUntil: now.Add(min(r.Deferrable, r.Budget/2)),
+		timer:      -1,
 	}
 	j.item = ggsqueue.Item[*job]{
 		Value:    j,
@@ -108,20 +108,20 @@
 	return j
 }
 
-// again puts a request whose run provably had no effect back in line.
-func (s *Scheduler) again(now time.Time, j *job) {
+// retry schedules again a request whose run provably had no effect.
+func (s *Scheduler) retry(now time.Time, j *job) {
 	switch {
 	case j.cancelled:
-		s.refuse(j, ggscore.FailureCancelled, "cancelled", 0)
+		s.refuse(j, ggscore.FailureCancelled, "request cancelled: not retried after a failed run", 0)
 	case j.dispatches >= maxDispatches:
-		s.refuse(j, ggscore.FailureEndpoint, "every try failed", s.retryAfter(0))
+		s.refuse(j, ggscore.FailureEndpoint, "request failed on every dispatch attempt", s.retryAfter(0))
 	default:
 		j.queuedAt = now
-		s.enter(now, j)
+		s.schedule(now, j)
 	}
 }
 
-// dequeue takes a waiting job out of all queues.
+// dequeue removes a queued job from all queues.
 func (s *Scheduler) dequeue(j *job) {
 	a := j.adapter
 	a.queue.Remove(&j.item)
@@ -129,7 +129,7 @@
 	if j.bound != nil {
 		a.countBound(j.bound, -1)
 	}
-	if !j.gathering {
+	if !j.batching {
 		a.urgent--
 	}
 	if j.timer >= 0 {
@@ -138,17 +138,17 @@
 	v := a.service
 	v.queued--
 	if a.queue.Len() == 0 {
-		v.unlist(a)
+		v.removeWaiting(a)
 	}
 }
 
-// enqueue makes a job wait.
+// enqueue adds a job to its adapter's queue.
 func (s *Scheduler) enqueue(now time.Time, j *job) {
 	a := j.adapter
-	j.gathering = now.Before(j.due)
+	j.batching = now.Before(j.batchUntil)
 	j.timerAt = j.deadline
-	if j.gathering {
-		j.timerAt = j.due
+	if j.batching {
+		j.timerAt = j.batchUntil
 	} else {
 		a.urgent++
 	}
@@ -162,53 +162,53 @@
 	v.queued++
 	if a.waiting < 0 {
 		if len(a.replicas) == 0 {
-			v.backlog += 1 / s.patience(j).Seconds()
+			v.backlog += 1 / s.waitTarget(j).Seconds()
 		}
 		a.waiting = len(v.waiting)
 		v.waiting = append(v.waiting, a)
 	}
 }
 
-// enter dispatches a job, makes it wait, or refuses it.
-func (s *Scheduler) enter(now time.Time, j *job) {
+// schedule dispatches, queues or refuses a job.
+func (s *Scheduler) schedule(now time.Time, j *job) {
 	s.bind(now, j)
 	if e, r := s.route(now, j); e != nil {
 		s.dispatch(now, j, e, r)
 		return
 	}
 	if !j.adapter.servable() {
-		s.refuse(j, ggscore.FailureNoCapacity, "no endpoint can serve it now", s.retryAfter(0))
+		s.refuse(j, ggscore.FailureNoCapacity, "no endpoint can serve the request now", s.retryAfter(0))
 		return
 	}
 	if j.adapter.service.queued >= s.options.MaxQueued {
-		s.refuse(j, ggscore.FailureNoCapacity, "queue is full", s.retryAfter(s.predictWait(now, j)))
+		s.refuse(j, ggscore.FailureNoCapacity, "not queued: the queue of the service is full", s.retryAfter(s.predictWait(now, j)))
 		return
 	}
 	w := s.predictWait(now, j)
 	if w >= j.deadline.Sub(now) {
-		s.refuse(j, ggscore.FailureNoCapacity, "wait would exceed the budget", s.retryAfter(w))
+		s.refuse(j, ggscore.FailureNoCapacity, "not queued: predicted wait exceeds the request budget", s.retryAfter(w))
 		return
 	}
-	if s.unplaced(now, j.adapter) && s.standing(now, j.adapter.service) {
-		s.refuse(j, ggscore.FailureNoCapacity, "queue for loads is long", s.retryAfter(w))
+	if s.awaitsFirstLoad(now, j.adapter) && s.standingQueue(now, j.adapter.service) {
+		s.refuse(j, ggscore.FailureNoCapacity, "not queued: the queue for adapter loads is overloaded", s.retryAfter(w))
 		return
 	}
 	s.enqueue(now, j)
 }
 
-// forget drops a job that has ended.
-func (s *Scheduler) forget(j *job) {
+// removeJob removes a job that has ended.
+func (s *Scheduler) removeJob(j *job) {
 	delete(s.jobs, j.request.ID)
 	j.adapter.jobs--
-	*j = job{next: s.free, timer: -1}
-	s.free = j
+	*j = job{next: s.freeJobs, timer: -1}
+	s.freeJobs = j
 }
 
-// judge learns from the end of a run how healthy its endpoint is. An endpoint
-// that fails every run at once would draw all requests to itself, since its
-// slots are always free; callers would see a burst of failures. After a few
-// failures in a row it gets no work for a growing while.
-func (s *Scheduler) judge(now time.Time, e *endpoint, j *job, k ggscore.EndKind) {
+// updateHealth updates the health of an endpoint with the end of a run. An endpoint
+// that fails every run at once always has free slots and would attract all requests,
+// and callers would see a burst of failures. After failuresToPause consecutive failures
+// the endpoint is paused with exponential backoff.
+func (s *Scheduler) updateHealth(now time.Time, e *endpoint, j *job, k ggscore.EndKind) {
 	v := j.adapter.service
 	switch k {
 	case ggscore.EndDone:
@@ -217,18 +217,18 @@
 		if v.runTime == 0 {
 			v.runTime = d
 		}
-		v.runTime += (d - v.runTime) / runTimeWeight
+		v.runTime += (d - v.runTime) / runTimeSmoothing
 	case ggscore.EndFailed, ggscore.EndUnknown:
 		e.failures++
 		if e.failures >= failuresToPause && !j.cancelled {
-			e.openUntil = now.Add(s.backoff(e.failures-failuresToPause, pauseBase, pauseLimit))
-			s.reopen = earliest(s.reopen, e.openUntil)
+			e.pausedUntil = now.Add(s.backoff(e.failures-failuresToPause, pauseBase, pauseLimit))
+			s.resumeAt = earliest(s.resumeAt, e.pausedUntil)
 		}
 	case ggscore.EndAdapterMissing:
 	}
 }
 
-// refuse answers a job that isn't in a queue, and forgets it.
+// refuse refuses a job that isn't in a queue and removes it.
 func (s *Scheduler) refuse(j *job, k ggscore.FailureKind, detail string, after time.Duration) {
 	s.orders = append(s.orders, ggscore.Order{
 		Kind:    ggscore.OrderRefuse,
@@ -241,17 +241,17 @@
 			RetryAfter: after,
 		},
 	})
-	s.forget(j)
+	s.removeJob(j)
 }
 
-// refuseQueued answers a waiting job.
+// refuseQueued refuses a queued job.
 func (s *Scheduler) refuseQueued(now time.Time, j *job, detail string) {
 	w := s.predictWait(now, j)
 	s.dequeue(j)
 	s.refuse(j, ggscore.FailureNoCapacity, detail, s.retryAfter(w))
 }
 
-// release frees the slot and the pin of a run.
+// release frees the slot of a run and its count on the replica.
 func (s *Scheduler) release(now time.Time, j *job, k ggscore.EndKind) {
 	e, r := j.endpoint, j.replica
 	last := e.running[len(e.running)-1]
@@ -262,28 +262,28 @@
 	if r != nil {
 		r.running--
 		if k == ggscore.EndUnknown && r.state != stateGone {
-			r.doubt(now)
+			r.pinUntilReported(now)
 		}
 	}
 	j.endpoint = nil
 	j.replica = nil
 }
 
-// retryAfter bounds a predicted wait to what callers are told.
+// retryAfter limits a predicted wait to the range that is returned to callers.
 func (s *Scheduler) retryAfter(w time.Duration) time.Duration {
-	return min(max(w, retryAfterLeast), retryAfterMost)
+	return min(max(w, minRetryAfter), maxRetryAfter)
 }
 
-// doubt pins a replica after a run whose end is unknown. The engine may go on
-// with the run after our connection broke: an eviction then would pull the
-// adapter from under it, and its slot isn't free. A newer report settles it.
-func (r *replica) doubt(now time.Time) {
+// pinUntilReported pins a replica after a run whose end is unknown. The engine may
+// continue the run after the connection broke: the request slot isn't free, and an
+// eviction would break the run. Only a newer report ends the pin.
+func (r *replica) pinUntilReported(now time.Time) {
 	r.pinned = true
 	r.pinnedAt = now
-	r.foreign++
+	r.foreignRuns++
 }
 
-// countBound counts waiting jobs that are bound to an endpoint.
+// countBound adds n to the number of queued jobs that are bound to an endpoint.
 func (a *adapter) countBound(e *endpoint, n int) {
 	if a.bound == nil {
 		a.bound = make(map[*endpoint]int)
@@ -296,18 +296,18 @@
 	e.bound += n
 }
 
-// unplaced reports whether an adapter's requests have to wait for its first
-// load, under the policy that cuts standing queues.
-func (s *Scheduler) unplaced(now time.Time, a *adapter) bool {
-	if a.anywhere() || s.options.Policy != PolicyCost {
+// awaitsFirstLoad reports whether an adapter's requests must wait for its first load
+// under PolicyCost, the only policy that shortens standing queues.
+func (s *Scheduler) awaitsFirstLoad(now time.Time, a *adapter) bool {
+	if a.needsNoReplica() || s.options.Policy != PolicyCost {
 		return false
 	}
-	coming, there := a.supply(now)
-	return coming+there == 0
+	pending, resident := a.countReplicas(now)
+	return pending+resident == 0
 }
 
-// unlist takes an adapter without waiting requests from the list.
-func (v *service) unlist(a *adapter) {
+// removeWaiting removes an adapter without queued requests from the list.
+func (v *service) removeWaiting(a *adapter) {
 	last := v.waiting[len(v.waiting)-1]
 	v.waiting[a.waiting] = last
 	last.waiting = a.waiting
--- a/core/ggsschedule/scheduler.go
+++ b/core/ggsschedule/scheduler.go
@@ -9,7 +9,7 @@
 	"greengageslip/core/ggsqueue"
 )
 
-// A Scheduler decides for the endpoints of one owner.
+// A Scheduler schedules requests and adapters on the endpoints of one owner.
 type Scheduler struct {
 	options   Options
 	random    *rand.Rand
@@ -18,16 +18,16 @@
 	ordered   []*service
 	endpoints map[ggscore.EndpointID]*endpoint
 	jobs      map[ggscore.RequestID]*job
-	free      *job
+	freeJobs  *job
 	sequence  uint64
 	clock     ggsqueue.Clock
 	timers    timers
 	bucket    bucket
-	// wake is when the load pass wants to run again, zero if it doesn't.
-	wake time.Time
-	// reopen is when the next endpoint that failed is tried again.
-	reopen time.Time
-	orders []ggscore.Order
+	// nextLoadPass is when orderLoads must run again, or zero.
+	nextLoadPass time.Time
+	// resumeAt is when the next paused endpoint accepts requests again, or zero.
+	resumeAt time.Time
+	orders   []ggscore.Order
 }
 
 var _ ggscore.Scheduler = (*Scheduler)(nil)
@@ -43,21 +43,21 @@
 	}
 }
 
-// NextTick returns when Tick is wanted next, or the zero time.
+// NextTick returns the latest time for the next call of Tick, or zero if none is
+// needed.
 func (s *Scheduler) NextTick() time.Time {
-	t := earliest(s.wake, s.reopen)
+	t := earliest(s.nextLoadPass, s.resumeAt)
 	if len(s.timers) > 0 {
 		t = earliest(t, s.timers[0].timerAt)
 	}
 	return t
 }
 
-// SetMarkets sets the markets' weights. Markets that it doesn't name have
-// weight one.
+// SetMarkets sets the weights of markets. Markets without an entry have weight one.
 func (s *Scheduler) SetMarkets(weights map[ggscore.Market]int) { s.clock.SetWeights(weights) }
 
-// SetPolicy takes the document's policy into force. The limits of the weight
-// store come by SetLoadShare instead.
+// SetPolicy applies the document's policy. The limits of the weight store are set by
+// SetLoadShare instead.
 func (s *Scheduler) SetPolicy(now time.Time, p ggscore.PolicySpec) []ggscore.Order {
 	s.begin(now)
 	s.options.StallWeight = min(max(p.StallWeight, 0), 1)
@@ -67,7 +67,7 @@
 	return s.finish(now)
 }
 
-// Summary describes the endpoints, in the order of their names.
+// Summary describes the endpoints, grouped by service and ordered by ID within a service.
 func (s *Scheduler) Summary(now time.Time) []ggscore.RunnerSummary {
 	var all []ggscore.RunnerSummary
 	for _, v := range s.ordered {
@@ -78,19 +78,20 @@
 	return all
 }
 
-// Tick refuses requests whose budget ran out and does what else is due.
+// Tick refuses requests whose budget ran out, ends waits for fuller batches, and
+// resumes paused endpoints.
 func (s *Scheduler) Tick(now time.Time) []ggscore.Order {
 	s.begin(now)
 	for len(s.timers) > 0 && !s.timers[0].timerAt.After(now) {
-		s.fire(now, s.timers[0])
+		s.fireTimer(now, s.timers[0])
 	}
-	if !s.reopen.IsZero() && !now.Before(s.reopen) {
-		s.reopenEndpoints(now)
+	if !s.resumeAt.IsZero() && !now.Before(s.resumeAt) {
+		s.resumeEndpoints(now)
 	}
 	return s.finish(now)
 }
 
-// begin starts a call.
+// begin clears the orders of the previous call and sets the epoch on the first call.
 func (s *Scheduler) begin(now time.Time) {
 	if s.epoch.IsZero() {
 		s.epoch = now
@@ -98,21 +99,21 @@
 	s.orders = s.orders[:0]
 }
 
-// finish ends a call: it orders the loads that are due.
+// finish ends a call: it orders the loads that are due and returns all orders.
 func (s *Scheduler) finish(now time.Time) []ggscore.Order {
 	s.orderLoads(now)
 	return s.orders
 }
 
-// fire handles the timer of a waiting job: either the wait for a fuller batch
-// is over, or the whole budget.
-func (s *Scheduler) fire(now time.Time, j *job) {
+// fireTimer handles the timer of a queued job. The timer marks the end of either the
+// wait for a fuller batch or the whole budget.
+func (s *Scheduler) fireTimer(now time.Time, j *job) {
 	if !now.Before(j.deadline) {
-		s.refuseQueued(now, j, "budget ran out while waiting")
+		s.refuseQueued(now, j, "request budget ran out in the queue")
 		return
 	}
 	j.adapter.queue.Remove(&j.item)
-	j.gathering = false
+	j.batching = false
 	j.item.Class = min(j.item.Class, int(ggscore.PriorityNormal))
 	j.adapter.urgent++
 	j.adapter.queue.Push(&s.clock, &j.item)
@@ -120,13 +121,13 @@
 	heap.Fix(&s.timers, j.timer)
 }
 
-// reopenEndpoints sends work again to endpoints whose pause is over.
-func (s *Scheduler) reopenEndpoints(now time.Time) {
-	s.reopen = time.Time{}
+// resumeEndpoints dispatches requests to endpoints whose pause is over.
+func (s *Scheduler) resumeEndpoints(now time.Time) {
+	s.resumeAt = time.Time{}
 	for _, v := range s.ordered {
 		for _, e := range v.endpoints {
-			if now.Before(e.openUntil) {
-				s.reopen = earliest(s.reopen, e.openUntil)
+			if now.Before(e.pausedUntil) {
+				s.resumeAt = earliest(s.resumeAt, e.pausedUntil)
 			} else {
 				s.drain(now, e)
 			}
@@ -134,7 +135,7 @@
 	}
 }
 
-// service returns the entry of a service. It makes one if need be.
+// service returns the entry of a service and creates it if needed.
 func (s *Scheduler) service(n ggscore.Service, k ggscore.ServiceKind) *service {
 	if v := s.services[n]; v != nil {
 		return v
@@ -145,8 +146,8 @@
 	return v
 }
 
-// summarize describes one endpoint. Requests whose adapter isn't on any runner
-// count in equal parts on all runners of the service.
+// summarize describes one endpoint. Requests whose adapter is on no runner are divided
+// equally among all runners of the service.
 func summarize(now time.Time, e *endpoint) ggscore.RunnerSummary {
 	m := ggscore.RunnerSummary{
 		Endpoint:     e.spec.ID,
@@ -154,7 +155,7 @@
 		Mode:         e.mode,
 		Leaving:      e.spec.Leaving,
 		Slots:        e.spec.Slots,
-		Running:      len(e.running) + e.foreign(),
+		Running:      len(e.running) + e.foreignRuns(),
 		AdapterSlots: e.spec.AdapterSlots,
 	}
 	for _, r := range e.replicas {
@@ -166,21 +167,21 @@
 		case stateGone, stateUnloading, stateLoadUncertain, stateUnloadUncertain:
 		}
 	}
-	elsewhere := 0
+	unplaced := 0
 	for _, a := range e.service.waiting {
-		n := a.placedOn(now)
+		n := a.placementCount(now)
 		switch {
 		case n == 0:
-			elsewhere += a.queue.Len()
-		case a.anywhere() || e.find(a) != nil:
+			unplaced += a.queue.Len()
+		case a.needsNoReplica() || e.find(a) != nil:
 			m.Queued += a.queue.Len() / n
 		}
 	}
-	m.Queued += elsewhere / len(e.service.endpoints)
+	m.Queued += unplaced / len(e.service.endpoints)
 	return m
 }
 
-// earliest returns the earlier of two times, of which zero means never.
+// earliest returns the earlier of two times, where zero means never.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
--- a/core/ggsschedule/stories_test.go
+++ b/core/ggsschedule/stories_test.go
@@ -26,7 +26,7 @@
 	return all
 }
 
-// kinds names the orders, as "dispatch q1", "load a" and so on.
+// kinds formats orders as "dispatch q1", "load a" and so on.
 func kinds(orders []ggscore.Order) []string {
 	all := []string{}
 	for _, o := range orders {
@@ -44,9 +44,9 @@
 	return all
 }
 
-// A load's answer is lost. If the scheduler believed a report from before the
-// order, it would order the load again, or send a request that the engine
-// answers with a missing adapter; callers would see errors and double loads.
+// The answer of a load is lost. A report from before the order must not settle the
+// load: the scheduler would order it twice, or dispatch to an adapter that isn't
+// resident.
 func TestOldReportDoesNotSettleLoad(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -65,9 +65,8 @@
 	c.Assert(kinds(s.Report(now, report("r1", "one", now, idle("a")...))), qt.DeepEquals, []string{"dispatch q1"})
 }
 
-// An eviction's answer is lost and the adapter is still there. A request that
-// was sent to it could lose it when the first order comes through after all; it
-// is evicted once more, and loaded anew, before it serves again.
+// The answer of an eviction is lost and the adapter is still resident. The eviction may
+// still take effect, so the adapter is unloaded again before it serves requests.
 func TestLostEvictionIsRepeated(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -85,9 +84,9 @@
 	c.Assert(orders, qt.Not(qt.Contains), "dispatch q2")
 }
 
-// A new owner takes a runner over while the old owner's request still streams
-// its answer. Evicting its adapter would break that answer, though the new
-// owner never saw the request.
+// An old owner's request still streams its answer when a new owner takes over the
+// runner. The new owner doesn't know the request, and evicting its adapter would break
+// the answer.
 func TestForeignRunPinsUntilIdle(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -106,10 +105,9 @@
 	c.Assert(kinds(s.Report(now, report("r1", "one", now, idle("a")...))), qt.DeepEquals, []string{"unload a"})
 }
 
-// An old owner was paused, and sends one more request after the new owner's
-// first report. The next report shows more runs than ours; the adapter must not
-// be evicted beneath it.
-func TestRunsBeyondOursPin(t *testing.T) {
+// A paused old owner sends a request after the new owner's first report. The next
+// report shows more runs than the new owner's own, and the adapter must not be evicted.
+func TestForeignRunInLaterReportPins(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := epoch()
@@ -123,9 +121,8 @@
 	c.Assert(kinds(s.Submit(now, request("q1", "b"))), qt.HasLen, 0)
 }
 
-// A release instruction is dispatched and its connection breaks. A second
-// dispatch would pay a landlord twice; only a proof that it did not run allows
-// another try.
+// The connection breaks after the dispatch of a non-idempotent request. A second
+// dispatch could run it twice, so only proof that it didn't run allows a retry.
 func TestUnknownEndIsNotDispatchedAgain(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -151,10 +148,9 @@
 	}
 }
 
-// A third of the runners restart and hold nothing. If all their adapters were
-// loaded at once the weight store would stall every load; if the rare ones came
-// first, the busy ones' callers would wait.
-func TestRestartRefillsHottestFirst(t *testing.T) {
+// A runner restarts without its adapters. Loading all at once would stall the weight
+// store, and loading rare adapters first would delay the callers of popular ones.
+func TestRestartReloadsMostPopularFirst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := epoch()
@@ -176,8 +172,8 @@
 	c.Assert(kinds(s.LoadEnded(now, "r1", ref("busy"), ggscore.EndDone)), qt.DeepEquals, []string{"load rare"})
 }
 
-// One market sends a flood at once, another a few requests after it. In the
-// order of arrival the few would wait for the whole flood.
+// One market sends a burst, and another sends a few requests after it. In the order of
+// arrival the few would wait for the whole burst.
 func TestMarketsShareByWeight(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -210,9 +206,8 @@
 	c.Assert(served, qt.DeepEquals, map[string]int{"flood": 3, "few": 6})
 }
 
-// Long summaries wait for slots when a lookup arrives. A tenant in an agency
-// office would wait for all of them; the lookup goes first, and among equals the
-// one whose deadline is nearest.
+// Long requests are queued when an interactive one arrives. The interactive request
+// must run first, and among equal priorities the one with the nearest deadline.
 func TestPriorityThenDeadline(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -241,9 +236,9 @@
 	c.Assert(order, qt.DeepEquals, []string{"dispatch q4", "dispatch q3", "dispatch q2"})
 }
 
-// A mediator's request can't be served in its time. Told so at once, the caller
-// tries again elsewhere; held back, it would have lost its time for nothing.
-func TestHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// A request can't be served within its budget. An immediate refusal leaves the caller
+// time to retry elsewhere.
+func TestUnservableRequestIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		prepare func(s *ggsschedule.Scheduler, now time.Time)
@@ -279,8 +274,8 @@
 	}
 }
 
-// Loads of one adapter keep failing. Callers of other adapters must not wait
-// behind its retries, and its own callers hear of it within their budget.
+// Loads of one adapter keep failing. Its retries must not delay requests for other
+// adapters, and its own requests must be refused within their budget.
 func TestFailedLoadDoesNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -310,31 +305,30 @@
 	c.Fatal("the request of the failing adapter was never answered")
 }
 
-// An eviction takes ten seconds while its load's token is reserved. If the
-// bucket filled up behind it, two loads would follow each other at once, on top
-// of the other owners' shares, and the weight store would stall everyone's.
-func TestSlowEvictionDoesNotSaveUpLoads(t *testing.T) {
+// An eviction takes ten seconds while the token of its load is reserved. If the bucket
+// filled up meanwhile, two loads would follow at once and exceed the owner's share of
+// the weight store.
+func TestSlowEvictionDoesNotExceedBurst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := epoch()
 	s := resident(now, "a", "b")
 	s.SetLoadShare(now, ggscore.LoadShare{LoadsPerSecond: 1, InTransit: 3})
 	now = now.Add(time.Second)
-	patient := func(id, adapter string) *ggscore.Request {
+	longBudget := func(id, adapter string) *ggscore.Request {
 		r := request(id, adapter)
 		r.Budget = time.Minute
 		return r
 	}
-	c.Assert(kinds(s.Submit(now, patient("q1", "c"))), qt.DeepEquals, []string{"unload a"})
+	c.Assert(kinds(s.Submit(now, longBudget("q1", "c"))), qt.DeepEquals, []string{"unload a"})
 	now = now.Add(10 * time.Second)
 	c.Assert(kinds(s.UnloadEnded(now, "r1", ref("a"), ggscore.EndDone)), qt.DeepEquals, []string{"load c"})
-	c.Assert(kinds(s.Submit(now, patient("q2", "d"))), qt.HasLen, 0)
+	c.Assert(kinds(s.Submit(now, longBudget("q2", "d"))), qt.HasLen, 0)
 	c.Assert(kinds(s.Tick(now.Add(time.Second))), qt.DeepEquals, []string{"unload b"})
 }
 
-// Two loads wait for evictions when the owner's share shrinks to one load a
-// second, since another owner took part of it over. Both at once would exceed
-// it, and the sum of all shares with it.
+// Two loads wait for evictions when the owner's share shrinks to one load a second.
+// Ordering both at once would exceed the share, and with it the sum of all shares.
 func TestShrunkShareHoldsForReservedLoads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -349,10 +343,9 @@
 	c.Assert(kinds(s.Tick(now.Add(time.Second))), qt.DeepEquals, []string{"load d"})
 }
 
-// Reminders for one adapter come in while its load is held up. They may wait,
-// but none may be lost: each is dispatched once the adapter is there, or refused
-// before its budget is over.
-func TestDeferrableWorkIsNeverLost(t *testing.T) {
+// The load of an adapter is delayed while deferrable requests for it arrive. Each must
+// be dispatched after the load or refused before its budget runs out; none may be lost.
+func TestDeferrableRequestsAreAllAnswered(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := epoch()
@@ -360,7 +353,7 @@
 	s.SetLoadShare(now, ggscore.LoadShare{LoadsPerSecond: 0.1, InTransit: 1})
 	answered := map[string]int{}
 	running := []ggscore.RequestID{}
-	follow := func(orders []ggscore.Order) {
+	record := func(orders []ggscore.Order) {
 		for _, o := range orders {
 			if o.Request != nil {
 				answered[string(o.Request.ID)]++
@@ -370,21 +363,21 @@
 			}
 		}
 	}
-	follow(s.Submit(now, request("first", "other")))
+	record(s.Submit(now, request("first", "other")))
 	for i := range 20 {
 		r := request(fmt.Sprintf("q%d", i), "reminders")
 		r.Priority, r.Budget, r.Deferrable = ggscore.PriorityDeferrable, 40*time.Second, 10*time.Second
-		follow(s.Submit(now, r))
+		record(s.Submit(now, r))
 	}
 	for range 200 {
 		now = now.Add(500 * time.Millisecond)
-		follow(s.LoadEnded(now, "r1", ref("other"), ggscore.EndDone))
-		follow(s.LoadEnded(now, "r1", ref("reminders"), ggscore.EndDone))
-		follow(s.Tick(now))
+		record(s.LoadEnded(now, "r1", ref("other"), ggscore.EndDone))
+		record(s.LoadEnded(now, "r1", ref("reminders"), ggscore.EndDone))
+		record(s.Tick(now))
 		if len(running) > 0 {
 			id := running[0]
 			running = running[1:]
-			follow(s.RequestEnded(now, id, ggscore.EndDone))
+			record(s.RequestEnded(now, id, ggscore.EndDone))
 		}
 	}
 	c.Assert(answered, qt.HasLen, 21)
@@ -393,9 +386,8 @@
 	}
 }
 
-// Ownership passed to another VM and came back. A report that the runner made
-// before that still shows the adapter; the other owner has evicted it since, and
-// callers would be sent to an adapter that is gone.
+// Ownership moves to another VM and back. A report from before shows an adapter that
+// the other owner may have evicted since, and requests would be dispatched to it.
 func TestReportFromBeforeOwnershipIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -414,11 +406,10 @@
 	c.Assert(orders, qt.DeepEquals, []string{"dispatch q1", "load b"})
 }
 
-// While ownership was in doubt an earlier owner's request came in on a protected
-// adapter. A report counts one run, which looks like our own request that is
-// still on its way; once ours has ended the adapter must stay until a report
-// shows it idle.
-func TestDoubtfulOwnershipPins(t *testing.T) {
+// An earlier owner's request starts on a protected adapter before the ownership is
+// full. A report counts one run, which may be an own request in flight. After the own
+// request ends, the adapter must stay until a report shows it idle.
+func TestNewOwnershipPinsAdapters(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := epoch()
@@ -440,9 +431,9 @@
 	c.Assert(kinds(s.Report(now, report("r1", "one", now, idle("a")...))), qt.DeepEquals, []string{"unload a"})
 }
 
-// A caller hangs up while its request runs, and the run then fails. Tried again
-// it would take a slot for an answer that nobody reads.
-func TestCancelledRequestIsNotTriedAgain(t *testing.T) {
+// A caller hangs up while its request runs, and the run fails. A retry would occupy a
+// slot for an answer that nobody reads.
+func TestCancelledRequestIsNotRetried(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := epoch()
@@ -455,10 +446,9 @@
 	c.Assert(orders[0].Failure.Kind, qt.Equals, ggscore.FailureCancelled)
 }
 
-// A runner fails every request at once. Without a bound one request would go
-// round for ever, and without a pause the runner, whose slots are always free,
-// would draw all others to itself.
-func TestSickRunnerIsPaused(t *testing.T) {
+// A runner fails every request at once. Unbounded retries would never end, and without
+// a pause the runner, whose slots are always free, would attract all other requests.
+func TestFailingRunnerIsPaused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := epoch()
@@ -474,11 +464,11 @@
 	c.Assert(kinds(s.Tick(s.NextTick())), qt.DeepEquals, []string{"dispatch q2"})
 }
 
-// The last runner goes while requests wait. They are told at once that they did
-// not run, instead of when their budget is over.
-func TestWaitingRequestsHearOfLostRunner(t *testing.T) {
+// The last runner is lost while requests are queued. They must be refused at once with
+// outcome notRun, not when their budget runs out.
+func TestQueuedRequestsAreRefusedWhenRunnerIsLost(t *testing.T) {
 	t.Parallel()
-	for name, lose := range map[string]func(s *ggsschedule.Scheduler, now time.Time) []ggscore.Order{
+	for name, removeRunner := range map[string]func(s *ggsschedule.Scheduler, now time.Time) []ggscore.Order{
 		"removed": func(s *ggsschedule.Scheduler, now time.Time) []ggscore.Order {
 			return s.RemoveEndpoint(now, "r1")
 		},
@@ -499,14 +489,13 @@
 			now = now.Add(time.Second)
 			s.Submit(now, request("q1", "a"))
 			c.Assert(kinds(s.Submit(now, request("q1", "a"))), qt.HasLen, 0)
-			c.Assert(kinds(lose(s, now)), qt.DeepEquals, []string{"refuse q1"})
+			c.Assert(kinds(removeRunner(s, now)), qt.DeepEquals, []string{"refuse q1"})
 		})
 	}
 }
 
-// A runner goes and takes adapters with it that are as popular as those on the
-// one that is left. Loading them ahead of demand would evict the others, whose
-// callers would have them loaded back: each load would cause the next.
+// A runner is lost with adapters as popular as those on the remaining runner. Loading
+// them ahead of demand would evict the others, which would be loaded back in turn.
 func TestRefillDoesNotThrash(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -524,9 +513,8 @@
 	c.Assert(kinds(s.RemoveEndpoint(now, "r2")), qt.HasLen, 0)
 }
 
-// A run's connection breaks, but the engine goes on with it. A report from
-// before, which shows the adapter idle, proves nothing: an eviction would pull
-// the adapter from under the run.
+// A connection breaks, but the engine continues the run. A report from before the break
+// shows the adapter idle and must not permit an eviction.
 func TestOldReportDoesNotUnpin(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -546,10 +534,10 @@
 	c.Assert(kinds(s.Report(now, report("r1", "one", now, idle("a")...))), qt.DeepEquals, []string{"unload a"})
 }
 
-// An engine's report shows an adapter for a moment after its eviction has ended.
-// Believed, it would draw requests to an adapter that is gone. One that is still
-// there later was loaded by somebody else, and takes a slot.
-func TestEvictedAdapterInReportIsDoubted(t *testing.T) {
+// A report still shows an adapter shortly after its eviction and must not attract
+// requests to it. An adapter that a later report shows was loaded by another owner and
+// takes a slot.
+func TestEvictedAdapterInLaggingReportIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := epoch()
--- a/core/ggsschedule/tables.go
+++ b/core/ggsschedule/tables.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// forgetBelow is the popularity, in arrivals a second, below which an
-	// adapter's entry may be forgotten.
-	forgetBelow = 0.0005
-	// forgetTries is the number of entries that are looked at for each new one.
-	forgetTries = 2
+	// minTrackedRate is the popularity, in arrivals a second, below which an adapter's
+	// entry may be removed.
+	minTrackedRate = 0.0005
+	// sweepsPerInsert is the number of entries that are checked for each new one.
+	sweepsPerInsert = 2
 )
 
-// A replicaState says what is known of an adapter on a runner.
+// A replicaState is the known state of an adapter on a runner.
 type replicaState int
 
 const (
-	// stateGone holds no slot. The entry stays until a newer report, so that a
-	// late report doesn't bring the adapter back.
+	// stateGone holds no adapter slot. The entry stays until a newer report arrives, so
+	// that a delayed report doesn't show the adapter as resident again.
 	stateGone replicaState = iota
 	// stateReserved waits for the slot of an adapter that is being unloaded.
 	stateReserved
 	stateLoading
 	stateResident
 	stateUnloading
-	// stateLoadUncertain: the adapter may be there, or may yet come.
+	// stateLoadUncertain means that the adapter may be resident or may still be loaded.
 	stateLoadUncertain
-	// stateUnloadUncertain: the adapter may be gone, or may yet go.
+	// stateUnloadUncertain means that the adapter may be gone or may still be unloaded.
 	stateUnloadUncertain
 )
 
-// holdsSlot reports whether the state takes up one of the runner's slots.
+// holdsSlot reports whether the state occupies one of the runner's adapter slots.
 func (t replicaState) holdsSlot() bool { return t >= stateLoading }
 
 // A replica is one adapter on one runner.
@@ -45,26 +45,26 @@
 	state    replicaState
 	// since is when the state began.
 	since time.Time
-	// used is when a request was last dispatched to it.
+	// used is when a request was last dispatched to the replica.
 	used time.Time
-	// running counts our own requests on it.
+	// running counts this owner's requests on the replica.
 	running int
-	// foreign counts runs that hold slots of the engine though none of our
-	// requests is known to be behind them.
-	foreign int
-	// pinned says that runs may go on that we don't know of. Only a report that
-	// is newer than pinnedAt and shows the adapter idle ends it.
+	// foreignRuns counts runs that occupy slots of the engine but aren't attributed to a
+	// request of this owner.
+	foreignRuns int
+	// pinned is set if runs may be active that this owner doesn't know of. Only a report
+	// that is newer than pinnedAt and shows the adapter idle clears it.
 	pinned   bool
 	pinnedAt time.Time
-	// crossed says that the engine restarted, or that the ownership was in
-	// doubt, while an order was under way.
-	crossed bool
-	// inTransit says that it counts against the weight store's limit.
+	// interrupted is set if the engine restarted, or the ownership began anew, while an
+	// order was in flight.
+	interrupted bool
+	// inTransit is set if the load counts against the weight store's limit.
 	inTransit bool
-	// successor is the reserved replica that gets this one's slot.
+	// successor is the reserved replica that gets this replica's slot.
 	successor *replica
-	// seen marks the replicas that the report at hand names.
-	seen bool
+	// reported marks the replicas that the current report names.
+	reported bool
 }
 
 // protected reports whether an earlier owner may still use the replica.
@@ -77,31 +77,31 @@
 	service  *service
 	replicas []*replica
 	running  []*job
-	// protection holds the refs that may not be evicted.
-	protection  map[ggscore.AdapterRef]bool
-	incarnation string
-	// ownedAt is when the ownership began or was last in doubt.
+	// protectedRefs holds the adapters that may not be evicted.
+	protectedRefs map[ggscore.AdapterRef]bool
+	incarnation   string
+	// ownedAt is when the ownership last began.
 	ownedAt  time.Time
 	reportAt time.Time
-	// failures counts failed runs in a row; no work is sent before openUntil.
-	failures  int
-	openUntil time.Time
-	removed   bool
-	// bound counts the waiting jobs that a baseline policy bound to it.
+	// failures counts consecutive failed runs; no request is dispatched before pausedUntil.
+	failures    int
+	pausedUntil time.Time
+	removed     bool
+	// bound counts the queued jobs that a baseline policy bound to the endpoint.
 	bound int
 }
 
-// foreign counts the slots that runs of others hold.
-func (e *endpoint) foreign() int {
+// foreignRuns counts the slots that runs of other owners occupy.
+func (e *endpoint) foreignRuns() int {
 	n := 0
 	for _, r := range e.replicas {
-		n += r.foreign
+		n += r.foreignRuns
 	}
 	return n
 }
 
-// free returns the number of free slots for requests.
-func (e *endpoint) free() int { return e.spec.Slots - len(e.running) - e.foreign() }
+// freeSlots returns the number of free slots for requests.
+func (e *endpoint) freeSlots() int { return e.spec.Slots - len(e.running) - e.foreignRuns() }
 
 // freeAdapterSlots returns the number of free slots for adapters.
 func (e *endpoint) freeAdapterSlots() int {
@@ -116,24 +116,24 @@
 
 // protects reports whether ref may not be evicted.
 func (e *endpoint) protects(ref ggscore.AdapterRef) bool {
-	return len(e.protection) > 0 && e.protection[ref]
+	return len(e.protectedRefs) > 0 && e.protectedRefs[ref]
 }
 
-// accepts reports whether new requests may go to the endpoint at all.
+// accepts reports whether new requests may be dispatched to the endpoint at all.
 func (e *endpoint) accepts(now time.Time) bool {
-	return !e.removed && !e.spec.Leaving && e.mode != ggscore.ModeNone && !now.Before(e.openUntil)
+	return !e.removed && !e.spec.Leaving && e.mode != ggscore.ModeNone && !now.Before(e.pausedUntil)
 }
 
-// serves reports whether requests for ref may go to the endpoint.
+// serves reports whether requests for ref may be dispatched to the endpoint.
 func (e *endpoint) serves(now time.Time, ref ggscore.AdapterRef) bool {
 	return e.accepts(now) && (e.mode == ggscore.ModeFull || e.protects(ref))
 }
 
-// loads reports whether adapters may be loaded on, or evicted from, the
-// endpoint. Before the first report of an ownership it isn't known what is
-// there: a load would be refused for lack of room, and an eviction could hit an
-// adapter that an earlier owner's request uses.
-func (e *endpoint) loads(now time.Time) bool {
+// allowsLoads reports whether adapters may be loaded on, or evicted from, the endpoint.
+// Before the first report of an ownership the resident adapters are unknown: the engine
+// would refuse a load for lack of room, and an eviction could hit an adapter that an
+// earlier owner's request uses.
+func (e *endpoint) allowsLoads(now time.Time) bool {
 	known := !e.reportAt.IsZero() && !e.reportAt.Before(e.ownedAt)
 	return e.accepts(now) && e.mode == ggscore.ModeFull && known
 }
@@ -148,42 +148,43 @@
 	return nil
 }
 
-// An adapter is an adapter at one version, as one service's runners serve it.
+// An adapter is an adapter at one version, as served by the runners of one service.
 type adapter struct {
 	service  *service
 	ref      ggscore.AdapterRef
 	meter    ggspopularity.Meter
 	queue    ggsqueue.Queue[*job]
 	replicas []*replica
-	// queuedSum is the sum of the waiting requests' start times, as offsets
-	// from the scheduler's epoch: their total wait comes without a loop.
+	// queuedSum is the sum of the queued requests' start times, as offsets from the
+	// scheduler's epoch. It yields their total wait without a loop.
 	queuedSum time.Duration
-	// urgent counts waiting requests that don't wait for a fuller batch.
+	// urgent counts queued requests that don't wait for a fuller batch.
 	urgent int
-	// failures counts failed loads in a row; none is tried before retryAt.
+	// failures counts consecutive failed loads; no load is ordered before retryAt.
 	failures int
 	retryAt  time.Time
 	// waiting is the position in service.waiting, or -1.
 	waiting int
-	// listed says that the adapter stands in service.refill.
-	listed bool
-	// bound counts the waiting jobs that a baseline policy bound to each
-	// endpoint, and boundCount all of them.
+	// inRefill is set if the adapter is in service.refill.
+	inRefill bool
+	// bound counts the queued jobs that a baseline policy bound to each endpoint, and
+	// boundCount counts all of them.
 	bound      map[*endpoint]int
 	boundCount int
-	// jobs counts its requests that haven't ended.
+	// jobs counts the adapter's requests that haven't ended.
 	jobs int
 }
 
-// idle reports whether nothing would be lost with the entry but a popularity
-// that has nearly faded.
+// idle reports whether removing the entry would lose nothing but a popularity below
+// minTrackedRate.
 func (a *adapter) idle(now time.Time) bool {
-	used := len(a.replicas) > 0 || a.jobs > 0 || a.listed || a.anywhere()
-	return !used && a.rate(now) < forgetBelow
+	used := len(a.replicas) > 0 || a.jobs > 0 || a.inRefill || a.needsNoReplica()
+	return !used && a.rate(now) < minTrackedRate
 }
 
-// anywhere reports whether requests need no adapter to be resident.
-func (a *adapter) anywhere() bool { return a.ref.IsZero() || a.service.kind == ggscore.KindPlain }
+// needsNoReplica reports whether requests need no resident adapter and run on any
+// endpoint.
+func (a *adapter) needsNoReplica() bool { return a.ref.IsZero() || a.service.kind == ggscore.KindPlain }
 
 // A service holds the endpoints and adapters of one service.
 type service struct {
@@ -191,70 +192,69 @@
 	kind      ggscore.ServiceKind
 	endpoints []*endpoint
 	adapters  map[ggscore.AdapterRef]*adapter
-	// known lists the adapters, and hand is the one that was last looked at.
-	known []*adapter
-	hand  int
-	// waiting lists the adapters with waiting requests.
+	// allAdapters lists the adapters; sweepIndex is the position that was checked last.
+	allAdapters []*adapter
+	sweepIndex  int
+	// waiting lists the adapters with queued requests.
 	waiting []*adapter
-	// everywhere lists the adapters whose requests run on any endpoint.
-	everywhere []*adapter
-	queued     int
-	// backlog weighs the adapters that wait for their first replica by the
-	// inverse of their patience, as of countedAt and with those that came since.
+	// noReplicaNeeded lists the adapters whose requests run on any endpoint.
+	noReplicaNeeded []*adapter
+	queued          int
+	// backlog is the sum of the inverse wait targets of the adapters that wait for their
+	// first replica. It was counted at backlogAt and includes those added since.
 	backlog   float64
-	countedAt time.Time
-	// loadRate is the predicted rate of loads, as of countedAt; loads is the
-	// decayed number of loads that were begun, as of loadsAt.
-	loadRate float64
-	loads    float64
-	loadsAt  time.Time
-	// standingAt is since when the queue for loads is longer than patience.
-	standingAt time.Time
-	// drift notices shifts of popularity; evicted is the mean popularity of
-	// the adapters that were evicted lately.
+	backlogAt time.Time
+	// loadRate is the predicted rate of loads at backlogAt. loadCount is the decayed number
+	// of loads that were started, as of loadCountAt.
+	loadRate    float64
+	loadCount   float64
+	loadCountAt time.Time
+	// standingSince is when the load queue began to exceed the wait target.
+	standingSince time.Time
+	// drift detects shifts of popularity. evicted is the mean popularity of recently
+	// evicted adapters.
 	drift   ggspopularity.Drift
 	evicted float64
-	// refill lists adapters that a restart took from a runner.
+	// refill lists adapters that a restart or a removal took from a runner.
 	refill []*adapter
-	// runTime is the mean time of a run, zero while unknown.
+	// runTime is the mean time of a run, or zero while unknown.
 	runTime time.Duration
 }
 
-// adapter returns the entry of ref. It makes one if need be. Beyond limit
-// entries each new one makes two old ones be looked at, and forgotten if idle:
-// 200,000 adapters that are each asked for once a day would otherwise fill the
-// memory.
+// adapter returns the entry of ref and creates it if needed. Beyond limit entries, each
+// new entry causes sweepsPerInsert old ones to be checked and removed if idle.
+// Otherwise 200,000 adapters that are each requested once a day would fill the memory.
 func (v *service) adapter(now time.Time, ref ggscore.AdapterRef, limit int) *adapter {
 	if a := v.adapters[ref]; a != nil {
 		return a
 	}
-	for range forgetTries {
-		v.forgetIdle(now, limit)
+	for range sweepsPerInsert {
+		v.sweepIdle(now, limit)
 	}
 	a := &adapter{service: v, ref: ref, waiting: -1}
 	v.adapters[ref] = a
-	v.known = append(v.known, a)
-	if a.anywhere() {
-		v.everywhere = append(v.everywhere, a)
+	v.allAdapters = append(v.allAdapters, a)
+	if a.needsNoReplica() {
+		v.noReplicaNeeded = append(v.noReplicaNeeded, a)
 	}
 	return a
 }
 
-// forgetIdle looks at the next known adapter, and forgets it if it is idle.
-func (v *service) forgetIdle(now time.Time, limit int) {
-	n := len(v.known)
+// sweepIdle checks the next entry and removes it if it is idle.
+func (v *service) sweepIdle(now time.Time, limit int) {
+	n := len(v.allAdapters)
 	if n <= limit {
 		return
 	}
-	v.hand = (v.hand + 1) % n
-	a := v.known[v.hand]
+	v.sweepIndex = (v.sweepIndex + 1) % n
+	a := v.allAdapters[v.sweepIndex]
 	if !a.idle(now) {
 		return
 	}
 	delete(v.adapters, a.ref)
-	v.known[v.hand] = v.known[n-1]
-	v.known[n-1] = nil
-	v.known = v.known[:n-1]
+	v.allAdapters[v.sweepIndex] = v.allAdapters[n-1]
+	v.allAdapters[n-1] = nil
+	v.allAdapters = v.allAdapters[:n-1]
 }
 
 // A job is one request that was submitted and hasn't ended.
@@ -266,16 +266,16 @@
 	endpoint *endpoint
 	// bound is the only endpoint that a baseline policy allows.
 	bound *endpoint
-	// queuedAt is when the wait began; due ends the wait for a fuller batch.
-	queuedAt  time.Time
-	due       time.Time
-	deadline  time.Time
-	startedAt time.Time
-	// patience is the wait for a load that it is worth, zero until it is asked.
-	patience  time.Duration
-	gathering bool
-	cancelled bool
-	// dispatches counts the runs that were tried.
+	// queuedAt is when the wait began; batchUntil ends the wait for a fuller batch.
+	queuedAt   time.Time
+	batchUntil time.Time
+	deadline   time.Time
+	startedAt  time.Time
+	// waitTarget is the acceptable wait for a load, or zero until it is computed.
+	waitTarget time.Duration
+	batching   bool
+	cancelled  bool
+	// dispatches counts the dispatch attempts.
 	dispatches int
 	// position is the index in endpoint.running.
 	position int
@@ -285,7 +285,7 @@
 	next    *job
 }
 
-// A timers is a heap of waiting jobs by the time of their next timer.
+// A timers is a heap of queued jobs ordered by timerAt.
 type timers []*job
 
 var _ heap.Interface = (*timers)(nil)
