--- a/core/ggsschedule/dispatch.go
+++ b/core/ggsschedule/dispatch.go
@@ -114,8 +114,8 @@
 	return best
 }
 
-// route returns the endpoint with the most free slots on which a job can run at once,
-// or nil.
+// route returns the endpoint with the most free slots on which a job can run at once, or nil.
+// That endpoint is the last to run out of slots.
 func (s *Scheduler) route(now time.Time, j *job) (*endpoint, *replica) {
 	a := j.adapter
 	var best *endpoint
