--- a/core/ggsclaim/claim.go
+++ b/core/ggsclaim/claim.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// A State says how far a claim has come.
+// A State is the state of a claim.
 type State uint8
 
 // The states of claims.
 const (
-	// StateClaimed means that the claim's holder may dispatch or have
-	// dispatched.
+	// StateClaimed means that the holder of the claim may dispatch or may have dispatched.
 	StateClaimed State = iota + 1
-	// StateReleased means that the request provably did not run; the key may
-	// be claimed again with the same body.
+	// StateReleased means that the request provably did not run. The key may be claimed
+	// again with the same body.
 	StateReleased
 	// StateDone means that the request ran.
 	StateDone
@@ -22,16 +21,17 @@
 	StateUnknown
 )
 
-// A Result is the answer that a done claim keeps for repeats.
+// A Result is the response that a done claim stores for repeated requests.
 type Result struct {
 	Status      int
 	ContentType string
-	// Kept says that Body is the whole answer; else it was too large to keep.
+	// Kept is set if Body is the whole response. Otherwise the response was too large to
+	// store.
 	Kept bool
 	Body []byte
 }
 
-// A Claim is what is recorded of a key.
+// A Claim is the record of an idempotency key.
 type Claim struct {
 	ID     ClaimID
 	Body   BodyHash
@@ -40,7 +40,7 @@
 	Result Result
 }
 
-// claimBytes bounds a claim's size without its answer.
+// claimBytes bounds a claim's size without its response.
 const claimBytes = 96
 
 func (c Claim) bytes() int {
@@ -49,9 +49,9 @@
 
 // A Shard holds the claims of one slot. It is immutable once shared.
 type Shard struct {
-	Claims map[KeyHash]Claim
-	size   int
-	bodies int
+	Claims    map[KeyHash]Claim
+	size      int
+	bodyBytes int
 }
 
 // NewShard returns a shard of claims.
@@ -59,7 +59,7 @@
 	s := Shard{Claims: claims}
 	for _, c := range claims {
 		s.size += c.bytes()
-		s.bodies += len(c.Result.Body)
+		s.bodyBytes += len(c.Result.Body)
 	}
 	return s
 }
@@ -75,9 +75,9 @@
 func (s *Shard) set(k KeyHash, c Claim) {
 	if old, ok := s.Claims[k]; ok {
 		s.size -= old.bytes()
-		s.bodies -= len(old.Result.Body)
+		s.bodyBytes -= len(old.Result.Body)
 	}
 	s.Claims[k] = c
 	s.size += c.bytes()
-	s.bodies += len(c.Result.Body)
+	s.bodyBytes += len(c.Result.Body)
 }
--- a/core/ggsclaim/decision.go
+++ b/core/ggsclaim/decision.go
@@ -8,29 +8,30 @@
 	ggscore "greengageslip/core"
 )
 
-// A DecisionKind says what is to become of a request.
+// A DecisionKind is the kind of a decision on an operation.
 type DecisionKind int
 
 // The kinds of decisions.
 const (
-	// DecisionGranted allows the one dispatch, before Grant.Before.
+	// DecisionGranted allows a single dispatch, before Grant.Before.
 	DecisionGranted DecisionKind = iota + 1
-	// DecisionReplay gives the recorded outcome: State is done or unknown.
+	// DecisionReplay returns the recorded outcome: State is StateDone or StateUnknown.
 	DecisionReplay
 	// DecisionInProgress means that another attempt holds the key.
 	DecisionInProgress
-	// DecisionReused means that the key came with another body before.
+	// DecisionReused means that the key was used before with another body.
 	DecisionReused
-	// DecisionExpired means that the key is too old to know what became of it.
+	// DecisionExpired means that the key is past its retention, so an earlier outcome may
+	// be deleted.
 	DecisionExpired
-	// DecisionAway means that the platform's service could not be asked; this
-	// sending of the request is not dispatched.
+	// DecisionAway means that the platform's key-value service was unavailable. This
+	// attempt of the request is not dispatched.
 	DecisionAway
 	// DecisionFull means that the key is not claimed and its shard is full.
 	DecisionFull
-	// DecisionRecorded answers Finish: the outcome is recorded.
+	// DecisionRecorded is the answer to Finish if the outcome is recorded.
 	DecisionRecorded
-	// DecisionGone answers Finish: the claim no longer stands.
+	// DecisionGone is the answer to Finish if the claim is not recorded any more.
 	DecisionGone
 )
 
@@ -38,14 +39,14 @@
 type Grant struct {
 	Key Key
 	ID  ClaimID
-	// Before is when the right ends, on the granting process's clock. It is
-	// carried with every internal copy of the request, so that a late copy
-	// can't outlive the key.
+	// Before is when the right ends, on the clock of the granting process. It is sent with
+	// every internal copy of the request, so that a late copy can't be dispatched after the
+	// key expires.
 	Before time.Time
 }
 
-// ParseGrant reads the text of a claim's identifier, which any process may
-// hand back to record the outcome. Before is not part of it. A failure is a
+// ParseGrant parses the text of a claim identifier. Any process may use the grant to
+// record the outcome. The text doesn't contain Before. ParseGrant fails with a
 // *BadClaimIDError.
 func ParseGrant(id ggscore.ClaimID) (Grant, error) {
 	b, err := base64.RawURLEncoding.DecodeString(string(id))
@@ -59,37 +60,36 @@
 	return g, nil
 }
 
-// Text returns the claim's identifier.
+// Text returns the claim identifier in text form.
 func (g Grant) Text() ggscore.ClaimID {
 	b := append(g.Key.Hash[:], g.ID[:]...)
 	b = binary.BigEndian.AppendUint64(b, uint64(g.Key.Issued.UnixMilli()))
 	return ggscore.ClaimID(base64.RawURLEncoding.EncodeToString(b))
 }
 
-// A Decision answers an operation.
+// A Decision is the answer to an operation.
 type Decision struct {
 	Kind   DecisionKind
 	Grant  Grant
 	State  State
 	Result Result
-	// Seen is set with DecisionAway where the key was claimed before.
+	// Seen is set with DecisionAway if the key is known to have been claimed before.
 	Seen bool
-	// RetryAfter is set with DecisionAway, DecisionFull and
-	// DecisionInProgress.
+	// RetryAfter is set with DecisionAway, DecisionFull and DecisionInProgress.
 	RetryAfter time.Duration
 }
 
-// grantBytes is the length of a grant's text before encoding: key, claim and
-// issue time.
+// grantBytes is the length of a grant's text before encoding: key hash, claim
+// identifier and issue time.
 const grantBytes = 2*hashBytes + 8
 
-// retryAfter is what callers are told where no better time is known.
+// retryAfter is returned to callers if no better estimate is known.
 const retryAfter = time.Second
 
-// Failure returns the failure to answer with, or nil where the request may be
-// dispatched or an answer replayed. firstSend is the caller's word that it
-// never sent the key before: without it, an earlier sending may have run while
-// the platform's service is away, and "not run" is not proved.
+// Failure returns the failure to send to the caller, or nil if the request may be
+// dispatched or a response replayed. firstSend is the caller's assertion that it never
+// sent the key before. Without it, an earlier attempt may have run while the platform's
+// key-value service is unavailable, and the outcome notRun is not proved.
 func (d Decision) Failure(firstSend bool) *ggscore.Failure {
 	switch d.Kind {
 	case DecisionReplay:
@@ -98,42 +98,42 @@
 		}
 		return &ggscore.Failure{
 			Kind: ggscore.FailureBroken, Outcome: ggscore.OutcomeUnknown,
-			Detail: "an earlier sending of this key may have run",
+			Detail: "an earlier attempt with this idempotency key may have run",
 		}
 	case DecisionInProgress:
 		return &ggscore.Failure{
 			Kind: ggscore.FailureKeyInUse, Outcome: ggscore.OutcomeUnknown,
-			Detail: "an earlier sending of this key is in progress", RetryAfter: d.RetryAfter,
+			Detail: "an earlier attempt with this idempotency key is in progress", RetryAfter: d.RetryAfter,
 		}
 	case DecisionReused:
 		return &ggscore.Failure{
 			Kind: ggscore.FailureKeyReused, Outcome: ggscore.OutcomeNotRun,
-			Detail: "the key belongs to another request body",
+			Detail: "the idempotency key was used with another request body",
 		}
 	case DecisionExpired:
 		return &ggscore.Failure{
 			Kind: ggscore.FailureKeyExpired, Outcome: ggscore.OutcomeUnknown,
-			Detail: "the key is older than keys are kept",
+			Detail: "the idempotency key is older than the retention period",
 		}
 	case DecisionAway:
-		return awayFailure(d, firstSend)
+		return unavailableFailure(d, firstSend)
 	case DecisionFull:
 		return &ggscore.Failure{
 			Kind: ggscore.FailureNoCapacity, Outcome: ggscore.OutcomeNotRun,
-			Detail: "too many keys of this minute", RetryAfter: d.RetryAfter,
+			Detail: "the claim shard for this minute of issue is full", RetryAfter: d.RetryAfter,
 		}
 	case DecisionGranted, DecisionRecorded, DecisionGone:
 	}
 	return nil
 }
 
-func awayFailure(d Decision, firstSend bool) *ggscore.Failure {
+func unavailableFailure(d Decision, firstSend bool) *ggscore.Failure {
 	o := ggscore.OutcomeUnknown
 	if firstSend && !d.Seen {
 		o = ggscore.OutcomeNotRun
 	}
 	return &ggscore.Failure{
 		Kind: ggscore.FailurePlatformAway, Outcome: o,
-		Detail: "the key can't be claimed now; this sending was not dispatched", RetryAfter: d.RetryAfter,
+		Detail: "the idempotency key can't be claimed now; this attempt was not dispatched", RetryAfter: d.RetryAfter,
 	}
 }
--- a/core/ggsclaim/doc.go
+++ b/core/ggsclaim/doc.go
@@ -1,10 +1,14 @@
 // Package ggsclaim decides whether a non-idempotent request may be dispatched.
 //
-// A claim of the request's key is recorded in the platform's key-value service
-// before the one dispatch. Claims are kept in shards: the key's issue time
-// picks the epoch and its hash the shard, so that every process of every region
-// looks for a key in the same place. Safety rests on compare-and-swap alone:
-// only the attempt whose claim identifier stands in the shard may dispatch.
+// The inputs are idempotency keys with the hash of the request body, the outcomes of
+// dispatches, and the results of reads and writes of the key-value service. The outputs
+// are decisions on operations and the next read or write to perform.
+//
+// A claim of the request's key is recorded in the platform's key-value service before
+// the request is dispatched, at most once. Claims are stored in shards: the key's issue
+// time selects the epoch and its hash selects the shard, so every process in every
+// region reads a key from the same place. Safety relies on compare-and-swap alone: only
+// the attempt whose claim identifier is recorded in the shard may dispatch.
 //
 // # Usage
 //
@@ -18,7 +22,8 @@
 //		// s.Decision answers the operation s.Op
 //	}
 //
-// A Writer serves one shard in one process and gathers all that arrives while
-// a write is in flight into the next write. The caller performs the I/O and
-// reports back; the package holds no clock, no goroutine and no lock.
+// A Writer serves one shard in one process. It batches all operations that arrive while
+// a write is in flight into the next write. The caller performs the I/O and reports the
+// result. The package has no clock, no goroutine and no lock: the caller must serialize
+// the calls to a Writer.
 package ggsclaim
--- a/core/ggsclaim/key.go
+++ b/core/ggsclaim/key.go
@@ -11,12 +11,12 @@
 	ggscore "greengageslip/core"
 )
 
-// Shards is the number of shards of an epoch. It decides where a key is looked
-// for, so that all processes must agree on it: it is no setting.
+// Shards is the number of shards of an epoch. It determines where a key is stored, so
+// all processes must agree on it and it is not configurable.
 const Shards = 16
 
-// EpochLength is the span of issue times that share an epoch. Like Shards it
-// is no setting.
+// EpochLength is the span of issue times that share an epoch. Like Shards it is not
+// configurable.
 const EpochLength = time.Minute
 
 const (
@@ -32,17 +32,17 @@
 	uuidDashOffset = "\x08\x0d\x12\x17"
 )
 
-// A KeyHash identifies a market's key. Two keys with one hash would share a
-// claim, which refuses the second: a collision never runs a request twice.
+// A KeyHash identifies a key of a market. Two keys with the same hash share a claim, so
+// a collision refuses the second key and never runs a request twice.
 type KeyHash [hashBytes]byte
 
-// A BodyHash identifies the body that came with a key.
+// A BodyHash identifies the request body that was sent with a key.
 type BodyHash [hashBytes]byte
 
-// A ClaimID names one attempt to claim a key. It is unique for ever.
+// A ClaimID identifies one attempt to claim a key. It is globally unique.
 type ClaimID [hashBytes]byte
 
-// A Slot names a shard of an epoch.
+// A Slot identifies a shard of an epoch.
 type Slot struct {
 	Epoch int64
 	Shard int
@@ -54,9 +54,9 @@
 	Issued time.Time
 }
 
-// ParseKey reads the issue time out of a key's text, so that a repeat can't
-// name another time and be looked for elsewhere. Where the text has none,
-// issued stands in and becomes part of the key. A failure is a *BadKeyError.
+// ParseKey parses the issue time from the text of a key. A repeated request then can't
+// state another time, which would select another shard. If the text has no issue time,
+// issued is used and becomes part of the key. ParseKey fails with a *BadKeyError.
 func ParseKey(m ggscore.Market, k ggscore.IdempotencyKey, issued time.Time) (Key, error) {
 	if id, ok := parseUUID(string(k)); ok {
 		return Key{Hash: hashKey(m, string(id[:])), Issued: uuidTime(id)}, nil
@@ -84,7 +84,7 @@
 	return Key{Hash: hashKey(m, string(k)), Issued: time.Unix(int64(n), 0)}, nil
 }
 
-// Slot returns the place of k's claim.
+// Slot returns the shard that stores k's claim.
 func (k Key) Slot() Slot {
 	return Slot{
 		Epoch: k.Issued.UnixMilli() / EpochLength.Milliseconds(),
@@ -92,7 +92,7 @@
 	}
 }
 
-// HashBody shortens the digest of a request's body and operation.
+// HashBody truncates the digest of a request's body and operation.
 func HashBody(d ggscore.Digest) BodyHash { return BodyHash(d[:hashBytes]) }
 
 func hashKey(m ggscore.Market, text string) KeyHash {
--- a/core/ggsclaim/limits.go
+++ b/core/ggsclaim/limits.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Limits bound what claims keep and for how long.
+// Limits bound the size and the lifetime of claims.
 type Limits struct {
 	// Retention is how long a key is kept after its issue.
 	Retention time.Duration
-	// Margin is the difference that wall clocks of our VMs may have. Keys are
-	// taken until Retention less Margin after their issue, and epochs are
-	// deleted when all their keys are older than Retention and Margin: a VM
-	// whose clock is slow can't grant a key that a VM whose clock is fast has
-	// already forgotten.
+	// Margin is the maximum difference between the wall clocks of VMs. Keys are granted
+	// until Retention minus Margin after their issue, and epochs are deleted when all their
+	// keys are older than Retention plus Margin. A VM with a slow clock therefore can't
+	// grant a key that a VM with a fast clock has already deleted.
 	Margin time.Duration
-	// InProgress is how long a claim counts as running. It exceeds every
-	// request's deadline; later its outcome is unknown.
+	// InProgress is how long a claim counts as in progress. It exceeds every request's
+	// deadline. Later the outcome counts as unknown.
 	InProgress time.Duration
-	// ShardBytes bounds a shard's value.
+	// ShardBytes bounds the size of a shard's value.
 	ShardBytes int
-	// BodyBytes is the largest answer that is kept with an outcome.
+	// BodyBytes is the largest response that is stored with an outcome.
 	BodyBytes int
-	// BodyBudgetBytes bounds the answers that a shard keeps.
+	// BodyBudgetBytes bounds the total size of the responses in a shard.
 	BodyBudgetBytes int
 }
 
-// DefaultLimits returns the limits for a retention, with room below the
-// platform's largest value of 1 MB.
+// DefaultLimits returns the limits for a retention. ShardBytes leaves room below the
+// platform's maximum value size of 1 MB.
 func DefaultLimits(retention time.Duration) Limits {
 	return Limits{
 		Retention:       retention,
@@ -36,7 +35,7 @@
 	}
 }
 
-// Epochs returns how many epochs hold keys at once, at most.
+// Epochs returns the maximum number of epochs that hold keys at the same time.
 func (l Limits) Epochs() int {
 	return int((l.Retention+3*l.Margin)/EpochLength) + 2
 }
@@ -46,7 +45,7 @@
 	return !now.Before(l.GrantBefore(issued))
 }
 
-// GrantBefore returns the time up to which a key may be granted.
+// GrantBefore returns the time until which a key may be granted.
 func (l Limits) GrantBefore(issued time.Time) time.Time {
 	return issued.Add(l.Retention - l.Margin)
 }
@@ -57,7 +56,7 @@
 	return now.After(end.Add(l.Retention + l.Margin))
 }
 
-// StateBytes returns the most that all shards can hold in the platform's
+// StateBytes returns the maximum size of all shards in the platform's key-value
 // service.
 func (l Limits) StateBytes() int64 {
 	return int64(l.Epochs()) * Shards * int64(l.ShardBytes)
--- a/core/ggsclaim/model_test.go
+++ b/core/ggsclaim/model_test.go
@@ -8,7 +8,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// input is an operation on a key: a claim, or the record of finish.
+// input is an operation on a key: a claim, or the record of the outcome finish.
 type input struct {
 	key    KeyHash
 	claim  ClaimID
@@ -16,20 +16,20 @@
 	finish State
 }
 
-// output is its answer; the zero value stands for "none came".
+// output is the answer to an operation; the zero value means that no answer arrived.
 type output struct {
 	kind  DecisionKind
 	state State
 }
 
-// register is what is agreed of one key; the zero value is a free one.
+// register is the state of one key; the zero value is an unclaimed key.
 type register struct {
 	state State
 	claim ClaimID
 	body  BodyHash
 }
 
-// model is the at-most-once register that the claims of a key have to be.
+// model is the at-most-once register that the claims of a key must implement.
 func model() porcupine.Model {
 	m := porcupine.NondeterministicModel{
 		Partition: partition,
@@ -94,8 +94,8 @@
 	open := mine && (r.state == StateClaimed || r.state == StateUnknown)
 	ended := register{state: i.finish, claim: r.claim, body: r.body}
 	switch {
-	// "Gone" answers as well a record whose write took effect with its answer
-	// lost, and after which the key was claimed anew.
+	// DecisionGone is also the answer to a record whose write took effect, if the answer
+	// was lost and the key was claimed again afterwards.
 	case (o.kind == DecisionRecorded || o.kind == DecisionGone) && open:
 		return []any{ended}
 	case o.kind == DecisionRecorded && mine, o.kind == DecisionGone && !mine:
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// print writes the history for a reader: one operation a line.
+// print formats the history with one operation a line.
 func (w *world) print() string {
 	var b strings.Builder
 	for _, o := range w.history {
--- a/core/ggsclaim/world_test.go
+++ b/core/ggsclaim/world_test.go
@@ -16,13 +16,13 @@
 	prev ggscore.StoreRevision
 }
 
-// process is a Writer with the I/O that it has in flight.
+// process is a Writer with its I/O in flight.
 type process struct {
 	writer *Writer
 	step   Step
 }
 
-// attempt is one sending of a request, or the record of an outcome.
+// attempt is one attempt of a request, or the record of an outcome.
 type attempt struct {
 	in       input
 	process  int
@@ -31,8 +31,8 @@
 	grant    Grant
 }
 
-// world holds one shard of the platform's service and the processes that
-// claim keys in it. Every action is one event, so that a seed replays.
+// world simulates one shard of the platform's key-value service and the processes that
+// claim keys in it. Every action is one event, so a seed reproduces a run.
 type world struct {
 	now       time.Time
 	limits    Limits
@@ -89,8 +89,8 @@
 	w.processes[p].writer.Finish(w.lastOp, a.grant, s, Result{}, w.now)
 }
 
-// start takes a process's next I/O if it has none in flight.
-func (w *world) start(p int) {
+// startIO starts a process's next I/O if it has none in flight.
+func (w *world) startIO(p int) {
 	pr := w.processes[p]
 	if pr.step.Kind == StepIdle {
 		pr.step = pr.writer.Next(w.now)
@@ -98,7 +98,7 @@
 	w.collect(p)
 }
 
-// The ends of I/O that a test may choose.
+// The results of I/O that a test may choose.
 const (
 	endAnswered = iota
 	endLostAfterEffect
@@ -106,8 +106,8 @@
 	endAway
 )
 
-// end finishes a process's I/O.
-func (w *world) end(p, how int) {
+// finishIO finishes a process's I/O.
+func (w *world) finishIO(p, how int) {
 	pr := w.processes[p]
 	step := pr.step
 	pr.step = Step{}
@@ -141,8 +141,8 @@
 	return true
 }
 
-// land lets a delayed write reach the service.
-func (w *world) land(i int) {
+// applyDelayed lets a delayed write reach the service.
+func (w *world) applyDelayed(i int) {
 	d := w.delayed[i]
 	w.delayed = append(w.delayed[:i:i], w.delayed[i+1:]...)
 	w.put(d.next, d.prev)
@@ -164,13 +164,13 @@
 	w.history = append(w.history, porcupine.Operation{
 		Input: a.in, Call: a.call, Output: output{kind: d.Kind, state: d.State}, Return: w.tick(),
 	})
-	// A claim that was given up may be released at any time from now on.
+	// From now on an abandoned claim may be released at any time.
 	if d.Kind == DecisionAway {
-		w.mayRelease(a)
+		w.recordPossibleRelease(a)
 	}
 }
 
-func (w *world) mayRelease(a *attempt) {
+func (w *world) recordPossibleRelease(a *attempt) {
 	in := input{key: a.in.key, claim: a.in.claim, finish: StateReleased}
 	w.history = append(w.history, porcupine.Operation{Input: in, Call: w.tick(), Output: output{}, Return: 1 << 60})
 }
@@ -181,7 +181,7 @@
 	w.answer(a, Decision{Kind: DecisionAway})
 }
 
-// crash forgets all that a process knew; its write may still land.
+// crash discards the state of a process; its write may still take effect.
 func (w *world) crash(p int) {
 	pr := w.processes[p]
 	if pr.step.Kind == StepWrite {
@@ -190,26 +190,27 @@
 	w.processes[p] = &process{writer: NewWriter(w.limits)}
 	for _, a := range w.attempts {
 		if a.process == p && !a.answered {
-			w.lose(a)
+			w.recordLost(a)
 		}
 	}
 }
 
-// lose ends an attempt without an answer: it may have had effect, or will.
-func (w *world) lose(a *attempt) {
+// recordLost ends an attempt without an answer: it may have taken effect or may still
+// do so.
+func (w *world) recordLost(a *attempt) {
 	a.answered = true
 	w.history = append(w.history, porcupine.Operation{Input: a.in, Call: a.call, Output: output{}, Return: 1 << 60})
 }
 
-func (w *world) loseRest() {
+func (w *world) recordAllLost() {
 	for _, a := range w.attempts {
 		if !a.answered {
-			w.lose(a)
+			w.recordLost(a)
 		}
 	}
 }
 
-// dispatch runs the request of a grant, or hands the grant back unused.
+// dispatch runs the request of a grant, or releases the grant unused.
 func (w *world) dispatch(t *rapid.T, i int, run bool) {
 	a := w.granted[i]
 	w.granted = append(w.granted[:i:i], w.granted[i+1:]...)
@@ -224,7 +225,7 @@
 	w.running = append(w.running, a)
 }
 
-// pick draws one of n things to do, where there are any.
+// pick draws one of n actions, if there are any.
 func pick(t *rapid.T, n int, do func(int)) {
 	if n > 0 {
 		do(rapid.IntRange(0, n-1).Draw(t, "pick"))
--- a/core/ggsclaim/writer.go
+++ b/core/ggsclaim/writer.go
@@ -6,43 +6,43 @@
 	ggscore "greengageslip/core"
 )
 
-// An OpID names an operation of a Writer. The caller numbers them.
+// An OpID identifies an operation of a Writer. The caller assigns it.
 type OpID uint64
 
-// A StepKind says what I/O a Writer wants.
+// A StepKind is the kind of I/O that a Writer needs.
 type StepKind int
 
 // The kinds of steps.
 const (
-	// StepIdle wants none.
+	// StepIdle needs no I/O.
 	StepIdle StepKind = iota
-	// StepRead wants the shard read.
+	// StepRead needs the shard to be read.
 	StepRead
-	// StepWrite wants Next put at revision Prev.
+	// StepWrite needs Next to be written by compare-and-swap on revision Prev.
 	StepWrite
 )
 
-// A Step is the next I/O that a Writer wants.
+// A Step is the next I/O that a Writer needs.
 type Step struct {
 	Kind StepKind
 	Next Shard
 	Prev ggscore.StoreRevision
 }
 
-// A WriteResult says how a write ended.
+// A WriteResult is the result of a write.
 type WriteResult int
 
-// The ends of writes.
+// The results of writes.
 const (
-	// WriteOK means that it took effect.
+	// WriteOK means that the write took effect.
 	WriteOK WriteResult = iota
-	// WriteConflict means that it met another revision and had no effect.
+	// WriteConflict means that the shard had another revision and the write had no effect.
 	WriteConflict
-	// WriteAmbiguous means that it may have taken effect or may yet do so.
+	// WriteAmbiguous means that the write may have taken effect or may still do so.
 	WriteAmbiguous
 )
 
-// A Settlement is an operation's answer.
+// A Settlement is the answer to an operation.
 type Settlement struct {
 	Op       OpID
 	Decision Decision
@@ -50,19 +50,19 @@
 
 type operation struct {
 	id OpID
-	// finish is the state to record; zero claims the key.
+	// finish is the state to record. Zero means that the operation claims the key.
 	finish State
 	result Result
 	key    Key
 	body   BodyHash
 	claim  ClaimID
 	at     time.Time
-	// mayStand is set once a write with the claim may have taken effect.
-	mayStand  bool
-	abandoned bool
-	reading   bool
-	fresh     bool
-	decision  Decision
+	// maybeWritten is set once a write with the claim may have taken effect.
+	maybeWritten bool
+	abandoned    bool
+	reading      bool
+	read         bool
+	decision     Decision
 }
 
 // A Writer serves one shard in one process. One I/O is in flight at a time.
@@ -70,33 +70,33 @@
 	limits   Limits
 	shard    Shard
 	revision ggscore.StoreRevision
-	known    bool
+	cached   bool
 	pending  []*operation
 	inFlight []*operation
 	next     Shard
 	writing  bool
-	// doubt is the revision on which an ambiguous write stands that may still
-	// take effect.
-	doubt   ggscore.StoreRevision
-	inDoubt bool
-	settled []Settlement
+	// ambiguousRevision is the revision on which an ambiguous write, which may still take
+	// effect, is based.
+	ambiguousRevision ggscore.StoreRevision
+	ambiguous         bool
+	settled           []Settlement
 }
 
-// NewWriter returns a Writer that knows nothing of its shard yet.
+// NewWriter returns a Writer that has not read its shard yet.
 func NewWriter(l Limits) *Writer { return &Writer{limits: l} }
 
-// Away reports that a read or write had no effect, since the platform's
-// service did not take it, or that a read failed. Claims are answered at once,
-// by Recall, and not dispatched; outcomes stay for a later try.
+// Away reports that a read failed, or that a write had no effect because the platform's
+// key-value service did not accept it. Claims are answered at once by Recall and not
+// dispatched. Outcomes stay pending and are retried.
 func (w *Writer) Away(retryAfter time.Duration) {
 	w.requeue()
-	w.known = false
+	w.cached = false
 	kept := w.pending[:0]
 	for _, o := range w.pending {
 		o.reading = false
 		if o.finish == 0 {
 			w.settle(o, w.Recall(o.key, o.body, retryAfter))
-			if !o.mayStand {
+			if !o.maybeWritten {
 				continue
 			}
 			o.release()
@@ -106,13 +106,14 @@
 	w.pending = kept
 }
 
-// Begin adds a claim of k with an identifier of its own.
+// Begin adds an operation that claims k with the unique identifier c.
 func (w *Writer) Begin(id OpID, k Key, b BodyHash, c ClaimID, now time.Time) {
 	w.pending = append(w.pending, &operation{id: id, key: k, body: b, claim: c, at: now})
 }
 
-// Cancel gives an operation up: it is not answered any more. A claim that may
-// stand already is released as soon as the platform's service allows.
+// Cancel abandons an operation, which gets no answer any more. A claim that may be
+// recorded already is released as soon as the platform's key-value service is
+// available.
 func (w *Writer) Cancel(id OpID) {
 	for _, o := range w.inFlight {
 		if o.id == id {
@@ -122,7 +123,7 @@
 	kept := w.pending[:0]
 	for _, o := range w.pending {
 		if o.id == id && o.finish == 0 {
-			if !o.mayStand {
+			if !o.maybeWritten {
 				continue
 			}
 			o.release()
@@ -132,8 +133,8 @@
 	w.pending = kept
 }
 
-// Finish adds the outcome of the claim's one dispatch: StateDone, StateUnknown
-// or, where it is proved that the request did not run, StateReleased.
+// Finish adds the outcome of the claim's dispatch: StateDone, StateUnknown, or
+// StateReleased if it is proved that the request did not run.
 func (w *Writer) Finish(id OpID, g Grant, s State, r Result, now time.Time) {
 	if !r.Kept || len(r.Body) > w.limits.BodyBytes {
 		r.Kept = false
@@ -142,52 +143,51 @@
 	w.pending = append(w.pending, &operation{id: id, finish: s, result: r, key: g.Key, claim: g.ID, at: now})
 }
 
-// Len returns the number of operations that wait.
+// Len returns the number of pending operations, including those in flight.
 func (w *Writer) Len() int { return len(w.pending) + len(w.inFlight) }
 
-// Next returns the I/O to do now. It is called when none is in flight.
+// Next returns the I/O to perform now. It must be called only when no I/O is in flight.
 func (w *Writer) Next(now time.Time) Step {
 	if w.writing || len(w.pending) == 0 {
 		return Step{}
 	}
-	if !w.known {
+	if !w.cached {
 		return w.read()
 	}
 	next, changed := w.apply(now)
-	// An ambiguous write on the present revision may land at any time. Any
-	// write on that revision that succeeds shuts it out, also one that
-	// changes nothing; without it a claim given up could appear later and
-	// stand until it expires.
-	if changed || (w.inDoubt && w.doubt == w.revision) {
+	// An ambiguous write based on the present revision may take effect at any time. Any
+	// successful write on that revision excludes it, even one that changes nothing. Without
+	// such a write, an abandoned claim could be recorded later and stay until it expires.
+	if changed || (w.ambiguous && w.ambiguousRevision == w.revision) {
 		w.next, w.writing = next, true
 		w.inFlight, w.pending = w.pending, nil
 		return Step{Kind: StepWrite, Next: next, Prev: w.revision}
 	}
-	if !w.allFresh() {
+	if !w.allRead() {
 		return w.read()
 	}
 	for _, o := range w.pending {
-		w.conclude(now, o)
+		w.answer(now, o)
 	}
 	w.pending = nil
 	return Step{}
 }
 
-// ReadDone reports the shard as read.
+// ReadDone reports the shard and its revision after a read.
 func (w *Writer) ReadDone(s Shard, r ggscore.StoreRevision) {
-	w.shard, w.revision, w.known = s, r, true
-	if w.doubt != r {
-		w.inDoubt = false
+	w.shard, w.revision, w.cached = s, r, true
+	if w.ambiguousRevision != r {
+		w.ambiguous = false
 	}
 	for _, o := range w.pending {
-		o.fresh = o.fresh || o.reading
+		o.read = o.read || o.reading
 		o.reading = false
 	}
 }
 
-// Recall decides on a key while the platform's service is away, from what was
-// last known of the shard: a recorded answer stays true. Any other claim may
-// have changed since, so that the key is only known to have been sent before.
+// Recall decides on a key from the last known shard while the platform's key-value
+// service is unavailable. A recorded response stays valid. Any other claim may have
+// changed since, so the decision states only that the key was seen before.
 func (w *Writer) Recall(k Key, b BodyHash, retryAfter time.Duration) Decision {
 	c, seen := w.shard.Claims[k.Hash]
 	if seen && c.State == StateDone && c.Body == b {
@@ -203,37 +203,37 @@
 	return s
 }
 
-// WriteDone reports a write's end; r is the new revision with WriteOK.
+// WriteDone reports the result of a write. With WriteOK, r is the new revision.
 func (w *Writer) WriteDone(now time.Time, res WriteResult, r ggscore.StoreRevision) {
 	if res != WriteOK {
-		w.known = false
+		w.cached = false
 		if res == WriteAmbiguous {
-			w.inDoubt, w.doubt = true, w.revision
+			w.ambiguous, w.ambiguousRevision = true, w.revision
 			for _, o := range w.inFlight {
-				o.mayStand = true
+				o.maybeWritten = true
 			}
 		}
 		w.requeue()
 		return
 	}
-	w.shard, w.revision, w.inDoubt = w.next, r, false
+	w.shard, w.revision, w.ambiguous = w.next, r, false
 	done := w.inFlight
 	w.inFlight, w.writing, w.next = nil, false, Shard{}
 	for _, o := range done {
-		w.conclude(now, o)
+		w.answer(now, o)
 	}
 }
 
-func (w *Writer) allFresh() bool {
+func (w *Writer) allRead() bool {
 	for _, o := range w.pending {
-		if o.finish == 0 && !o.fresh {
+		if o.finish == 0 && !o.read {
 			return false
 		}
 	}
 	return true
 }
 
-// apply judges all that waits against the shard, in order.
+// apply evaluates all pending operations against the shard, in order.
 func (w *Writer) apply(now time.Time) (Shard, bool) {
 	next := w.shard.clone()
 	changed := false
@@ -256,13 +256,13 @@
 	c, ok := s.Claims[o.key.Hash]
 	switch {
 	case ok && c.ID == o.claim && c.State == StateClaimed:
-		return w.granted(o), false
+		return w.grant(o), false
 	case ok && c.Body != o.body:
 		return Decision{Kind: DecisionReused}, false
 	case ok && (c.State == StateDone || c.State == StateUnknown):
 		return Decision{Kind: DecisionReplay, State: c.State, Result: c.Result}, false
-	// The holder of a claim that is older than every deadline has died or was
-	// cut off. It may have dispatched, so that nobody runs the request again.
+	// The holder of a claim that is older than every deadline has crashed or lost its
+	// connection. It may have dispatched the request, so the request is not run again.
 	case ok && c.State == StateClaimed && now.Sub(c.At) > w.limits.InProgress:
 		return Decision{Kind: DecisionReplay, State: StateUnknown}, false
 	case ok && c.State == StateClaimed:
@@ -271,15 +271,16 @@
 		return Decision{Kind: DecisionFull, RetryAfter: EpochLength}, false
 	}
 	s.set(o.key.Hash, Claim{ID: o.claim, Body: o.body, State: StateClaimed, At: o.at})
-	return w.granted(o), true
+	return w.grant(o), true
 }
 
-// conclude answers an operation whose decision stands in the shard.
-func (w *Writer) conclude(now time.Time, o *operation) {
+// answer settles an operation whose decision is recorded in the shard.
+func (w *Writer) answer(now time.Time, o *operation) {
 	d := o.decision
 	if d.Kind == DecisionGranted {
-		// A claim whose write was held up past the key's retention may have
-		// met a shard that was deleted and begun anew: it proves nothing.
+		// A claim whose write was delayed past the key's retention may have met a new shard
+		// after the deletion of the old one. Such a claim doesn't prove that the key is
+		// unused.
 		late := !now.Before(d.Grant.Before)
 		if late && !o.abandoned {
 			w.settle(o, Decision{Kind: DecisionExpired})
@@ -293,7 +294,7 @@
 	w.settle(o, d)
 }
 
-func (w *Writer) granted(o *operation) Decision {
+func (w *Writer) grant(o *operation) Decision {
 	g := Grant{Key: o.key, ID: o.claim, Before: w.limits.GrantBefore(o.key.Issued)}
 	return Decision{Kind: DecisionGranted, Grant: g}
 }
@@ -314,7 +315,7 @@
 		return Decision{Kind: DecisionRecorded}, false
 	}
 	c.State, c.Result = o.finish, o.result
-	room := min(w.limits.BodyBudgetBytes-s.bodies, w.limits.ShardBytes-s.size-len(c.Result.ContentType))
+	room := min(w.limits.BodyBudgetBytes-s.bodyBytes, w.limits.ShardBytes-s.size-len(c.Result.ContentType))
 	if len(c.Result.Body) > room {
 		c.Result.Kept, c.Result.Body = false, nil
 	}
@@ -322,14 +323,14 @@
 	return Decision{Kind: DecisionRecorded}, true
 }
 
-// requeue puts what was in flight back before all that arrived since.
+// requeue puts the operations in flight back before those that arrived since.
 func (w *Writer) requeue() {
 	back := w.inFlight
 	w.inFlight, w.writing, w.next = nil, false, Shard{}
 	kept := back[:0]
 	for _, o := range back {
 		if o.abandoned && o.finish == 0 {
-			if !o.mayStand {
+			if !o.maybeWritten {
 				continue
 			}
 			o.release()
@@ -345,7 +346,7 @@
 	}
 }
 
-// release turns a claim that is given up into the record that it did not run.
+// release turns an abandoned claim into the record that the request did not run.
 func (o *operation) release() {
 	if o.finish == 0 {
 		o.finish = StateReleased
--- a/core/ggsclaim/writer_test.go
+++ b/core/ggsclaim/writer_test.go
@@ -11,9 +11,9 @@
 	ggscore "greengageslip/core"
 )
 
-// A tenant's deposit is released twice: a caller repeats its release order
-// through another gateway while answers of the platform's service are lost,
-// writes land late and processes die, and both repeats are dispatched.
+// A caller repeats a request through another gateway while answers of the key-value
+// service are lost, writes take effect late and processes crash. At most one of the
+// repeats may be dispatched.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -22,14 +22,15 @@
 		for range rapid.IntRange(100, 200).Draw(t, "steps") {
 			act[rapid.SampledFrom(names).Draw(t, "action")](t)
 		}
-		w.loseRest()
+		w.recordAllLost()
 		if !porcupine.CheckOperations(model(), w.history) {
 			t.Fatalf("history is no at-most-once register:\n%s", w.print())
 		}
 	})
 }
 
-// actions returns what may happen, and names drawn as often as each is likely.
+// actions returns the actions by name, and the names repeated according to their
+// weight.
 func actions(w *world) ([]string, map[string]func(*rapid.T)) {
 	process := rapid.IntRange(0, len(w.processes)-1)
 	act := map[string]func(*rapid.T){
@@ -37,13 +38,13 @@
 			key := rapid.SampledFrom([]byte{1, 1, 1, 2}).Draw(t, "key")
 			w.begin(process.Draw(t, "process"), key, rapid.SampledFrom([]byte{1, 1, 1, 2}).Draw(t, "body"))
 		},
-		"start":  func(t *rapid.T) { w.start(process.Draw(t, "process")) },
-		"answer": func(t *rapid.T) { w.end(process.Draw(t, "process"), endAnswered) },
+		"start":  func(t *rapid.T) { w.startIO(process.Draw(t, "process")) },
+		"answer": func(t *rapid.T) { w.finishIO(process.Draw(t, "process"), endAnswered) },
 		"settle": func(t *rapid.T) { w.settle(process.Draw(t, "process")) },
 		"lose": func(t *rapid.T) {
-			w.end(process.Draw(t, "process"), rapid.IntRange(endLostAfterEffect, endAway).Draw(t, "how"))
+			w.finishIO(process.Draw(t, "process"), rapid.IntRange(endLostAfterEffect, endAway).Draw(t, "how"))
 		},
-		"land":   func(t *rapid.T) { pick(t, len(w.delayed), w.land) },
+		"land":   func(t *rapid.T) { pick(t, len(w.delayed), w.applyDelayed) },
 		"crash":  func(t *rapid.T) { w.crash(process.Draw(t, "process")) },
 		"cancel": func(t *rapid.T) { open := w.open(); pick(t, len(open), func(i int) { w.cancel(open[i]) }) },
 		"dispatch": func(t *rapid.T) {
@@ -59,16 +60,16 @@
 		"wait": func(*rapid.T) { w.now = w.now.Add(2 * time.Minute) },
 	}
 	names := []string{"crash", "wait", "cancel"}
-	for _, often := range []string{"start", "answer", "lose", "land", "begin", "dispatch", "finish"} {
-		names = append(names, often, often)
+	for _, name := range []string{"start", "answer", "lose", "land", "begin", "dispatch", "finish"} {
+		names = append(names, name, name)
 	}
-	for _, veryOften := range []string{"begin", "settle", "dispatch"} {
-		names = append(names, veryOften, veryOften, veryOften, veryOften)
+	for _, name := range []string{"begin", "settle", "dispatch"} {
+		names = append(names, name, name, name, name)
 	}
 	return names, act
 }
 
-// open returns the claims that wait for an answer.
+// open returns the claims that have no answer yet.
 func (w *world) open() []OpID {
 	var open []OpID
 	for op := OpID(1); op <= w.lastOp; op++ {
@@ -79,26 +80,26 @@
 	return open
 }
 
-// settle runs a process without faults until it wants no I/O.
+// settle runs a process without faults until it needs no I/O.
 func (w *world) settle(p int) {
-	for w.start(p); w.processes[p].step.Kind != StepIdle; w.start(p) {
-		w.end(p, endAnswered)
+	for w.startIO(p); w.processes[p].step.Kind != StepIdle; w.startIO(p) {
+		w.finishIO(p, endAnswered)
 	}
 }
 
-// ask claims key 1 by a process, without faults, and returns the answer.
-func (w *world) ask(p int) output {
+// claimAndSettle claims key 1 by a process, without faults, and returns the answer.
+func (w *world) claimAndSettle(p int) output {
 	w.begin(p, 1, 1)
 	w.settle(p)
 	return w.lastAnswer()
 }
 
-// beginWrite claims key 1 by the first process, up to the claim's write.
+// beginWrite claims key 1 by the first process, up to the start of the claim's write.
 func (w *world) beginWrite() OpID {
 	op := w.begin(0, 1, 1)
-	w.start(0)
-	w.end(0, endAnswered)
-	w.start(0)
+	w.startIO(0)
+	w.finishIO(0, endAnswered)
+	w.startIO(0)
 	return op
 }
 
@@ -107,84 +108,82 @@
 	return w.history[len(w.history)-1].Output.(output)
 }
 
-// A release order is answered "refused" although it holds its claim: the
-// claim's write took effect, its answer was lost, and the writer took its own
-// claim for another's.
+// The write of a claim took effect, but its answer was lost. The writer must read its
+// own claim back and not refuse the attempt because of another's claim.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	t.Parallel()
-	for name, how := range map[string]int{"took effect": endLostAfterEffect, "not yet": endLostBeforeEffect} {
+	for name, how := range map[string]int{"took effect": endLostAfterEffect, "takes effect later": endLostBeforeEffect} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			w := newWorld(1)
 			w.beginWrite()
-			w.end(0, how)
+			w.finishIO(0, how)
 			w.settle(0)
 			c.Assert(w.lastAnswer().kind, qt.Equals, DecisionGranted)
 			for i := range w.delayed {
-				w.land(i)
+				w.applyDelayed(i)
 			}
-			c.Assert(w.ask(0).kind, qt.Equals, DecisionInProgress)
+			c.Assert(w.claimAndSettle(0).kind, qt.Equals, DecisionInProgress)
 		})
 	}
 }
 
-// A parent can't book a free slot for a day: the first sending was refused
-// while its claim's write was under way, the write landed afterwards, and
-// nobody ever released the claim. The writer shuts the late write out, or
-// releases what it left.
-func TestClaimGivenUpIsReleased(t *testing.T) {
+// An attempt is cancelled while its claim's write is delayed. If the write takes effect
+// later, nobody holds the claim and the key stays blocked for a day. The writer must
+// exclude the delayed write or release the claim.
+func TestCancelledClaimIsReleased(t *testing.T) {
 	t.Parallel()
-	for name, landFirst := range map[string]bool{"landed before": true, "lands after": false} {
+	for name, applyFirst := range map[string]bool{"applied before the retry": true, "applied after the retry": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			w := newWorld(2)
 			op := w.beginWrite()
-			w.end(0, endLostBeforeEffect)
+			w.finishIO(0, endLostBeforeEffect)
 			w.cancel(op)
-			if landFirst {
-				w.land(0)
+			if applyFirst {
+				w.applyDelayed(0)
 			}
 			w.settle(0)
-			if !landFirst {
-				w.land(0)
+			if !applyFirst {
+				w.applyDelayed(0)
 			}
-			c.Assert(w.ask(1).kind, qt.Equals, DecisionGranted)
+			c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 		})
 	}
 }
 
-// A parent waits a day for a slot that nobody holds: the sending was given up
-// while its claim's write was on its way to success.
-func TestClaimGivenUpInFlightIsReleased(t *testing.T) {
+// An attempt is cancelled while the successful write of its claim is in flight. Without
+// a release the key stays blocked for a day.
+func TestCancelledClaimInFlightIsReleased(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := newWorld(2)
 	op := w.beginWrite()
 	w.cancel(op)
-	w.end(0, endAnswered)
+	w.finishIO(0, endAnswered)
 	w.settle(0)
-	c.Assert(w.ask(1).kind, qt.Equals, DecisionGranted)
+	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 }
 
-// A booking is refused all night: its claim took effect, the answer was lost,
-// and the platform went away before the claim could be read back.
-func TestClaimLeftByAnOutageIsReleased(t *testing.T) {
+// A claim took effect, its answer was lost, and the service became unavailable before
+// the claim could be read back. Without a release the key stays blocked.
+func TestClaimBeforeOutageIsReleased(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := newWorld(2)
 	w.beginWrite()
-	w.end(0, endLostAfterEffect)
-	w.start(0)
-	w.end(0, endAway)
+	w.finishIO(0, endLostAfterEffect)
+	w.startIO(0)
+	w.finishIO(0, endAway)
 	w.settle(0)
-	c.Assert(w.ask(1).kind, qt.Equals, DecisionGranted)
+	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 }
 
-// A landlord is paid twice: a holder that gave its claim back records late
-// that it ran or did not run, over the claim of the attempt that came after
-// it; or a recorded run is later said not to have run.
+// A holder that released its claim records an outcome late, over the claim of a later
+// attempt, or a recorded run is later reported as not run. Either would run the request
+// twice.
 func TestLateOutcomeChangesNothing(t *testing.T) {
 	t.Parallel()
 	for name, late := range map[string]State{"late done": StateDone, "late release": StateReleased} {
@@ -192,84 +191,84 @@
 			t.Parallel()
 			c := qt.New(t)
 			w := newWorld(2)
-			w.ask(0)
+			w.claimAndSettle(0)
 			first := w.granted[0]
 			w.finish(0, first, StateReleased)
 			w.settle(0)
-			w.ask(1)
-			w.ask(0)
+			w.claimAndSettle(1)
+			w.claimAndSettle(0)
 			w.finish(0, first, late)
 			w.settle(0)
-			c.Assert(w.ask(0).kind, qt.Equals, DecisionInProgress)
+			c.Assert(w.claimAndSettle(0).kind, qt.Equals, DecisionInProgress)
 			w.finish(1, w.granted[1], StateDone)
 			w.finish(1, w.granted[1], StateReleased)
 			w.settle(1)
-			c.Assert(w.ask(0), qt.Equals, output{kind: DecisionReplay, state: StateDone})
+			c.Assert(w.claimAndSettle(0), qt.Equals, output{kind: DecisionReplay, state: StateDone})
 		})
 	}
 }
 
-// A landlord is paid twice: the first order's answer broke off, its outcome
-// was recorded as unknown, and the caller's repeat was dispatched. Found by
-// TestAtMostOnceUnderFaults with the guard taken out.
-func TestUnknownIsNotRunAgain(t *testing.T) {
+// The answer of the first run broke off and its outcome was recorded as unknown. A
+// repeated request must not be dispatched. TestAtMostOnceUnderFaults fails without this
+// guard.
+func TestUnknownOutcomeIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := newWorld(2)
-	w.ask(0)
+	w.claimAndSettle(0)
 	w.finish(0, w.granted[0], StateUnknown)
 	w.settle(0)
-	c.Assert(w.ask(1), qt.Equals, output{kind: DecisionReplay, state: StateUnknown})
+	c.Assert(w.claimAndSettle(1), qt.Equals, output{kind: DecisionReplay, state: StateUnknown})
 }
 
-// A holder gives its claim back, the answer is lost, and the key is claimed
-// anew before the holder reads: its record is gone, though it took effect.
-// Seed 5158163687557833157 of TestAtMostOnceUnderFaults found the model wrong.
+// A holder's release takes effect, but its answer is lost and the key is claimed again
+// before the holder reads. The answer must be DecisionGone. Seed 5158163687557833157 of
+// TestAtMostOnceUnderFaults showed that the model excluded this.
 func TestReleaseWithLostAnswer(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := newWorld(2)
-	w.ask(0)
+	w.claimAndSettle(0)
 	w.finish(0, w.granted[0], StateReleased)
-	w.start(0)
-	w.end(0, endLostAfterEffect)
-	c.Assert(w.ask(1).kind, qt.Equals, DecisionGranted)
+	w.startIO(0)
+	w.finishIO(0, endLostAfterEffect)
+	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 	w.settle(0)
 	c.Assert(w.lastAnswer().kind, qt.Equals, DecisionGone)
 	c.Assert(porcupine.CheckOperations(model(), w.history), qt.IsTrue, qt.Commentf(w.print()))
 }
 
-// A deposit is released twice a day apart: the claim's write hung until the
-// key's epoch was deleted and then met an empty shard.
+// The write of a claim hung until the key's epoch was deleted and then met an empty
+// shard. The grant would run the request a second time.
 func TestLateGrantIsRefused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := newWorld(1)
 	w.beginWrite()
 	w.now = w.now.Add(2 * w.limits.Retention)
-	w.end(0, endAnswered)
+	w.finishIO(0, endAnswered)
 	c.Assert(w.lastAnswer().kind, qt.Equals, DecisionExpired)
 	c.Assert(w.granted, qt.HasLen, 0)
 }
 
-// A mediator's order hangs for ever at "in progress": its holder was killed.
-// The claim is older than every deadline, so that its outcome is unknown; it
-// is not run again, since the holder may have dispatched it.
-func TestDeadHolderBecomesUnknown(t *testing.T) {
+// The holder of a claim crashed. A claim older than every deadline must have an unknown
+// outcome instead of staying in progress; the request is not run again, since the
+// holder may have dispatched it.
+func TestClaimOfCrashedHolderBecomesUnknown(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := newWorld(2)
-	w.ask(0)
+	w.claimAndSettle(0)
 	c.Assert(w.granted, qt.HasLen, 1)
 	w.crash(0)
-	c.Assert(w.ask(1).kind, qt.Equals, DecisionInProgress)
+	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionInProgress)
 	w.now = w.now.Add(w.limits.InProgress + time.Second)
-	c.Assert(w.ask(1), qt.Equals, output{kind: DecisionReplay, state: StateUnknown})
+	c.Assert(w.claimAndSettle(1), qt.Equals, output{kind: DecisionReplay, state: StateUnknown})
 }
 
-// An opening night's bookings pass the platform's rate: each claim took a
-// write of its own. What arrives during a write goes into one next write.
-func TestClaimsShareAWrite(t *testing.T) {
+// One write per claim exceeded the platform's write rate under load. Claims that arrive
+// during a write must be batched into one next write.
+func TestClaimsAreBatchedIntoOneWrite(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	w := newWorld(1)
@@ -277,7 +276,7 @@
 	for key := byte(2); key < 100; key++ {
 		w.begin(0, key, 1)
 	}
-	w.end(0, endAnswered)
+	w.finishIO(0, endAnswered)
 	w.settle(0)
 	c.Assert(w.revision, qt.Equals, ggscore.StoreRevision(2))
 	c.Assert(w.granted, qt.HasLen, 99)
