--- a/core/ggsdocument/build.go
+++ b/core/ggsdocument/build.go
@@ -8,9 +8,9 @@
 	ggscore "greengageslip/core"
 )
 
-// Build joins sections into the document of a revision and checks what spans
-// them. Sections may come in any order; the document shares their contents.
-// Its failures are *SectionError.
+// Build joins sections into the document of a revision and validates the references
+// between them. Sections may be in any order. The document shares their contents. Build
+// fails with a *SectionError.
 func Build(r ggscore.Revision, sections []*Section) (*ggscore.Document, error) {
 	d := &ggscore.Document{
 		Revision: r,
@@ -28,8 +28,8 @@
 			d.Policy = *s.Policy
 		}
 	}
-	// Sections are checked by name, so that of several failures the same one
-	// is reported each time.
+	// Sections are checked in the order of their names, so that the same one of several
+	// failures is reported each time.
 	sorted := slices.SortedFunc(slices.Values(sections), func(a, b *Section) int {
 		return cmp.Compare(a.Name, b.Name)
 	})
@@ -44,22 +44,22 @@
 	return d, nil
 }
 
-// checkMarket checks a market against the services.
+// checkMarket checks a market's references to services and base models.
 func checkMarket(n ggscore.SectionName, m *ggscore.MarketSpec, services map[ggscore.Service]ggscore.ServiceSpec) error {
 	served := map[ggscore.BaseModel]bool{}
-	dangling := ggscore.Service("")
+	missing := ggscore.Service("")
 	for u := range m.Uses {
 		s, found := services[u]
-		if !found && (dangling == "" || u < dangling) {
-			dangling = u
+		if !found && (missing == "" || u < missing) {
+			missing = u
 		}
 		if found && s.Kind == ggscore.KindModel {
 			served[s.Base] = true
 		}
 	}
-	if dangling != "" {
-		k := "uses[" + strconv.Quote(string(dangling)) + "].service"
-		return &SectionError{Section: n, Key: k, Cause: &DanglingServiceError{Service: dangling}}
+	if missing != "" {
+		k := "uses[" + strconv.Quote(string(missing)) + "].service"
+		return &SectionError{Section: n, Key: k, Cause: &DanglingServiceError{Service: missing}}
 	}
 	unserved := ""
 	for a, s := range m.Adapters {
--- a/core/ggsdocument/check.go
+++ b/core/ggsdocument/check.go
@@ -11,31 +11,31 @@
 	ggscore "greengageslip/core"
 )
 
-// maxNameLength bounds names: they become parts of keys and of URLs.
+// maxNameLength bounds names, since they become parts of keys and of URLs.
 const maxNameLength = 128
 
-// A checker checks the values of one section and keeps the first failure.
+// A checker validates the values of one section and keeps the first failure.
 type checker struct {
 	section ggscore.SectionName
-	// prefix is the path of the table that is being checked.
+	// prefix is the path of the table that is being validated.
 	prefix string
 	err    error
 }
 
 func (c *checker) adapter(a ggscore.AdapterSpec) {
-	c.set("baseModel", string(a.Base))
+	c.required("baseModel", string(a.Base))
 	if len(a.Versions) == 0 {
 		c.fail("versions", &MissingValueError{})
 	}
 	for i, v := range a.Versions {
-		if !goodName(string(v)) {
+		if !validName(string(v)) {
 			c.fail("versions", &BadNameError{Name: string(v)})
 		}
 		if slices.Contains(a.Versions[:i], v) {
 			c.fail("versions", &DuplicateNameError{Name: string(v)})
 		}
 	}
-	c.set("current", string(a.Current))
+	c.required("current", string(a.Current))
 	if !slices.Contains(a.Versions, a.Current) {
 		c.fail("current", &DanglingVersionError{Version: a.Current})
 	}
@@ -47,8 +47,8 @@
 	}
 }
 
-// done returns the section unless a check failed.
-func (c *checker) done(s *Section) (*Section, error) {
+// result returns the section unless a check failed.
+func (c *checker) result(s *Section) (*Section, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
@@ -61,14 +61,14 @@
 	}
 }
 
-// enter goes into an element of an array of tables that is named by its key
+// enterNamed moves to an element of an array of tables that is identified by its key
 // name. The path of the array is outer and array.
-func (c *checker) enter(outer, array string, i int, name string, dup bool) {
-	c.enterBy(outer, array, "name", i, name, dup)
+func (c *checker) enterNamed(outer, array string, i int, name string, dup bool) {
+	c.enterElement(outer, array, "name", i, name, dup)
 }
 
-// enterBy goes into an element of an array of tables that is named by key.
-func (c *checker) enterBy(outer, array, key string, i int, name string, dup bool) {
+// enterElement moves to an element of an array of tables that is identified by key.
+func (c *checker) enterElement(outer, array, key string, i int, name string, dup bool) {
 	if c.err != nil {
 		return
 	}
@@ -80,7 +80,7 @@
 	c.prefix = outer + array + "[" + strconv.Quote(name) + "]."
 }
 
-// fail keeps the first failure.
+// fail records a failure unless one is recorded already.
 func (c *checker) fail(key string, cause error) {
 	if c.err == nil {
 		c.err = &SectionError{Section: c.section, Key: c.prefix + key, Cause: cause}
@@ -92,12 +92,12 @@
 		c.fail(key, &MissingValueError{})
 		return
 	}
-	if !goodName(n) {
+	if !validName(n) {
 		c.fail(key, &BadNameError{Name: n})
 	}
 }
 
-func (c *checker) notNegative(key string, f float64) {
+func (c *checker) nonNegative(key string, f float64) {
 	if !(f >= 0) || math.IsInf(f, 0) {
 		c.fail(key, &OutOfRangeError{Value: fmt.Sprint(f), Want: "at least 0"})
 	}
@@ -136,14 +136,14 @@
 		}
 		return
 	}
-	c.set("baseModel", string(s.Base))
+	c.required("baseModel", string(s.Base))
 	c.atLeast("adapterSlots", s.AdapterSlots, 1)
 	if operations > 0 {
 		c.fail("operations", &UnwantedValueError{Where: "a model service"})
 	}
 }
 
-func (c *checker) set(key, value string) {
+func (c *checker) required(key, value string) {
 	if value == "" {
 		c.fail(key, &MissingValueError{})
 	}
@@ -157,9 +157,9 @@
 	}
 }
 
-// goodName reports whether n is a name: names stand in keys and URLs, and @
+// validName reports whether n is a valid name. Names are parts of keys and URLs, and @
 // separates an adapter's name from its version.
-func goodName(n string) bool {
+func validName(n string) bool {
 	if n == "" || len(n) > maxNameLength {
 		return false
 	}
--- a/core/ggsdocument/delta.go
+++ b/core/ggsdocument/delta.go
@@ -9,9 +9,9 @@
 	ggscore "greengageslip/core"
 )
 
-// A Delta is what changed of a head since an earlier revision: the states of
-// the sections that changed. It keeps the cost of a change between processes
-// apart from the number of sections.
+// A Delta is the difference between a head and an earlier revision: the states of the
+// sections that changed. With deltas the cost of sending a change between processes
+// doesn't depend on the number of sections.
 type Delta struct {
 	Revision ggscore.Revision
 	Sections map[ggscore.SectionName]SectionState
@@ -19,8 +19,8 @@
 	Sum ggscore.Digest
 }
 
-// Extends reports whether the head is known to be a later state of another
-// one: the other's latest change stands in this one's history.
+// Extends reports whether the head is known to be a later state of another one: the
+// latest change of the other head is in this head's history.
 func (h Head) Extends(o Head) bool {
 	if len(o.Changes) == 0 {
 		return o.Revision == 0 && h.Revision > 0
@@ -29,7 +29,7 @@
 	return o.Revision < h.Revision && slices.Contains(h.Changes, last)
 }
 
-// Since returns what changed since a revision.
+// Since returns the sections that changed since a revision.
 func (h Head) Since(r ggscore.Revision) Delta {
 	d := Delta{Revision: h.Revision, Sections: map[ggscore.SectionName]SectionState{}, Sum: h.sum()}
 	for n, s := range h.Sections {
@@ -40,13 +40,13 @@
 	return d
 }
 
-// With returns the head after a delta since its revision. It has no history,
-// which only editors need.
+// With returns the head after applying a delta since its revision. The new head has no
+// history, which only editors need.
 //
-// The checksum guards against a fork: after a platform was restored from an
-// older copy, two processes may have different heads of one revision, and a
-// delta on the other's would give a document that nobody accepted. It fails
-// with a *DeltaError, and the whole head is to be asked for.
+// The checksum guards against a fork. After the platform was restored from an older
+// copy, two processes may have different heads of the same revision, and a delta for
+// one head applied to the other would result in a document that nobody accepted. With
+// fails with a *DeltaError, and the caller must then request the whole head.
 func (h Head) With(d Delta) (Head, error) {
 	n := Head{Revision: d.Revision, Sections: map[ggscore.SectionName]SectionState{}}
 	maps.Copy(n.Sections, h.Sections)
@@ -57,7 +57,7 @@
 	return n, nil
 }
 
-// sum returns the checksum of the sections' names and digests.
+// sum returns the checksum of the revision and of the sections' names and digests.
 func (h Head) sum() ggscore.Digest {
 	b := binary.BigEndian.AppendUint64(nil, uint64(h.Revision))
 	for _, n := range slices.Sorted(maps.Keys(h.Sections)) {
--- a/core/ggsdocument/doc.go
+++ b/core/ggsdocument/doc.go
@@ -1,6 +1,9 @@
-// Package ggsdocument decides over the operators' document: which sections
-// form a valid document, which change of a section is accepted, which adapter
-// a request names, and which head a process follows.
+// Package ggsdocument validates and versions the operators' document. It decides which
+// sections form a valid document, which change of a section is accepted, which adapter
+// a request names, and which head a process adopts.
+//
+// The inputs are sections, changes, heads and section texts. The outputs are documents,
+// heads, resolutions of requests, and the digests of the section texts to pull.
 //
 // # Usage
 //
@@ -10,20 +13,21 @@
 //	next, err := head.Accept(change)
 //
 //	f := ggsdocument.NewFollower(parser)
-//	pull, err := f.Offer(head) // the digests to pull
-//	adopted, err := f.Deliver(digest, text)
+//	adopted, err := f.Offer(head) // if not adopted, f.Missing() has the digests to pull
+//	adopted, err = f.Deliver(digest, text)
 //
-// A section is checked by its constructor for what stands in it alone. Build
-// checks what spans sections: the services that markets use and the base
-// models of their adapters. Failures are *SectionError and name section and
-// key; the codec that read the text adds the line.
+// The constructor of a section validates the section on its own. Build validates the
+// references between sections: the services that markets use and the base models of
+// their adapters. Failures are *SectionError and name section and key; the codec that
+// parsed the text adds the line.
 //
 // # Revisions
 //
-// A head numbers the whole document. Each accepted change raises its revision
-// by one and enters the change's id into the head's history, so that a writer
-// whose answer was lost can find out whether its change was accepted. A
-// follower only ever adopts a head with a greater revision than its own.
+// A head has the revision of the whole document. Each accepted change increments the
+// revision and adds the change's ID to the head's history. A writer whose answer was
+// lost can find out from the history whether its change was accepted. A follower adopts
+// only heads with a revision greater than that of its current head.
 //
-// The package holds no clock, no goroutine and no lock.
+// The package has no clock, no goroutine and no lock: the caller must serialize the
+// calls to a Follower.
 package ggsdocument
--- a/core/ggsdocument/errors.go
+++ b/core/ggsdocument/errors.go
@@ -7,10 +7,9 @@
 	ggscore "greengageslip/core"
 )
 
-// A SectionError says that a section is not valid, on its own or beside the
+// A SectionError reports a section that is invalid, on its own or in combination with
 // other sections. Key is the path of the value, such as
-// adapters["deposits-es"].current. Line counts from one; zero means that it is
-// not known.
+// adapters["deposits-es"].current. Line counts from one; zero means unknown.
 type SectionError struct {
 	Section ggscore.SectionName
 	Key     string
@@ -33,19 +32,19 @@
 // Unwrap returns the cause.
 func (e *SectionError) Unwrap() error { return e.Cause }
 
-// A MissingValueError says that a key must be set.
+// A MissingValueError reports a required key that is not set.
 type MissingValueError struct{}
 
 // Error implements error.
 func (e *MissingValueError) Error() string { return "must be set" }
 
-// An UnwantedValueError says that a key must not be set there.
+// An UnwantedValueError reports a key that must not be set in this place.
 type UnwantedValueError struct{ Where string }
 
 // Error implements error.
 func (e *UnwantedValueError) Error() string { return "must not be set for " + e.Where }
 
-// An OutOfRangeError says that a value is out of its range.
+// An OutOfRangeError reports a value that is out of range.
 type OutOfRangeError struct {
 	Value string
 	Want  string
@@ -54,7 +53,7 @@
 // Error implements error.
 func (e *OutOfRangeError) Error() string { return e.Value + " is out of range: want " + e.Want }
 
-// A BadNameError says that a name has characters that names may not have.
+// A BadNameError reports a name that is empty, too long or has invalid characters.
 type BadNameError struct{ Name string }
 
 // Error implements error.
@@ -62,14 +61,14 @@
 	return fmt.Sprintf("bad name %q: want letters, digits and . _ - only", e.Name)
 }
 
-// A DuplicateNameError says that a name is used twice.
+// A DuplicateNameError reports a name that is used twice.
 type DuplicateNameError struct{ Name string }
 
 // Error implements error.
 func (e *DuplicateNameError) Error() string { return fmt.Sprintf("duplicate name %q", e.Name) }
 
-// A DanglingServiceError says that a market uses a service that the section
-// services doesn't have.
+// A DanglingServiceError reports that a market uses a service that isn't in the section
+// services.
 type DanglingServiceError struct{ Service ggscore.Service }
 
 // Error implements error.
@@ -77,8 +76,8 @@
 	return fmt.Sprintf("no service %q in section services", e.Service)
 }
 
-// A DanglingVersionError says that an adapter's current version is not among
-// its versions.
+// A DanglingVersionError reports that an adapter's current version is not among its
+// versions.
 type DanglingVersionError struct{ Version ggscore.Version }
 
 // Error implements error.
@@ -86,8 +85,8 @@
 	return fmt.Sprintf("version %q is not among the adapter's versions", e.Version)
 }
 
-// An UnservedBaseModelError says that none of the services that a market uses
-// serves an adapter's base model.
+// An UnservedBaseModelError reports that none of the services that a market uses serves
+// an adapter's base model.
 type UnservedBaseModelError struct{ Base ggscore.BaseModel }
 
 // Error implements error.
@@ -95,8 +94,8 @@
 	return fmt.Sprintf("no service of the market serves base model %q", e.Base)
 }
 
-// An UnknownSectionError says that a section's name is none of services,
-// policy and market/NAME.
+// An UnknownSectionError reports a section name that is none of services, policy and
+// market/NAME.
 type UnknownSectionError struct{ Section ggscore.SectionName }
 
 // Error implements error.
@@ -104,8 +103,8 @@
 	return fmt.Sprintf("unknown section %q: want services, policy or market/NAME", e.Section)
 }
 
-// A SectionConflictError says that a section was changed after the revision
-// that the operator had read. Nothing was changed.
+// A SectionConflictError reports that a section was changed after the revision that the
+// operator had read. The rejected change had no effect.
 type SectionConflictError struct {
 	Section ggscore.SectionName
 	// ReadAt is the revision that the operator had read.
@@ -122,8 +121,8 @@
 		e.Section, e.Changed, e.By, e.Change, e.ReadAt)
 }
 
-// A FutureRevisionError says that an operator claims to have read a revision
-// that the head doesn't have yet: the head stems from an older copy of the
+// A FutureRevisionError reports that an operator states to have read a revision that is
+// newer than the head. Either the head was restored from an older copy of the
 // platform's data, or the revision is mistyped.
 type FutureRevisionError struct {
 	ReadAt ggscore.Revision
@@ -132,11 +131,11 @@
 
 // Error implements error.
 func (e *FutureRevisionError) Error() string {
-	return fmt.Sprintf("revision %d was read, but the platform's head is at revision %d", e.ReadAt, e.Have)
+	return fmt.Sprintf("change rejected: revision %d that was read is newer than the platform's head at revision %d", e.ReadAt, e.Have)
 }
 
-// A LowerHeadError says that a head was refused, since it is lower than the
-// one in force.
+// A LowerHeadError reports a rejected head whose revision is lower than that of the
+// current head.
 type LowerHeadError struct {
 	Offered ggscore.Revision
 	Have    ggscore.Revision
@@ -144,20 +143,19 @@
 
 // Error implements error.
 func (e *LowerHeadError) Error() string {
-	return fmt.Sprintf("head at revision %d refused: revision %d is in force", e.Offered, e.Have)
+	return fmt.Sprintf("head at revision %d rejected: older than the current revision %d", e.Offered, e.Have)
 }
 
-// A ForkedHeadError says that a head was refused, since it has the revision
-// in force with other sections.
+// A ForkedHeadError reports a rejected head that has the revision of the current head
+// but other sections.
 type ForkedHeadError struct{ Revision ggscore.Revision }
 
 // Error implements error.
 func (e *ForkedHeadError) Error() string {
-	return fmt.Sprintf("head at revision %d refused: another one of that revision is in force", e.Revision)
+	return fmt.Sprintf("head at revision %d rejected: its sections differ from the current head of that revision", e.Revision)
 }
 
-// A DeltaError says that a delta doesn't fit the head that it was to be applied
-// to.
+// A DeltaError reports a delta that can't be applied to a head.
 type DeltaError struct {
 	From ggscore.Revision
 	To   ggscore.Revision
@@ -165,11 +163,11 @@
 
 // Error implements error.
 func (e *DeltaError) Error() string {
-	return fmt.Sprintf("delta from revision %d to %d doesn't fit", e.From, e.To)
+	return fmt.Sprintf("delta from revision %d to %d rejected: checksum of the sections doesn't match", e.From, e.To)
 }
 
-// A DigestError says that a section's text doesn't have the digest that it was
-// pulled by.
+// A DigestError reports that a section's text doesn't have the digest by which it was
+// pulled.
 type DigestError struct {
 	Want ggscore.Digest
 	Have ggscore.Digest
@@ -177,19 +175,19 @@
 
 // Error implements error.
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("section has digest %x, expected %x", e.Have[:8], e.Want[:8])
+	return fmt.Sprintf("section text rejected: digest is %x, want %x", e.Have[:8], e.Want[:8])
 }
 
-// An UnknownMarketError says that the document has no such market.
+// An UnknownMarketError reports a market that isn't in the document.
 type UnknownMarketError struct{ Market ggscore.Market }
 
 // Error implements error.
 func (e *UnknownMarketError) Error() string { return fmt.Sprintf("unknown market %q", e.Market) }
 
-// Kind returns the failure's kind in public answers.
+// Kind returns the kind of failure that is sent to callers.
 func (e *UnknownMarketError) Kind() ggscore.FailureKind { return ggscore.FailureUnknownMarket }
 
-// An UnknownServiceError says that a market uses no such service.
+// An UnknownServiceError reports a service that a market doesn't use.
 type UnknownServiceError struct {
 	Market  ggscore.Market
 	Service ggscore.Service
@@ -200,10 +198,10 @@
 	return fmt.Sprintf("market %q uses no service %q", e.Market, e.Service)
 }
 
-// Kind returns the failure's kind in public answers.
+// Kind returns the kind of failure that is sent to callers.
 func (e *UnknownServiceError) Kind() ggscore.FailureKind { return ggscore.FailureUnknownService }
 
-// An UnknownOperationError says that a plain service has no such operation.
+// An UnknownOperationError reports an operation that a plain service doesn't have.
 type UnknownOperationError struct {
 	Service   ggscore.Service
 	Operation string
@@ -214,10 +212,10 @@
 	return fmt.Sprintf("service %q has no operation %q", e.Service, e.Operation)
 }
 
-// Kind returns the failure's kind in public answers.
+// Kind returns the kind of failure that is sent to callers.
 func (e *UnknownOperationError) Kind() ggscore.FailureKind { return ggscore.FailureUnknownService }
 
-// An UnknownAdapterError says that a market has no such adapter or version.
+// An UnknownAdapterError reports an adapter or version that a market doesn't have.
 type UnknownAdapterError struct {
 	Market  ggscore.Market
 	Adapter ggscore.AdapterRef
@@ -228,11 +226,11 @@
 	return fmt.Sprintf("market %q has no adapter %q", e.Market, e.Adapter)
 }
 
-// Kind returns the failure's kind in public answers.
+// Kind returns the kind of failure that is sent to callers.
 func (e *UnknownAdapterError) Kind() ggscore.FailureKind { return ggscore.FailureUnknownAdapter }
 
-// A BaseModelMismatchError says that a service doesn't serve the base model of
-// the adapter that a request names.
+// A BaseModelMismatchError reports that a service doesn't serve the base model of the
+// adapter that a request names.
 type BaseModelMismatchError struct {
 	Service ggscore.Service
 	Serves  ggscore.BaseModel
@@ -245,5 +243,5 @@
 	return fmt.Sprintf("adapter %q needs base model %q, service %q serves %q", e.Adapter, e.Needs, e.Service, e.Serves)
 }
 
-// Kind returns the failure's kind in public answers.
+// Kind returns the kind of failure that is sent to callers.
 func (e *BaseModelMismatchError) Kind() ggscore.FailureKind { return ggscore.FailureUnknownAdapter }
--- a/core/ggsdocument/follower.go
+++ b/core/ggsdocument/follower.go
@@ -12,14 +12,14 @@
 	ParseSection(n ggscore.SectionName, text []byte) (*Section, error)
 }
 
-// A Follower decides which head a process follows. Heads are offered to it by
-// the platform and by peers, in any order; it names the sections to pull and
-// adopts a head once all its sections are there and form a valid document.
+// A Follower decides which head a process adopts. The platform and peers offer heads in
+// any order. The follower names the section texts to pull and adopts a head once all
+// its sections are delivered and form a valid document.
 type Follower struct {
 	parser  SectionParser
 	current *ggscore.Document
 	head    Head
-	// parsed holds the sections of head, texts those delivered for pending.
+	// parsed holds the sections of head; texts holds those delivered for pending.
 	parsed  map[ggscore.SectionName]parsedSection
 	texts   map[ggscore.Digest][]byte
 	pending *Head
@@ -27,13 +27,13 @@
 	rejected ggscore.Revision
 }
 
-// A parsedSection is a section of the head in force.
+// A parsedSection is a section of the current head.
 type parsedSection struct {
 	digest  ggscore.Digest
 	section *Section
 }
 
-// NewFollower returns a follower that has no document yet.
+// NewFollower returns a follower without a document.
 func NewFollower(p SectionParser) *Follower {
 	return &Follower{
 		parser: p,
@@ -42,12 +42,13 @@
 	}
 }
 
-// Current returns the document in force, nil before there is one.
+// Current returns the document of the current head, or nil before the first one is
+// adopted.
 func (f *Follower) Current() *ggscore.Document { return f.current }
 
-// Deliver takes a section's text that was pulled by its digest. It reports
-// whether a head was adopted by that. A text that doesn't have the digest is
-// refused with a *DigestError and stays to be pulled.
+// Deliver adds a section's text that was pulled by its digest. It reports whether this
+// completed the pending head and the head was adopted. A text with another digest is
+// rejected with a *DigestError and remains missing.
 func (f *Follower) Deliver(d ggscore.Digest, text []byte) (bool, error) {
 	if have := DigestOf(text); have != d {
 		return false, &DigestError{Want: d, Have: have}
@@ -61,22 +62,22 @@
 			break
 		}
 	}
-	return f.adoptIfWhole()
+	return f.adoptIfComplete()
 }
 
-// GiveUp drops the pending head if it has the revision: its sections can't be
-// had from where it came, and another source may offer a head that is whole.
-// Sections that were delivered already are kept.
+// GiveUp drops the pending head if it has the given revision. The caller uses it if the
+// source of the head can't deliver its sections, so that a complete head from another
+// source can be adopted. Sections that were delivered already are kept.
 func (f *Follower) GiveUp(r ggscore.Revision) {
 	if f.pending != nil && f.pending.Revision == r {
 		f.pending = nil
 	}
 }
 
-// Head returns the head in force.
+// Head returns the current head.
 func (f *Follower) Head() Head { return f.head }
 
-// Missing returns the digests to pull for the head that is pending.
+// Missing returns the digests of the section texts to pull for the pending head.
 func (f *Follower) Missing() []ggscore.Digest {
 	if f.pending == nil {
 		return nil
@@ -91,16 +92,15 @@
 	return l
 }
 
-// Offer takes a head from the platform or a peer. It reports whether the head
-// was adopted at once; else Missing says what to pull for it. A head lower
-// than the one in force is refused with a *LowerHeadError, another head of the
-// same revision with a *ForkedHeadError.
+// Offer offers a head from the platform or a peer. It reports whether the head was
+// adopted at once. Otherwise Missing returns the section texts to pull for it. Offer
+// rejects a head with a revision lower than the current one with a *LowerHeadError, and
+// another head of the same revision with a *ForkedHeadError.
 //
-// The refusal guards against a platform that was restored from an old copy and
-// against peers that were cut off: both show an earlier document in good
-// faith, and a process that took it would take back an accepted change. The
-// revision grows with each change by compare-and-swap on one key, so a lower
-// one is older.
+// The rejection guards against a platform that was restored from an old copy and
+// against peers that were disconnected. Both offer an earlier document, and adopting it
+// would undo an accepted change. Each change increments the revision by
+// compare-and-swap on one key, so a lower revision is older.
 func (f *Follower) Offer(h Head) (bool, error) {
 	if h.Revision < f.head.Revision {
 		return false, &LowerHeadError{Offered: h.Revision, Have: f.head.Revision}
@@ -115,12 +115,13 @@
 		return false, nil
 	}
 	f.pending = &h
-	return f.adoptIfWhole()
+	return f.adoptIfComplete()
 }
 
-// adoptIfWhole adopts the pending head if all its sections are there. A head
-// that forms no valid document is dropped for good: only a later one follows.
-func (f *Follower) adoptIfWhole() (bool, error) {
+// adoptIfComplete adopts the pending head if all its sections are delivered. A head
+// that forms no valid document is rejected permanently: only a head with a later
+// revision can be adopted.
+func (f *Follower) adoptIfComplete() (bool, error) {
 	if f.pending == nil || len(f.Missing()) > 0 {
 		return false, nil
 	}
@@ -136,7 +137,7 @@
 	return true, nil
 }
 
-// build forms the document of a head whose sections are all there.
+// build builds the document of a complete head.
 func (f *Follower) build(h Head) (map[ggscore.SectionName]parsedSection, *ggscore.Document, error) {
 	m, err := f.parse(h)
 	if err != nil {
@@ -150,13 +151,13 @@
 	return m, d, err
 }
 
-// isParsed reports whether the head in force has the section.
+// isParsed reports whether the current head has the section with this digest.
 func (f *Follower) isParsed(n ggscore.SectionName, d ggscore.Digest) bool {
 	p, found := f.parsed[n]
 	return found && p.digest == d
 }
 
-// parse parses the sections that the head in force doesn't have.
+// parse parses the sections that the current head doesn't have.
 func (f *Follower) parse(h Head) (map[ggscore.SectionName]parsedSection, error) {
 	m := make(map[ggscore.SectionName]parsedSection, len(h.Sections))
 	for _, n := range slices.Sorted(maps.Keys(h.Sections)) {
--- a/core/ggsdocument/follower_test.go
+++ b/core/ggsdocument/follower_test.go
@@ -10,7 +10,7 @@
 	"greengageslip/core/ggsdocument"
 )
 
-// A weightParser takes a section's length for the market's weight.
+// A weightParser uses the length of a section's text as the market's weight.
 type weightParser struct{}
 
 func (weightParser) ParseSection(n ggscore.SectionName, text []byte) (*ggsdocument.Section, error) {
@@ -26,7 +26,7 @@
 	return next
 }
 
-// offer offers a head and delivers the texts that are asked for.
+// offer offers a head and delivers texts until it is adopted.
 func offer(c *qt.C, f *ggsdocument.Follower, h ggsdocument.Head, texts ...string) (bool, error) {
 	c.Helper()
 	adopted, err := f.Offer(h)
@@ -39,7 +39,7 @@
 	return adopted, err
 }
 
-func TestFollowerAdoptsWholeHeads(t *testing.T) {
+func TestFollowerAdoptsCompleteHeads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	h1 := accepted(c, ggsdocument.Head{}, "market/cr", "1", "a")
@@ -72,8 +72,8 @@
 	c.Assert(f.Current().Markets["wa"].Weight, qt.Equals, 2)
 }
 
-// A platform restored from an old copy, or a peer that was cut off, shows an
-// earlier head. A process that took it would undo an accepted change.
+// A platform restored from an old copy, or a peer that was disconnected, offers an
+// earlier head. Adopting it would undo an accepted change.
 func TestFollowerRefusesLowerHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -94,9 +94,9 @@
 	c.Assert(f.Current().Markets["cr"].Weight, qt.Equals, 2)
 }
 
-// A peer offers a head and dies before its sections were pulled. A lower head,
-// still higher than the one in force, must not wait for it.
-func TestFollowerGivesUpHead(t *testing.T) {
+// A peer offers a head and crashes before its sections were pulled. The follower must
+// then adopt a lower head that is still higher than the current one.
+func TestFollowerDropsPendingHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	h1 := accepted(c, ggsdocument.Head{}, "market/cr", "1", "a")
@@ -113,9 +113,9 @@
 	c.Assert(adopted, qt.IsTrue)
 }
 
-// A head that this process can't read, since a newer client wrote it, is
-// passed over; the next one that it can read is taken.
-func TestFollowerPassesOverInvalidHead(t *testing.T) {
+// A newer client wrote a head that this process can't parse. The follower must skip it
+// and adopt the next valid head.
+func TestFollowerSkipsInvalidHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	h1 := accepted(c, ggsdocument.Head{}, "market/cr", "1", "a")
@@ -161,10 +161,10 @@
 	c.Assert(r, qt.Equals, ggscore.Revision(1))
 }
 
-// Two processes have different heads of one revision, since the platform was
-// restored from an older copy in between. A delta between them would give a
-// document that nobody accepted.
-func TestDelta(t *testing.T) {
+// Two processes have different heads of one revision, since the platform was restored
+// from an older copy in between. A delta between them would result in a document that
+// nobody accepted.
+func TestDeltaAndExtends(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	h1 := accepted(c, ggsdocument.Head{}, "market/cr", "1", "a")
--- a/core/ggsdocument/head.go
+++ b/core/ggsdocument/head.go
@@ -7,21 +7,21 @@
 	ggscore "greengageslip/core"
 )
 
-// HistoryLength is the number of latest changes that a head remembers.
+// HistoryLength is the maximum number of changes in a head's history.
 const HistoryLength = 64
 
-// A ChangeID names one change of an operator. It is unique for ever.
+// A ChangeID identifies one change by an operator. It is globally unique.
 type ChangeID string
 
-// A Head is the document's head: its revision, the text of each section by
-// digest, and its latest changes, the oldest first. A Head is immutable.
+// A Head describes a state of the document: its revision, the digest of each section's
+// text, and its latest changes, the oldest first. A Head is immutable.
 type Head struct {
 	Revision ggscore.Revision
 	Sections map[ggscore.SectionName]SectionState
 	Changes  []AcceptedChange
 }
 
-// A SectionState is a section as the head has it.
+// A SectionState is the state of a section in a head.
 type SectionState struct {
 	Digest ggscore.Digest
 	// Revision, By and Change describe the section's latest change.
@@ -30,13 +30,12 @@
 	Change   ChangeID
 }
 
-// An AcceptedChange is a change that made a revision.
+// An AcceptedChange is a change in a head's history.
 type AcceptedChange struct {
 	ID       ChangeID
 	Revision ggscore.Revision
 	Section  ggscore.SectionName
-	// Replaced is the digest of the text that the change replaced, zero for a
-	// new section.
+	// Replaced is the digest of the text that the change replaced, zero for a new section.
 	Replaced ggscore.Digest
 }
 
@@ -45,26 +44,27 @@
 	ID      ChangeID
 	Section ggscore.SectionName
 	Digest  ggscore.Digest
-	// ReadAt is the revision that the operator read before changing.
+	// ReadAt is the revision that the operator read before the change.
 	ReadAt ggscore.Revision
 	By     string
 }
 
-// A Fate says what a head shows of a change.
+// A Fate is the outcome of a change as far as a head shows it.
 type Fate int
 
-// The fates of changes.
+// The outcomes of changes.
 const (
-	// FateUnknown means that the history no longer reaches back far enough.
+	// FateUnknown means that the history doesn't reach back far enough.
 	FateUnknown Fate = iota
-	// FateAccepted means that the change made a revision.
+	// FateAccepted means that the change was accepted as a revision.
 	FateAccepted
 	// FateNotAccepted means that the change is in no revision up to the head.
 	FateNotAccepted
 )
 
-// Accept returns the head after a change. It returns a *SectionConflictError
-// if the section was changed after the revision that the operator read.
+// Accept returns the head after a change. It fails with a *SectionConflictError if the
+// section was changed after the revision that the operator read, or with a
+// *FutureRevisionError if that revision is newer than the head.
 func (h Head) Accept(c Change) (Head, error) {
 	if err := h.CheckConflict(c); err != nil {
 		return Head{}, err
@@ -82,14 +82,13 @@
 	n.Changes = append(n.Changes, AcceptedChange{
 		ID: c.ID, Revision: n.Revision, Section: c.Section, Replaced: replaced,
 	})
-	if drop := len(n.Changes) - HistoryLength; drop > 0 {
-		n.Changes = slices.Delete(n.Changes, 0, drop)
+	if excess := len(n.Changes) - HistoryLength; excess > 0 {
+		n.Changes = slices.Delete(n.Changes, 0, excess)
 	}
 	return n, nil
 }
 
-// CheckConflict returns the failure, if any, for which a change can't be
-// accepted on the head.
+// CheckConflict returns the error with which Accept would reject a change, or nil.
 func (h Head) CheckConflict(c Change) error {
 	if c.ReadAt > h.Revision {
 		return &FutureRevisionError{ReadAt: c.ReadAt, Have: h.Revision}
@@ -103,15 +102,15 @@
 	return nil
 }
 
-// Equal reports whether two heads have the same revision and sections. Their
-// histories may reach back differently far.
+// Equal reports whether two heads have the same revision and sections. Their histories
+// may have different lengths.
 func (h Head) Equal(o Head) bool {
 	return h.Revision == o.Revision && maps.Equal(h.Sections, o.Sections)
 }
 
-// Dropped returns the texts that a head needs no more and that the head before
-// it did: those replaced by the changes that left its history. It keeps texts
-// for as long as the history, since a reader may still hold an earlier head.
+// Dropped returns the digests of texts that the previous head needed and this head
+// doesn't: the texts replaced by changes that left the history. Texts are kept as long
+// as the history, since a reader may still hold an earlier head.
 func (h Head) Dropped(before Head) []ggscore.Digest {
 	used := map[ggscore.Digest]bool{{}: true}
 	for _, s := range h.Sections {
@@ -130,10 +129,11 @@
 	return l
 }
 
-// FateOf reports what became of a change that was first tried on a head of
-// revision tried. It is settled where the change is its section's latest one,
-// or where the history reaches back to the revision after tried.
-func (h Head) FateOf(id ChangeID, tried ggscore.Revision) (Fate, ggscore.Revision) {
+// FateOf returns the outcome of a change that was first attempted on a head of revision
+// attemptedAt, and the change's revision if it was accepted. The outcome is known if
+// the change is in the history or is the latest one of its section, or if the history
+// reaches back to the revision after attemptedAt.
+func (h Head) FateOf(id ChangeID, attemptedAt ggscore.Revision) (Fate, ggscore.Revision) {
 	for _, c := range h.Changes {
 		if c.ID == id {
 			return FateAccepted, c.Revision
@@ -144,10 +144,10 @@
 			return FateAccepted, s.Revision
 		}
 	}
-	if h.Revision <= tried {
+	if h.Revision <= attemptedAt {
 		return FateNotAccepted, 0
 	}
-	if len(h.Changes) > 0 && h.Changes[0].Revision <= tried+1 {
+	if len(h.Changes) > 0 && h.Changes[0].Revision <= attemptedAt+1 {
 		return FateNotAccepted, 0
 	}
 	return FateUnknown, 0
--- a/core/ggsdocument/resolve.go
+++ b/core/ggsdocument/resolve.go
@@ -6,8 +6,8 @@
 	ggscore "greengageslip/core"
 )
 
-// A Resolution is what the document says of one request. Adapter stands for
-// requests of model services, Operation for those of plain ones.
+// A Resolution is the part of the document that applies to one request. Adapter is set
+// for requests of model services, Operation for those of plain services.
 type Resolution struct {
 	Revision  ggscore.Revision
 	Market    ggscore.Market
@@ -17,10 +17,10 @@
 	Operation ggscore.OperationSpec
 }
 
-// Resolve finds the adapter that a request of a model service names, either as
-// "name@version" or as "name", which stands for the current version. It fails
-// with a *ggscore.BadAdapterRefError, *UnknownMarketError,
-// *UnknownServiceError, *UnknownAdapterError or *BaseModelMismatchError.
+// Resolve returns the adapter that a request of a model service names, either as
+// "name@version" or as "name" for the current version. It fails with a
+// *ggscore.BadAdapterRefError, *UnknownMarketError, *UnknownServiceError,
+// *UnknownAdapterError or *BaseModelMismatchError.
 func Resolve(d *ggscore.Document, m ggscore.Market, s ggscore.Service, model string) (Resolution, error) {
 	r, err := resolveUse(d, m, s, ggscore.KindModel)
 	if err != nil {
@@ -47,9 +47,8 @@
 	return r, nil
 }
 
-// ResolveOperation finds the operation that a request of a plain service
-// names. It fails with an *UnknownMarketError, *UnknownServiceError or
-// *UnknownOperationError.
+// ResolveOperation returns the operation that a request of a plain service names. It
+// fails with an *UnknownMarketError, *UnknownServiceError or *UnknownOperationError.
 func ResolveOperation(d *ggscore.Document, m ggscore.Market, s ggscore.Service, operation string) (Resolution, error) {
 	r, err := resolveUse(d, m, s, ggscore.KindPlain)
 	if err != nil {
@@ -63,7 +62,7 @@
 	return r, nil
 }
 
-// resolveUse finds the market's use of a service of the kind.
+// resolveUse returns the market's use of a service of the given kind.
 func resolveUse(d *ggscore.Document, m ggscore.Market, s ggscore.Service, k ggscore.ServiceKind) (Resolution, error) {
 	spec, found := d.Markets[m]
 	if !found {
--- a/core/ggsdocument/watchers.go
+++ b/core/ggsdocument/watchers.go
@@ -9,9 +9,9 @@
 	ggscore "greengageslip/core"
 )
 
-// Watchers returns the VMs of a domain that watch the platform for the rest of
-// it: the n first by rendezvous hashing over the live members. When a member
-// comes or goes, at most one watcher changes.
+// Watchers returns the VMs of a domain that watch the platform on behalf of the whole
+// domain: the first n of the live members by rendezvous hashing. At most one watcher
+// changes when a member joins or leaves.
 func Watchers(d ggscore.Domain, members []ggscore.VMID, n int) []ggscore.VMID {
 	type ranked struct {
 		vm   ggscore.VMID
