--- a/core/ggsclaim/writer_test.go
+++ b/core/ggsclaim/writer_test.go
@@ -60,11 +60,11 @@
 		"wait": func(*rapid.T) { w.now = w.now.Add(2 * time.Minute) },
 	}
 	names := []string{"crash", "wait", "cancel"}
-	for _, name := range []string{"start", "answer", "lose", "land", "begin", "dispatch", "finish"} {
-		names = append(names, name, name)
+	for _, common := range []string{"start", "answer", "lose", "land", "begin", "dispatch", "finish"} {
+		names = append(names, common, common)
 	}
-	for _, name := range []string{"begin", "settle", "dispatch"} {
-		names = append(names, name, name, name, name)
+	for _, frequent := range []string{"begin", "settle", "dispatch"} {
+		names = append(names, frequent, frequent, frequent, frequent)
 	}
 	return names, act
 }
