--- a/core/ggsclaim/decision.go
+++ b/core/ggsclaim/decision.go
@@ -24,15 +24,15 @@
 	// DecisionExpired means that the key is past its retention, so an earlier outcome may
 	// be deleted.
 	DecisionExpired
-	// DecisionAway means that the platform's key-value service was unavailable. This
+	// DecisionUnavailable means that the platform's key-value service was unavailable. This
 	// attempt of the request is not dispatched.
-	DecisionAway
+	DecisionUnavailable
 	// DecisionFull means that the key is not claimed and its shard is full.
 	DecisionFull
 	// DecisionRecorded is the answer to Finish if the outcome is recorded.
 	DecisionRecorded
-	// DecisionGone is the answer to Finish if the claim is not recorded any more.
-	DecisionGone
+	// DecisionClaimMissing is the answer to Finish if the claim is not recorded any more.
+	DecisionClaimMissing
 )
 
 // A Grant is the right to dispatch a request once.
@@ -115,14 +115,14 @@
 			Kind: ggscore.FailureKeyExpired, Outcome: ggscore.OutcomeUnknown,
 			Detail: "the idempotency key is older than the retention period",
 		}
-	case DecisionAway:
+	case DecisionUnavailable:
 		return unavailableFailure(d, firstSend)
 	case DecisionFull:
 		return &ggscore.Failure{
 			Kind: ggscore.FailureNoCapacity, Outcome: ggscore.OutcomeNotRun,
 			Detail: "the claim shard for this minute of issue is full", RetryAfter: d.RetryAfter,
 		}
-	case DecisionGranted, DecisionRecorded, DecisionGone:
+	case DecisionGranted, DecisionRecorded, DecisionClaimMissing:
 	}
 	return nil
 }
--- a/core/ggsclaim/limits.go
+++ b/core/ggsclaim/limits.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Epochs returns the maximum number of epochs that hold keys at the same time.
-func (l Limits) Epochs() int {
+// MaxEpochs returns the maximum number of epochs that hold keys at the same time.
+func (l Limits) MaxEpochs() int {
 	return int((l.Retention+3*l.Margin)/EpochLength) + 2
 }
 
@@ -50,14 +50,14 @@
 	return issued.Add(l.Retention - l.Margin)
 }
 
-// Forgotten reports whether an epoch may be deleted.
-func (l Limits) Forgotten(now time.Time, epoch int64) bool {
+// EpochExpired reports whether an epoch may be deleted.
+func (l Limits) EpochExpired(now time.Time, epoch int64) bool {
 	end := time.UnixMilli((epoch + 1) * EpochLength.Milliseconds())
 	return now.After(end.Add(l.Retention + l.Margin))
 }
 
-// StateBytes returns the maximum size of all shards in the platform's key-value
+// MaxStoreBytes returns the maximum size of all shards in the platform's key-value
 // service.
-func (l Limits) StateBytes() int64 {
-	return int64(l.Epochs()) * Shards * int64(l.ShardBytes)
+func (l Limits) MaxStoreBytes() int64 {
+	return int64(l.MaxEpochs()) * Shards * int64(l.ShardBytes)
 }
--- a/core/ggsclaim/model_test.go
+++ b/core/ggsclaim/model_test.go
@@ -76,7 +76,7 @@
 		ok = r.state != 0 && r.body != i.body
 	case DecisionExpired:
 		ok = true
-	case DecisionAway, 0:
+	case DecisionUnavailable, 0:
 		if free {
 			return []any{r, claimed}
 		}
@@ -96,9 +96,9 @@
 	switch {
 	// DecisionGone is also the answer to a record whose write took effect, if the answer
 	// was lost and the key was claimed again afterwards.
-	case (o.kind == DecisionRecorded || o.kind == DecisionGone) && open:
+	case (o.kind == DecisionRecorded || o.kind == DecisionClaimMissing) && open:
 		return []any{ended}
-	case o.kind == DecisionRecorded && mine, o.kind == DecisionGone && !mine:
+	case o.kind == DecisionRecorded && mine, o.kind == DecisionClaimMissing && !mine:
 		return []any{r}
 	case o.kind == 0 && open:
 		return []any{r, ended}
--- a/core/ggsclaim/world_test.go
+++ b/core/ggsclaim/world_test.go
@@ -115,7 +115,7 @@
 	case step.Kind == StepIdle:
 		return
 	case how == endAway, step.Kind == StepRead && how != endAnswered:
-		pr.writer.Away(time.Second)
+		pr.writer.Unavailable(time.Second)
 	case step.Kind == StepRead:
 		pr.writer.ReadDone(w.shard, w.revision)
 	case how == endLostBeforeEffect:
@@ -165,7 +165,7 @@
 		Input: a.in, Call: a.call, Output: output{kind: d.Kind, state: d.State}, Return: w.tick(),
 	})
 	// From now on an abandoned claim may be released at any time.
-	if d.Kind == DecisionAway {
+	if d.Kind == DecisionUnavailable {
 		w.recordPossibleRelease(a)
 	}
 }
@@ -178,7 +178,7 @@
 func (w *world) cancel(op OpID) {
 	a := w.attempts[op]
 	w.processes[a.process].writer.Cancel(op)
-	w.answer(a, Decision{Kind: DecisionAway})
+	w.answer(a, Decision{Kind: DecisionUnavailable})
 }
 
 // crash discards the state of a process; its write may still take effect.
--- a/core/ggsclaim/writer.go
+++ b/core/ggsclaim/writer.go
@@ -85,17 +85,17 @@
 // NewWriter returns a Writer that has not read its shard yet.
 func NewWriter(l Limits) *Writer { return &Writer{limits: l} }
 
-// Away reports that a read failed, or that a write had no effect because the platform's
+// Unavailable reports that a read failed, or that a write had no effect because the platform's
 // key-value service did not accept it. Claims are answered at once by Recall and not
 // dispatched. Outcomes stay pending and are retried.
-func (w *Writer) Away(retryAfter time.Duration) {
+func (w *Writer) Unavailable(retryAfter time.Duration) {
 	w.requeue()
 	w.cached = false
 	kept := w.pending[:0]
 	for _, o := range w.pending {
 		o.reading = false
 		if o.finish == 0 {
-			w.settle(o, w.Recall(o.key, o.body, retryAfter))
+			w.settle(o, w.DecideFromCache(o.key, o.body, retryAfter))
 			if !o.maybeWritten {
 				continue
 			}
@@ -185,15 +185,15 @@
 	}
 }
 
-// Recall decides on a key from the last known shard while the platform's key-value
+// DecideFromCache decides on a key from the last known shard while the platform's key-value
 // service is unavailable. A recorded response stays valid. Any other claim may have
 // changed since, so the decision states only that the key was seen before.
-func (w *Writer) Recall(k Key, b BodyHash, retryAfter time.Duration) Decision {
+func (w *Writer) DecideFromCache(k Key, b BodyHash, retryAfter time.Duration) Decision {
 	c, seen := w.shard.Claims[k.Hash]
 	if seen && c.State == StateDone && c.Body == b {
 		return Decision{Kind: DecisionReplay, State: c.State, Result: c.Result}
 	}
-	return Decision{Kind: DecisionAway, Seen: seen, RetryAfter: retryAfter}
+	return Decision{Kind: DecisionUnavailable, Seen: seen, RetryAfter: retryAfter}
 }
 
 // Settled returns the operations answered since the last call.
@@ -309,7 +309,7 @@
 func (w *Writer) record(s *Shard, o *operation) (Decision, bool) {
 	c, ok := s.Claims[o.key.Hash]
 	if !ok || c.ID != o.claim {
-		return Decision{Kind: DecisionGone}, false
+		return Decision{Kind: DecisionClaimMissing}, false
 	}
 	if c.State != StateClaimed && c.State != StateUnknown || c.State == o.finish {
 		return Decision{Kind: DecisionRecorded}, false
--- a/core/ggsclaim/writer_test.go
+++ b/core/ggsclaim/writer_test.go
@@ -234,7 +234,7 @@
 	w.finishIO(0, endLostAfterEffect)
 	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 	w.settle(0)
-	c.Assert(w.lastAnswer().kind, qt.Equals, DecisionGone)
+	c.Assert(w.lastAnswer().kind, qt.Equals, DecisionClaimMissing)
 	c.Assert(porcupine.CheckOperations(model(), w.history), qt.IsTrue, qt.Commentf(w.print()))
 }
 
--- a/core/ggsdocument/delta.go
+++ b/core/ggsdocument/delta.go
@@ -40,14 +40,14 @@
 	return d
 }
 
-// With returns the head after applying a delta since its revision. The new head has no
+// Apply returns the head after applying a delta since its revision. The new head has no
 // history, which only editors need.
 //
 // The checksum guards against a fork. After the platform was restored from an older
 // copy, two processes may have different heads of the same revision, and a delta for
-// one head applied to the other would result in a document that nobody accepted. With
+// one head applied to the other would result in a document that nobody accepted. Apply
 // fails with a *DeltaError, and the caller must then request the whole head.
-func (h Head) With(d Delta) (Head, error) {
+func (h Head) Apply(d Delta) (Head, error) {
 	n := Head{Revision: d.Revision, Sections: map[ggscore.SectionName]SectionState{}}
 	maps.Copy(n.Sections, h.Sections)
 	maps.Copy(n.Sections, d.Sections)
--- a/core/ggsdocument/errors.go
+++ b/core/ggsdocument/errors.go
@@ -107,8 +107,8 @@
 // operator had read. The rejected change had no effect.
 type SectionConflictError struct {
 	Section ggscore.SectionName
-	// ReadAt is the revision that the operator had read.
-	ReadAt ggscore.Revision
+	// BaseRevision is the revision that the operator had read.
+	BaseRevision ggscore.Revision
 	// Changed, By and Change describe the latest change of the section.
 	Changed ggscore.Revision
 	By      string
@@ -118,20 +118,20 @@
 // Error implements error.
 func (e *SectionConflictError) Error() string {
 	return fmt.Sprintf("section %s was changed at revision %d by %s (change %s), after revision %d that was read",
-		e.Section, e.Changed, e.By, e.Change, e.ReadAt)
+		e.Section, e.Changed, e.By, e.Change, e.BaseRevision)
 }
 
 // A FutureRevisionError reports that an operator states to have read a revision that is
 // newer than the head. Either the head was restored from an older copy of the
 // platform's data, or the revision is mistyped.
 type FutureRevisionError struct {
-	ReadAt ggscore.Revision
+	BaseRevision ggscore.Revision
 	Have   ggscore.Revision
 }
 
 // Error implements error.
 func (e *FutureRevisionError) Error() string {
-	return fmt.Sprintf("change rejected: revision %d that was read is newer than the platform's head at revision %d", e.ReadAt, e.Have)
+	return fmt.Sprintf("change rejected: revision %d that was read is newer than the platform's head at revision %d", e.BaseRevision, e.Have)
 }
 
 // A LowerHeadError reports a rejected head whose revision is lower than that of the
--- a/core/ggsdocument/follower.go
+++ b/core/ggsdocument/follower.go
@@ -65,10 +65,10 @@
 	return f.adoptIfComplete()
 }
 
-// GiveUp drops the pending head if it has the given revision. The caller uses it if the
+// DropPending drops the pending head if it has the given revision. The caller uses it if the
 // source of the head can't deliver its sections, so that a complete head from another
 // source can be adopted. Sections that were delivered already are kept.
-func (f *Follower) GiveUp(r ggscore.Revision) {
+func (f *Follower) DropPending(r ggscore.Revision) {
 	if f.pending != nil && f.pending.Revision == r {
 		f.pending = nil
 	}
--- a/core/ggsdocument/follower_test.go
+++ b/core/ggsdocument/follower_test.go
@@ -20,7 +20,7 @@
 func accepted(c *qt.C, h ggsdocument.Head, n ggscore.SectionName, text, id string) ggsdocument.Head {
 	c.Helper()
 	next, err := h.Accept(ggsdocument.Change{
-		ID: ggsdocument.ChangeID(id), Section: n, Digest: ggsdocument.DigestOf([]byte(text)), ReadAt: h.Revision, By: "ana",
+		ID: ggsdocument.ChangeID(id), Section: n, Digest: ggsdocument.DigestOf([]byte(text)), BaseRevision: h.Revision, By: "ana",
 	})
 	c.Assert(err, qt.IsNil)
 	return next
@@ -107,7 +107,7 @@
 	adopted, err := offer(c, f, h1, "1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(adopted, qt.IsFalse)
-	f.GiveUp(2)
+	f.DropPending(2)
 	adopted, err = offer(c, f, h1, "1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(adopted, qt.IsTrue)
@@ -142,22 +142,22 @@
 	for range ggsdocument.HistoryLength - 1 {
 		h = accepted(c, h, "market/cr", "1", "x")
 	}
-	fate, r := h.FateOf("first", 0)
-	c.Assert(fate, qt.Equals, ggsdocument.FateAccepted)
+	fate, r := h.ChangeStatus("first", 0)
+	c.Assert(fate, qt.Equals, ggsdocument.ChangeAccepted)
 	c.Assert(r, qt.Equals, ggscore.Revision(1))
-	fate, _ = h.FateOf("never", 0)
-	c.Assert(fate, qt.Equals, ggsdocument.FateNotAccepted)
+	fate, _ = h.ChangeStatus("never", 0)
+	c.Assert(fate, qt.Equals, ggsdocument.ChangeNotAccepted)
 	h = accepted(c, h, "market/cr", "1", "y")
 	c.Assert(h.Changes, qt.HasLen, ggsdocument.HistoryLength)
-	fate, _ = h.FateOf("first", 0)
-	c.Assert(fate, qt.Equals, ggsdocument.FateUnknown)
+	fate, _ = h.ChangeStatus("first", 0)
+	c.Assert(fate, qt.Equals, ggsdocument.ChangeUnknown)
 
 	latest := accepted(c, ggsdocument.Head{}, "market/wa", "1", "latest")
 	for range ggsdocument.HistoryLength {
 		latest = accepted(c, latest, "market/cr", "1", "x")
 	}
-	fate, r = latest.FateOf("latest", 0)
-	c.Assert(fate, qt.Equals, ggsdocument.FateAccepted)
+	fate, r = latest.ChangeStatus("latest", 0)
+	c.Assert(fate, qt.Equals, ggsdocument.ChangeAccepted)
 	c.Assert(r, qt.Equals, ggscore.Revision(1))
 }
 
@@ -172,15 +172,15 @@
 	h3 := accepted(c, h2, "market/cr", "22", "c")
 	d := h3.Since(2)
 	c.Assert(d.Sections, qt.HasLen, 1)
-	n, err := h2.With(d)
+	n, err := h2.Apply(d)
 	c.Assert(err, qt.IsNil)
 	c.Assert(n.Equal(h3), qt.IsTrue)
-	n, err = ggsdocument.Head{}.With(h3.Since(0))
+	n, err = ggsdocument.Head{}.Apply(h3.Since(0))
 	c.Assert(err, qt.IsNil)
 	c.Assert(n.Equal(h3), qt.IsTrue)
 
 	fork := accepted(c, h1, "market/wa", "333", "f")
-	_, err = fork.With(d)
+	_, err = fork.Apply(d)
 	var wrong *ggsdocument.DeltaError
 	c.Assert(errors.As(err, &wrong), qt.IsTrue)
 
--- a/core/ggsdocument/head.go
+++ b/core/ggsdocument/head.go
@@ -44,22 +44,22 @@
 	ID      ChangeID
 	Section ggscore.SectionName
 	Digest  ggscore.Digest
-	// ReadAt is the revision that the operator read before the change.
-	ReadAt ggscore.Revision
+	// BaseRevision is the revision that the operator read before the change.
+	BaseRevision ggscore.Revision
 	By     string
 }
 
-// A Fate is the outcome of a change as far as a head shows it.
-type Fate int
+// A ChangeStatus is the outcome of a change as far as a head shows it.
+type ChangeStatus int
 
 // The outcomes of changes.
 const (
-	// FateUnknown means that the history doesn't reach back far enough.
-	FateUnknown Fate = iota
-	// FateAccepted means that the change was accepted as a revision.
-	FateAccepted
-	// FateNotAccepted means that the change is in no revision up to the head.
-	FateNotAccepted
+	// ChangeUnknown means that the history doesn't reach back far enough.
+	ChangeUnknown ChangeStatus = iota
+	// ChangeAccepted means that the change was accepted as a revision.
+	ChangeAccepted
+	// ChangeNotAccepted means that the change is in no revision up to the head.
+	ChangeNotAccepted
 )
 
 // Accept returns the head after a change. It fails with a *SectionConflictError if the
@@ -90,13 +90,13 @@
 
 // CheckConflict returns the error with which Accept would reject a change, or nil.
 func (h Head) CheckConflict(c Change) error {
-	if c.ReadAt > h.Revision {
-		return &FutureRevisionError{ReadAt: c.ReadAt, Have: h.Revision}
+	if c.BaseRevision > h.Revision {
+		return &FutureRevisionError{BaseRevision: c.BaseRevision, Have: h.Revision}
 	}
 	s, found := h.Sections[c.Section]
-	if found && s.Revision > c.ReadAt {
+	if found && s.Revision > c.BaseRevision {
 		return &SectionConflictError{
-			Section: c.Section, ReadAt: c.ReadAt, Changed: s.Revision, By: s.By, Change: s.Change,
+			Section: c.Section, BaseRevision: c.BaseRevision, Changed: s.Revision, By: s.By, Change: s.Change,
 		}
 	}
 	return nil
@@ -108,10 +108,10 @@
 	return h.Revision == o.Revision && maps.Equal(h.Sections, o.Sections)
 }
 
-// Dropped returns the digests of texts that the previous head needed and this head
+// UnusedTexts returns the digests of texts that the previous head needed and this head
 // doesn't: the texts replaced by changes that left the history. Texts are kept as long
 // as the history, since a reader may still hold an earlier head.
-func (h Head) Dropped(before Head) []ggscore.Digest {
+func (h Head) UnusedTexts(before Head) []ggscore.Digest {
 	used := map[ggscore.Digest]bool{{}: true}
 	for _, s := range h.Sections {
 		used[s.Digest] = true
@@ -129,26 +129,26 @@
 	return l
 }
 
-// FateOf returns the outcome of a change that was first attempted on a head of revision
+// ChangeStatus returns the outcome of a change that was first attempted on a head of revision
 // attemptedAt, and the change's revision if it was accepted. The outcome is known if
 // the change is in the history or is the latest one of its section, or if the history
 // reaches back to the revision after attemptedAt.
-func (h Head) FateOf(id ChangeID, attemptedAt ggscore.Revision) (Fate, ggscore.Revision) {
+func (h Head) ChangeStatus(id ChangeID, attemptedAt ggscore.Revision) (ChangeStatus, ggscore.Revision) {
 	for _, c := range h.Changes {
 		if c.ID == id {
-			return FateAccepted, c.Revision
+			return ChangeAccepted, c.Revision
 		}
 	}
 	for _, s := range h.Sections {
 		if s.Change == id {
-			return FateAccepted, s.Revision
+			return ChangeAccepted, s.Revision
 		}
 	}
 	if h.Revision <= attemptedAt {
-		return FateNotAccepted, 0
+		return ChangeNotAccepted, 0
 	}
 	if len(h.Changes) > 0 && h.Changes[0].Revision <= attemptedAt+1 {
-		return FateNotAccepted, 0
+		return ChangeNotAccepted, 0
 	}
-	return FateUnknown, 0
+	return ChangeUnknown, 0
 }
--- a/io/ggsclaims/committer.go
+++ b/io/ggsclaims/committer.go
@@ -164,7 +164,7 @@
 }
 
 func (c *Committer) away() ggsclaim.Decision {
-	return ggsclaim.Decision{Kind: ggsclaim.DecisionAway, RetryAfter: c.opts.RetryAfter}
+	return ggsclaim.Decision{Kind: ggsclaim.DecisionUnavailable, RetryAfter: c.opts.RetryAfter}
 }
 
 func (c *Committer) begin(
@@ -207,7 +207,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if sh, ok := c.shards[k.Slot()]; ok {
-		return sh.writer.Recall(k, b, c.opts.RetryAfter)
+		return sh.writer.DecideFromCache(k, b, c.opts.RetryAfter)
 	}
 	return c.away()
 }
@@ -229,7 +229,7 @@
 		switch s.Decision.Kind {
 		case ggsclaim.DecisionGranted:
 			c.stats.Granted++
-		case ggsclaim.DecisionAway:
+		case ggsclaim.DecisionUnavailable:
 			c.stats.Away++
 		default:
 		}
--- a/io/ggsclaims/sweep.go
+++ b/io/ggsclaims/sweep.go
@@ -40,7 +40,7 @@
 		first = n
 	}
 	epoch := first
-	for c.opts.Limits.Forgotten(now, epoch) && epoch < first+maxSweepEpochs {
+	for c.opts.Limits.EpochExpired(now, epoch) && epoch < first+maxSweepEpochs {
 		if err := c.deleteEpoch(ctx, epoch); err != nil {
 			return errors.Wrap(err, "sweep claims")
 		}
@@ -100,6 +100,6 @@
 
 // oldestEpoch returns the epoch before all that can hold keys.
 func oldestEpoch(now time.Time, l ggsclaim.Limits) int64 {
-	age := time.Duration(l.Epochs()) * ggsclaim.EpochLength
+	age := time.Duration(l.MaxEpochs()) * ggsclaim.EpochLength
 	return now.Add(-age).UnixMilli() / ggsclaim.EpochLength.Milliseconds()
 }
--- a/io/ggsclaims/work.go
+++ b/io/ggsclaims/work.go
@@ -123,7 +123,7 @@
 		c.awayUntil = until
 	}
 	before := sh.writer.Len()
-	sh.writer.Away(c.opts.RetryAfter)
+	sh.writer.Unavailable(c.opts.RetryAfter)
 	sh.queued = false
 	c.deliver(sh)
 	c.count(before, sh)
--- a/io/ggsconfig/attempt.go
+++ b/io/ggsconfig/attempt.go
@@ -40,7 +40,7 @@
 		return err
 	}
 	return &UnknownOutcomeError{
-		Change: a.change.ID, Section: a.change.Section, ReadAt: a.change.ReadAt, Cause: err,
+		Change: a.change.ID, Section: a.change.Section, ReadAt: a.change.BaseRevision, Cause: err,
 	}
 }
 
@@ -65,11 +65,11 @@
 	if !a.ambiguous {
 		a.tried = h.Revision
 	}
-	fate, r := h.FateOf(a.change.ID, a.tried)
-	if fate == ggsdocument.FateAccepted {
+	fate, r := h.ChangeStatus(a.change.ID, a.tried)
+	if fate == ggsdocument.ChangeAccepted {
 		return Accepted{Revision: r}, nil
 	}
-	if fate == ggsdocument.FateUnknown {
+	if fate == ggsdocument.ChangeUnknown {
 		return Accepted{}, &HistoryPassedError{Tried: a.tried, Have: h.Revision}
 	}
 	next, err := h.Accept(a.change)
@@ -85,7 +85,7 @@
 	if err = writeText(ctx, e.store, a.change.Digest, a.edit.Text); err != nil {
 		return Accepted{}, err
 	}
-	dropped := e.readDropped(ctx, next.Dropped(h))
+	dropped := e.readDropped(ctx, next.UnusedTexts(h))
 	_, err = e.store.Put(ctx, HeadKey, EncodeHead(next), n.Revision, 0)
 	var lost *ggscore.AmbiguousWriteError
 	if errors.As(err, &lost) {
--- a/io/ggsconfig/bench_test.go
+++ b/io/ggsconfig/bench_test.go
@@ -91,7 +91,7 @@
 					ID:      ggsdocument.ChangeID(uuid.NewString()),
 					Section: ggscore.SectionName(fmt.Sprint("market/m", i%n)),
 					Digest:  ggsdocument.DigestOf([]byte(strconv.Itoa(i))),
-					ReadAt:  h.Revision, By: "ana",
+					BaseRevision:  h.Revision, By: "ana",
 				})
 				if err != nil {
 					b.Fatal(err)
@@ -124,7 +124,7 @@
 		d := ggsdocument.DigestOf(t)
 		texts[d] = t
 		var err error
-		if h, err = h.Accept(ggsdocument.Change{Section: n, Digest: d, ReadAt: h.Revision}); err != nil {
+		if h, err = h.Accept(ggsdocument.Change{Section: n, Digest: d, BaseRevision: h.Revision}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/io/ggsconfig/editor.go
+++ b/io/ggsconfig/editor.go
@@ -92,7 +92,7 @@
 		edit:    d,
 		section: s,
 		change: ggsdocument.Change{
-			ID: d.ID, Section: d.Section, Digest: ggsdocument.DigestOf(d.Text), ReadAt: d.ReadAt, By: d.By,
+			ID: d.ID, Section: d.Section, Digest: ggsdocument.DigestOf(d.Text), BaseRevision: d.ReadAt, By: d.By,
 		},
 		sections:  map[ggscore.Digest]*ggsdocument.Section{},
 		highest:   e.options.Floor,
--- a/io/ggsconfig/editor_test.go
+++ b/io/ggsconfig/editor_test.go
@@ -58,7 +58,7 @@
 	var conflict *ggsdocument.SectionConflictError
 	c.Assert(errors.As(err, &conflict), qt.IsTrue)
 	c.Assert(*conflict, qt.Equals, ggsdocument.SectionConflictError{
-		Section: "market/cr", ReadAt: 2, Changed: 3, By: "op-a", Change: "a",
+		Section: "market/cr", BaseRevision: 2, Changed: 3, By: "op-a", Change: "a",
 	})
 }
 
--- a/io/ggsconfig/follower.go
+++ b/io/ggsconfig/follower.go
@@ -239,7 +239,7 @@
 func (f *Follower) giveUp(r ggscore.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rules.GiveUp(r)
+	f.rules.DropPending(r)
 	f.state.Failed++
 }
 
--- a/io/ggsconfig/peer.go
+++ b/io/ggsconfig/peer.go
@@ -142,7 +142,7 @@
 	if !r.Newer {
 		return ggsdocument.Head{}, false, nil
 	}
-	h, err := have.With(deltaOf(&r))
+	h, err := have.Apply(deltaOf(&r))
 	return h, err == nil, err
 }
 
--- a/io/ggsconfig/text_test.go
+++ b/io/ggsconfig/text_test.go
@@ -68,7 +68,7 @@
 			n, err := newEditor(s).Read(context.Background())
 			c.Assert(err, qt.IsNil)
 			c.Assert(string(n.Texts["market/cr"]), qt.Equals, string(old))
-			c.Assert(n.Head.Dropped(before), qt.HasLen, 0)
+			c.Assert(n.Head.UnusedTexts(before), qt.HasLen, 0)
 		})
 	}
 }
