--- a/core/ggsroute/apply.go
+++ b/core/ggsroute/apply.go
@@ -6,91 +6,91 @@
 	ggscore "greengageslip/core"
 )
 
-// A view is what the router has read of one board.
-type view struct {
+// A boardState is the router's copy of one board, up to a version.
+type boardState struct {
 	version uint64
 	members map[uint32]*member
 }
 
-// A member is a dispatcher as one board tells of it.
+// A member is a dispatcher as one board describes it.
 type member struct {
-	group       *group
+	dispatcher  *dispatcher
 	incarnation string
 	gone        bool
 }
 
-// Apply takes what has changed on a board, and reports whether it builds on
-// what the router has read of that board; else the board is to be read from
-// version zero.
+// Apply applies changes of a board. It returns false if the changes don't start
+// at the version that the router has of the board; the caller then reads the
+// board again from version zero.
 //
-// A board's dispatchers count as heard of whenever the board answers: it marks
-// those that it has lost itself. Changes hold whole values and not
-// differences, so those of a second board, of which some are older than what
-// the first told, are taken where they are news and left out where not.
+// Each answer of a board renews the expiry of all its dispatchers that aren't
+// marked as gone: the board itself marks those whose summaries no longer arrive.
+// Changes hold whole values and not differences. Changes of several boards can
+// therefore be mixed, and those that are older than the router's state are skipped.
 func (r *Router) Apply(now time.Time, c *Changes) bool {
-	v, ok := r.boards[c.Board]
+	b, ok := r.boards[c.Board]
 	if !ok || c.From == 0 {
-		v = &view{members: map[uint32]*member{}}
-		r.boards[c.Board] = v
+		b = &boardState{members: map[uint32]*member{}}
+		r.boards[c.Board] = b
 	}
-	if c.From != v.version {
+	if c.From != b.version {
 		return false
 	}
-	v.version = c.To
+	b.version = c.To
 	for i := range c.Groups {
-		r.applyGroup(now, v, &c.Groups[i])
+		r.applyDispatcher(now, b, &c.Groups[i])
 	}
-	for _, m := range v.members {
-		if !m.gone && m.incarnation == m.group.order.incarnation {
-			m.group.expires = now.Add(r.options.MaxAge)
+	for _, m := range b.members {
+		if !m.gone && m.incarnation == m.dispatcher.order.incarnation {
+			m.dispatcher.expires = now.Add(r.options.MaxAge)
 		}
 	}
 	return true
 }
 
-// Forget drops a board that is no longer read.
+// Forget deletes the state of a board that is no longer read.
 func (r *Router) Forget(board string) { delete(r.boards, board) }
 
-// Version returns how far the router has read a board.
+// Version returns the version up to which the router has read a board, or zero.
 func (r *Router) Version(board string) uint64 {
-	if v, ok := r.boards[board]; ok {
-		return v.version
+	if b, ok := r.boards[board]; ok {
+		return b.version
 	}
 	return 0
 }
 
-// applyGroup takes the change of one dispatcher.
-func (r *Router) applyGroup(now time.Time, v *view, c *GroupChange) {
-	m := v.members[c.Number]
+// applyDispatcher applies the change of one dispatcher.
+func (r *Router) applyDispatcher(now time.Time, b *boardState, c *GroupChange) {
+	m := b.members[c.Number]
 	if i := c.Identity; i != nil {
-		m = &member{group: r.groupOf(i.VM), incarnation: i.Incarnation}
-		r.place(m.group, i.Region)
-		v.members[c.Number] = m
+		m = &member{dispatcher: r.dispatcherOf(i.VM), incarnation: i.Incarnation}
+		r.setRegion(m.dispatcher, i.Region)
+		b.members[c.Number] = m
 	}
 	if m == nil {
 		return
 	}
 	m.gone = c.Gone
 	if c.Gone {
-		m.group.expires = time.Time{}
+		m.dispatcher.expires = time.Time{}
 	}
 	s := ggscore.DispatcherSummary{Incarnation: m.incarnation, Sequence: c.Sequence, Leaving: c.Leaving}
-	if !m.group.order.accept(&s, m.group.silent(now)) {
+	if !m.dispatcher.order.accept(&s, m.dispatcher.stale(now)) {
 		return
 	}
 	for i := range c.Pools {
-		r.poolOf(m.group, c.Pools[i].Service).apply(now, &c.Pools[i], c.Identity != nil)
+		r.poolOf(m.dispatcher, c.Pools[i].Service).apply(now, &c.Pools[i], c.Identity != nil)
 	}
 }
 
-// apply takes the change of one pool. A whole one replaces all that was known.
+// apply applies the change of one pool. A whole one replaces the earlier state.
 func (p *pool) apply(now time.Time, c *PoolChange, whole bool) {
 	homes := p.homes
 	if whole {
 		p.clear()
 	} else {
 		p.service.loading -= p.loading
-		p.sent = 0
+		p.unreported = 0
 	}
 	p.homes = homes
 	if c.Homes != nil {
@@ -101,17 +101,17 @@
 	for _, h := range c.Held {
 		p.applyHolding(h)
 	}
-	p.spread()
+	p.distributeLoad()
 	if whole || len(c.Held) > 0 {
-		p.settle(now)
+		p.finishUpdate(now)
 		return
 	}
 	p.service.loading += p.loading
 }
 
-// applyHolding takes where one adapter is.
+// applyHolding applies the change of one adapter.
 func (p *pool) applyHolding(h Holding) {
-	x := p.hold(h.Adapter)
+	x := p.ensureHolder(h.Adapter)
 	if h.Resident == 0 && !h.Loading {
 		x.generation = 0
 		x.loading = false
@@ -122,12 +122,13 @@
 	x.presumedUntil = time.Time{}
 }
 
-// spread gives each holder its runners' part of the pool's load.
-func (p *pool) spread() {
+// distributeLoad gives each holder the part of the pool's slots and load that
+// corresponds to the number of its runners.
+func (p *pool) distributeLoad() {
 	for _, a := range p.held {
 		h := a.holder(p)
 		h.slots = p.slots * h.runners / max(p.endpoints, 1)
 		h.load = p.reported * h.runners / max(p.endpoints, 1)
-		h.sent = 0
+		h.unreported = 0
 	}
 }
--- a/core/ggsroute/bench_test.go
+++ b/core/ggsroute/bench_test.go
@@ -11,7 +11,7 @@
 	"greengageslip/core/ggsroute"
 )
 
-// A fleet is a deployment's size, seen from one gateway.
+// A fleet is the size of a deployment. A group is a dispatcher with its runners.
 type fleet struct {
 	groups, runners, adapters int
 }
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("groups=%d/runners=%d/adapters=%d", f.groups, f.groups*f.runners, f.adapters)
 }
 
-// sizes returns the sizes that slopes are measured at: today's, the letter's
-// and two between.
+// sizes returns the sizes at which the benchmarks run, for the growth of cost with
+// size: a small deployment, the design limit of 340 groups, and two between.
 func sizes() []fleet {
 	return []fleet{
 		{groups: 3, runners: 4, adapters: 3_000},
@@ -42,8 +42,8 @@
 	return refs
 }
 
-// region returns where a group stands: one of two regions, or of three on
-// today's deployments.
+// region returns a group's region: one of two, or one of three in the smallest
+// deployment.
 func (f fleet) region(g int) ggscore.Region {
 	if f.groups <= 3 {
 		return ggscore.Region(fmt.Sprintf("region-%d", g))
@@ -75,7 +75,7 @@
 	return s
 }
 
-// router returns a router that knows the whole fleet.
+// router returns a router with summaries of the whole fleet.
 func (f fleet) router(refs []ggscore.AdapterRef) *ggsroute.Router {
 	r := ggsroute.New(ggsroute.Options{Region: "region-0", Seed: 1})
 	r.SetPolicy(at(0), ggscore.PolicySpec{CrossRegionPrice: 100 * time.Millisecond, LoadsPerSecond: 4})
@@ -85,7 +85,7 @@
 	return r
 }
 
-// requests returns requests for adapters by a Zipf law.
+// requests returns requests for adapters in a Zipf distribution.
 func (f fleet) requests(refs []ggscore.AdapterRef) []*ggscore.Request {
 	z := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), 1.1, 1, uint64(len(refs)-1))
 	list := make([]*ggscore.Request, 4096)
@@ -150,7 +150,7 @@
 	}
 }
 
-// BenchmarkRouterMemory reports the bytes of a router's state.
+// BenchmarkRouterMemory reports the heap size of a router's state, in bytes.
 func BenchmarkRouterMemory(b *testing.B) {
 	for _, f := range sizes() {
 		refs := f.refs()
--- a/core/ggsroute/board_bench_test.go
+++ b/core/ggsroute/board_bench_test.go
@@ -11,12 +11,12 @@
 	"greengageslip/core/ggsroute"
 )
 
-// What a group of 8 runners does at the letter's size: 1,400 requests a second
-// over 340 groups, of 386 tokens at 31 ms each, and 38,000 adapters that wake
-// or fall idle in an hour.
+// The load of a group of 8 runners at the design limit: 1,400 requests/s over 340
+// groups, 386 tokens per request at 31 ms per token, and 38,000 adapters that
+// become busy or idle per hour.
 const (
 	requestsPerSecond = 4.1
-	heldSeconds       = 12
+	holdSeconds       = 12
 	swapsPerSecond    = 0.031
 	periods           = 100
 )
@@ -29,7 +29,7 @@
 	return len(b), nil
 }
 
-// A churn changes groups' summaries from period to period.
+// A churn generates the changes of groups' summaries from period to period.
 type churn struct {
 	rng       *rand.Rand
 	refs      []ggscore.AdapterRef
@@ -51,14 +51,14 @@
 	return c
 }
 
-// step lets a period pass.
+// step advances all summaries by one period.
 func (c *churn) step() {
 	perRunner := requestsPerSecond * c.period.Seconds() / 8
 	for _, s := range c.summaries {
 		s.Sequence++
 		for i := range s.Runners {
 			r := &s.Runners[i]
-			ends := float64(r.Running) * c.period.Seconds() / heldSeconds
+			ends := float64(r.Running) * c.period.Seconds() / holdSeconds
 			r.Running += c.count(perRunner) - c.count(ends)
 			r.Running = min(max(r.Running, 0), r.Slots)
 			r.Loading = nil
@@ -70,7 +70,7 @@
 	}
 }
 
-// count draws a number of events whose mean is small.
+// count draws a number of events with the given small mean.
 func (c *churn) count(mean float64) int {
 	n := 0
 	for range 64 {
@@ -81,9 +81,9 @@
 	return n
 }
 
-// BenchmarkBoardBytes reports the bytes a second that a reader receives who
-// reads a board every period: in the whole view, in the view of loads, and if
-// it were given the summaries as they are; and those of its first reading.
+// BenchmarkBoardBytes reports the bytes per second that a reader receives if it
+// reads a board once per period: with ViewWhole, with ViewLoads, and with the
+// summaries themselves. It also reports the bytes of the first read.
 func BenchmarkBoardBytes(b *testing.B) {
 	for _, period := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second} {
 		for _, groups := range []int{3, 42, 85, 170} {
@@ -124,7 +124,7 @@
 	b.ReportMetric(float64(first), "firstB")
 }
 
-// A meter encodes values as net/rpc does and counts the bytes.
+// A meter encodes values with gob, as net/rpc does, and counts the bytes.
 type meter struct {
 	b       *testing.B
 	bytes   *counter
@@ -142,7 +142,7 @@
 	}
 }
 
-// BenchmarkBoard measures a relay's work for one period of all its groups.
+// BenchmarkBoard measures a relay's work for one period with all its groups.
 func BenchmarkBoard(b *testing.B) {
 	for _, groups := range []int{3, 42, 85, 170} {
 		churn := newChurn(groups, 2*time.Second)
@@ -158,7 +158,7 @@
 				}
 				c := board.Since(at(0), router.Version("relay"), ggsroute.ViewWhole)
 				if !router.Apply(at(0), &c) {
-					b.Fatal("changes were refused")
+					b.Fatal("router refused the board's changes")
 				}
 			}
 		})
--- a/core/ggsroute/board_test.go
+++ b/core/ggsroute/board_test.go
@@ -12,8 +12,8 @@
 	"greengageslip/core/ggsroute"
 )
 
-// few returns some adapters' references.
-func few(n int) []ggscore.AdapterRef {
+// adapterRefs returns the references of n adapters.
+func adapterRefs(n int) []ggscore.AdapterRef {
 	refs := make([]ggscore.AdapterRef, n)
 	for i := range refs {
 		refs[i] = ggscore.AdapterRef{Name: fmt.Sprintf("adapter-%d", i), Version: "v1"}
@@ -21,8 +21,8 @@
 	return refs
 }
 
-// place draws on which of a dispatcher's runners adapters are or are loading.
-func place(t *rapid.T, s *ggscore.DispatcherSummary, refs []ggscore.AdapterRef) {
+// placeAdapters draws the runners where each adapter is resident or loading.
+func placeAdapters(t *rapid.T, s *ggscore.DispatcherSummary, refs []ggscore.AdapterRef) {
 	for i := range s.Runners {
 		for _, a := range refs {
 			switch rapid.IntRange(0, 9).Draw(t, "state") {
@@ -35,14 +35,12 @@
 	}
 }
 
-// Callers of one gateway wait for loads of adapters that are resident, for as
-// long as the gateway runs: it missed a change, or took an older relay's word
-// for a newer one's. Two relays lag differently and are read in any order;
-// once both have caught up, the gateway must choose as if it had read each
-// summary itself.
-func TestBoardsTellWhatSummariesTell(t *testing.T) {
+// A gateway misses a change, or prefers the older state of a lagging relay, and
+// its callers wait for loads of resident adapters for as long as it runs. After two
+// relays have caught up, it must choose as if it had read each summary itself.
+func TestBoardsMatchSummaries(t *testing.T) {
 	t.Parallel()
-	refs := few(4)
+	refs := adapterRefs(4)
 	vms := []string{"a", "b"}
 	relays := []string{"one", "two"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -59,20 +57,20 @@
 			}
 			s := summary(vm, uint64(seq))
 			s.Incarnation = incarnation
-			place(t, s, refs)
+			placeAdapters(t, s, refs)
 			last[vm] = s
 			own[vm].Put(at(0), s)
 		}
 		merge := func(name, vm string) {
 			c := own[vm].Since(at(0), boards[name].Version(vm+last[vm].Incarnation), ggsroute.ViewWhole)
 			if !boards[name].Merge(at(0), &c) {
-				t.Fatalf("relay refused changes since %d", c.From)
+				t.Fatalf("relay refused changes since version %d", c.From)
 			}
 		}
 		read := func(name string) {
 			c := boards[name].Since(at(0), reader.Version(name), ggsroute.ViewWhole)
 			if !reader.Apply(at(0), &c) {
-				t.Fatalf("reader refused changes since %d", c.From)
+				t.Fatalf("reader refused changes since version %d", c.From)
 			}
 		}
 		for _, vm := range vms {
@@ -110,9 +108,9 @@
 	})
 }
 
-// A dispatcher's VM dies. The relay still answers, so that the gateway counts
-// all its dispatchers as alive and sends callers to the dead one.
-func TestBoardTellsOfSilentDispatchers(t *testing.T) {
+// A dispatcher's VM fails. The relay still answers, so that the gateway regards
+// all of the relay's dispatchers as alive and sends requests to the failed one.
+func TestBoardMarksSilentDispatchersAsGone(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := ggsroute.NewBoard("one", 3*time.Second)
@@ -134,9 +132,9 @@
 	c.Check(err, qt.IsNil)
 }
 
-// An answer of a relay gets lost, and the next builds on it. Taken all the
-// same, the gateway would lack the lost changes for good.
-func TestChangesThatBuildOnLostOnesAreRefused(t *testing.T) {
+// An answer of a relay is lost, and the next one starts at the lost version. If
+// the gateway applied it, the lost changes would be missing permanently.
+func TestChangesAfterLostOnesAreRefused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := ggsroute.NewBoard("one", time.Minute)
@@ -152,12 +150,12 @@
 	c.Check(b.Since(at(0), whole.To, ggsroute.ViewWhole).Groups, qt.HasLen, 0)
 }
 
-// A relay has forgotten that an adapter was lost, and a slow reader routes to
-// it for ever.
-func TestSlowReaderGetsTheWholeEntry(t *testing.T) {
+// A relay has deleted the tombstone of an evicted adapter, and a slow reader that
+// never received it continues to route to the adapter's former dispatcher.
+func TestSlowReaderGetsWholeEntry(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	refs := few(2000)
+	refs := adapterRefs(2000)
 	b := ggsroute.NewBoard("one", time.Minute)
 	s := summary("a", 1)
 	s.Runners[0].Resident = refs[:4]
--- a/core/ggsroute/choose.go
+++ b/core/ggsroute/choose.go
@@ -5,87 +5,89 @@
 	"time"
 )
 
-// holdGain is the weight of a new sample in a service's mean hold.
-const holdGain = 0.05
+// holdSmoothing is the weight of a new sample in a service's mean holding time.
+const holdSmoothing = 0.05
 
-// stallGain is the weight of a new sample in a pool's mean stall.
-const stallGain = 0.2
+// stallSmoothing is the weight of a new sample in a pool's mean stall.
+const stallSmoothing = 0.2
 
-// defaultLoadTime stands in while the document sets none.
+// defaultLoadTime applies if the document sets no load time.
 const defaultLoadTime = 250 * time.Millisecond
 
-// A home is a pool among the highest rendezvous scores.
+// A home is a pool with one of the highest rendezvous scores for an adapter.
 type home struct {
-	pool *pool
-	rank uint64
+	pool  *pool
+	score uint64
 }
 
-// A homes holds the highest scores found so far, in no order.
-type homes struct {
+// A topHomes holds the pools with the highest scores found so far, in no order.
+type topHomes struct {
 	list [maxReplicas]home
 	n    int
 }
 
-// offer keeps the pool if its score is among the limit highest.
-func (h *homes) offer(p *pool, rank uint64, limit int) {
+// offer adds the pool if its score is among the limit highest.
+func (h *topHomes) offer(p *pool, score uint64, limit int) {
 	if h.n < limit {
-		h.list[h.n] = home{pool: p, rank: rank}
+		h.list[h.n] = home{pool: p, score: score}
 		h.n++
 		return
 	}
 	low := 0
 	for i := 1; i < h.n; i++ {
-		if h.list[i].rank < h.list[low].rank {
+		if h.list[i].score < h.list[low].score {
 			low = i
 		}
 	}
-	if rank > h.list[low].rank {
-		h.list[low] = home{pool: p, rank: rank}
+	if score > h.list[low].score {
+		h.list[low] = home{pool: p, score: score}
 	}
 }
 
-// bestHolder returns the best pool that holds or loads the adapter. The homes
-// come first, so that an adapter whose rate has fallen leaves its other
-// replicas to be evicted; the others count only when no home has room.
+// bestHolder returns the best pool where the adapter is resident or loading.
+// Homes have precedence, and other pools count only if no home has a free slot.
+// The other replicas of an adapter whose rate has fallen thereby become idle and
+// are evicted.
 func (r *Router) bestHolder(q *query, local bool) candidate {
 	best := candidate{}
 	if q.adapter == nil {
 		return best
 	}
-	rank := uint64(0)
+	score := uint64(0)
 	if len(q.adapter.holders) > q.replicas {
-		rank = r.homeRank(q, local)
+		score = r.lowestHomeScore(q, local)
 	}
 	others := candidate{}
 	for i := range q.adapter.holders {
 		h := &q.adapter.holders[i]
-		if h.pool.group.local != local || !q.allows(h.pool) {
+		if h.pool.dispatcher.local != local || !q.allows(h.pool) {
 			continue
 		}
 		c := r.holderCandidate(q, h)
-		if h.rank < rank {
-			others = pick(c, others)
+		if h.score < score {
+			others = preferred(c, others)
 			continue
 		}
-		best = pick(c, best)
+		best = preferred(c, best)
 	}
 	if best.pool == nil || best.cost() > 0 {
-		return pick(others, best)
+		return preferred(others, best)
 	}
 	return best
 }
 
-// pick returns c where it is better than d, else d.
-func pick(c, d candidate) candidate {
+// preferred returns c if it is better than d, else d.
+func preferred(c, d candidate) candidate {
 	if c.better(d) {
 		return c
 	}
 	return d
 }
 
-// holderCandidate predicts the cost of a pool that holds the adapter.
+// holderCandidate predicts the cost of a pool where the adapter is resident or
+// loading.
 func (r *Router) holderCandidate(q *query, h *holder) candidate {
-	c := candidate{pool: h.pool, rank: h.rank, wait: h.wait(), reason: ReasonResident}
+	c := candidate{pool: h.pool, score: h.score, wait: h.wait(), reason: ReasonResident}
 	if h.loading {
 		c.reason = ReasonLoading
 		c.stall = r.loadStall(q.now, h.pool) / 2
@@ -93,20 +95,20 @@
 	return c
 }
 
-// homeRank returns the lowest score among the holders that are homes.
-func (r *Router) homeRank(q *query, local bool) uint64 {
-	top := homes{}
+// lowestHomeScore returns the lowest score among the holders that are homes.
+func (r *Router) lowestHomeScore(q *query, local bool) uint64 {
+	top := topHomes{}
 	for i := range q.adapter.holders {
 		h := &q.adapter.holders[i]
-		if h.pool.group.local == local && q.allows(h.pool) {
-			top.offer(h.pool, h.rank, q.replicas)
+		if h.pool.dispatcher.local == local && q.allows(h.pool) {
+			top.offer(h.pool, h.score, q.replicas)
 		}
 	}
-	rank := uint64(math.MaxUint64)
+	score := uint64(math.MaxUint64)
 	for _, h := range top.list[:top.n] {
-		rank = min(rank, h.rank)
+		score = min(score, h.score)
 	}
-	return rank
+	return score
 }
 
 // bestHome returns the best of the adapter's homes, by bounded-load rendezvous
@@ -114,21 +116,21 @@
 func (r *Router) bestHome(q *query, local bool) candidate {
 	pools := q.service.pools(local)
 	bound := loadBound(q, pools)
-	top := homes{}
+	top := topHomes{}
 	fallback := candidate{}
 	for _, p := range pools {
 		if len(p.homes) == 0 || !q.allows(p) {
 			continue
 		}
-		if !bound.holds(p) {
-			fallback = pick(candidate{pool: p, wait: p.wait()}, fallback)
+		if !bound.allows(p) {
+			fallback = preferred(candidate{pool: p, wait: p.wait()}, fallback)
 			continue
 		}
-		top.offer(p, p.rank(q.hash), q.replicas)
+		top.offer(p, p.score(q.hash), q.replicas)
 	}
 	best := candidate{}
 	for _, h := range top.list[:top.n] {
-		best = pick(candidate{pool: h.pool, rank: h.rank, wait: h.pool.wait()}, best)
+		best = preferred(candidate{pool: h.pool, score: h.score, wait: h.pool.wait()}, best)
 	}
 	if best.pool == nil {
 		best = fallback
@@ -140,10 +142,10 @@
 	return best
 }
 
-// A bound is the load that a pool may have and still get adapters by hash.
+// A bound is the load per slot below which a pool accepts new adapters by hash.
 type bound struct{ perSlot float64 }
 
-// loadBound works out the bound over the pools of a region.
+// loadBound computes the bound from the mean load of a region's pools.
 func loadBound(q *query, pools []*pool) bound {
 	load, slots := 1, 1
 	for _, p := range pools {
@@ -152,32 +154,32 @@
 			slots += p.slots
 		}
 	}
-	return bound{perSlot: max(loadFactor*float64(load)/float64(slots), roomShare)}
+	return bound{perSlot: max(loadFactor*float64(load)/float64(slots), minBoundPerSlot)}
 }
 
-// holds reports whether the pool is within the bound.
-func (b bound) holds(p *pool) bool {
+// allows reports whether the pool's load is below the bound.
+func (b bound) allows(p *pool) bool {
 	return float64(p.load()) < b.perSlot*float64(p.slots)
 }
 
-// leastLoaded returns the better of two pools picked at random. The least
-// loaded of all would be the same one for every gateway until the next
-// summaries, and all would send there at once.
+// leastLoaded returns the better of two pools chosen at random. The least loaded
+// of all pools would be the same one for every gateway until the next summaries,
+// and all gateways would send to it at once.
 func (r *Router) leastLoaded(q *query, local bool) candidate {
 	pools := q.service.pools(local)
-	first := r.anyPool(q, pools)
+	first := r.randomPool(q, pools)
 	if first == nil {
 		return candidate{}
 	}
-	second := r.anyPool(q, pools)
+	second := r.randomPool(q, pools)
 	best := candidate{pool: first, wait: first.wait(), reason: ReasonLoad}
 	other := candidate{pool: second, wait: second.wait(), reason: ReasonLoad}
-	return pick(other, best)
+	return preferred(other, best)
 }
 
-// anyPool returns the first pool that may get the request, from a random one
-// onwards.
-func (r *Router) anyPool(q *query, pools []*pool) *pool {
+// randomPool returns the first pool that may receive the request, from a random
+// index onwards, or nil.
+func (r *Router) randomPool(q *query, pools []*pool) *pool {
 	if len(pools) == 0 {
 		return nil
 	}
@@ -191,47 +193,47 @@
 	return nil
 }
 
-// fill returns the part of the pool's slots that is in use.
-func (p *pool) fill() float64 { return float64(p.load()) / float64(p.slots) }
+// utilization returns the pool's load per slot.
+func (p *pool) utilization() float64 { return float64(p.load()) / float64(p.slots) }
 
-// crosses decides whether the request leaves the region, and puts the remote
-// candidate into best if so.
-func (r *Router) crosses(q *query, best *candidate, bytes int) bool {
+// chooseRegion reports whether the request is sent to another region. If so, it
+// replaces best with the remote candidate.
+func (r *Router) chooseRegion(q *query, best *candidate, bytes int) bool {
 	price := r.policy.CrossRegionPrice
 	if best.pool != nil && best.cost() <= price {
 		return false
 	}
 	remote := r.best(q, false)
-	if remote.pool == nil || !r.crossing.allows(q.now, bytes) {
+	if remote.pool == nil || !r.crossRegion.allows(q.now, bytes) {
 		return false
 	}
-	if best.pool != nil && !r.leaves(q, best, &remote) {
+	if best.pool != nil && !r.prefersRemote(q, best, &remote) {
 		return false
 	}
 	*best = remote
 	return true
 }
 
-// leaves reports whether a request that both can serve goes to the remote
-// candidate.
-func (r *Router) leaves(q *query, local, remote *candidate) bool {
+// prefersRemote reports whether the remote candidate is chosen where both
+// candidates can serve the request.
+func (r *Router) prefersRemote(q *query, local, remote *candidate) bool {
 	if remote.reason != ReasonResident || local.reason == ReasonResident {
-		return r.pays(local.cost() - remote.cost())
+		return r.worthCrossing(local.cost() - remote.cost())
 	}
-	return r.savesLoad(q, local) || r.pays(local.wait-remote.wait)
+	return r.avoidsLoad(q, local) || r.worthCrossing(local.wait-remote.wait)
 }
 
-// savesLoad reports whether the request crosses to where its adapter is
-// resident, rather than have it loaded in the region.
+// avoidsLoad reports whether the request is sent to another region, where its
+// adapter is resident, instead of loading the adapter in this region.
 //
-// Each region would else hold copies of the same busy adapters, and the weight
-// store would load them once a region: with three regions of 32 places the 96
-// places hold a third of what they could, and callers wait for loads that
-// queue. An adapter that the region's callers ask for often enough to pay for
-// its load is loaded here all the same: the first request waits for it, and
-// those that come meanwhile cross. Crossing doesn't move an adapter, so that
-// regions can't take turns over it.
-func (r *Router) savesLoad(q *query, local *candidate) bool {
+// Otherwise each region would hold copies of the same busy adapters, and the
+// weight store would serve each adapter once per region. With three regions of 32
+// adapter slots, the 96 slots would hold a third of the adapters that they can
+// hold, and callers would wait for queued loads. An adapter is loaded in this
+// region if the region's request rate justifies the load: the first request waits
+// for the load, and requests that arrive meanwhile cross. A crossing request
+// doesn't move the adapter, so an adapter can't alternate between regions.
+func (r *Router) avoidsLoad(q *query, local *candidate) bool {
 	price := r.policy.CrossRegionPrice
 	if local.stall <= price {
 		return false
@@ -243,24 +245,24 @@
 	return time.Duration(expected*float64(price)) < local.stall
 }
 
-// regionRate predicts the rate at which the region's callers ask for the
-// adapter, from the router's own.
+// regionRate estimates the region's request rate for the adapter, per second, from
+// the rate that this router sends.
 func (r *Router) regionRate(q *query) float64 {
-	s := r.rates.peek(q.hash)
+	s := r.rates.lookup(q.hash)
 	if s == nil {
 		return 0
 	}
 	s.decay(q.now)
-	return s.perSec * float64(r.gateways) / float64(r.regions)
+	return s.perSecond * float64(r.gateways) / float64(r.regions)
 }
 
-// pays reports whether a gain is worth the price of crossing.
+// worthCrossing decides at random whether a gain is worth the price of crossing.
 //
-// Summaries lag, so all gateways see the same quiet region at once; if all
-// crossed, it would be the busy one a moment later, and all would come back.
-// Each crosses only with the probability that evens the two regions out, which
-// falls to zero as the gain nears the price.
-func (r *Router) pays(gain time.Duration) bool {
+// Summaries lag, so all gateways see the same idle region at once. If all of them
+// crossed, that region would be the busy one a moment later, and all would
+// switch back. Each request crosses only with the probability that balances the
+// two regions. The probability falls to zero as the gain approaches the price.
+func (r *Router) worthCrossing(gain time.Duration) bool {
 	price := r.policy.CrossRegionPrice
 	if gain <= price {
 		return false
@@ -268,9 +270,10 @@
 	return r.rng.Float64() < float64(gain-price)/float64(gain)/2
 }
 
-// loadStall predicts how long a request waits for a new load on a pool: by the
-// loads that are known to be under way, or as long as requests lately waited
-// there, if that is longer. A dispatcher's queue for loads shows in no summary.
+// loadStall predicts how long a request waits for a new load on a pool: one load
+// time plus the time that the service's known loads take at the policy's rate, or
+// the pool's recent mean stall if that is longer. The mean stall is needed because
+// summaries don't include a dispatcher's queue of loads.
 func (r *Router) loadStall(now time.Time, p *pool) time.Duration {
 	stall := r.loadTime()
 	if rate := r.policy.LoadsPerSecond; rate > 0 {
@@ -280,16 +283,17 @@
 	return max(stall, time.Duration(float64(p.stall)*math.Exp(-age.Seconds()/rateWindow.Seconds())))
 }
 
-// learnStall takes how long a request waited for a load.
-func (p *pool) learnStall(now time.Time, c *Choice, stall time.Duration) {
+// recordStall updates the mean stall with the time that a request waited for a
+// load.
+func (p *pool) recordStall(now time.Time, c *Choice, stall time.Duration) {
 	if c.Reason != ReasonHome && c.Reason != ReasonLoading || stall <= 0 {
 		return
 	}
-	p.stall += time.Duration(stallGain * float64(stall-p.stall))
+	p.stall += time.Duration(stallSmoothing * float64(stall-p.stall))
 	p.stalledAt = now
 }
 
-// loadTime returns how long a load takes at full speed.
+// loadTime returns how long a single load takes without queueing.
 func (r *Router) loadTime() time.Duration {
 	if r.policy.LoadTime > 0 {
 		return r.policy.LoadTime
@@ -297,11 +301,11 @@
 	return defaultLoadTime
 }
 
-// replicasOf returns how many homes the adapter's rate asks for. It grows when
-// the rate needs it and shrinks only well below that, so that a rate that
-// hovers about a step doesn't load and evict replicas in turn.
-func (r *Router) replicasOf(q *query) int {
-	s := r.rates.peek(q.hash)
+// wantedReplicas returns the number of homes that the adapter's rate needs. The
+// threshold for fewer homes is well below the one for more, so that a rate near a
+// threshold doesn't load and evict replicas alternately.
+func (r *Router) wantedReplicas(q *query) int {
+	s := r.rates.lookup(q.hash)
 	if s == nil {
 		return 1
 	}
@@ -310,21 +314,23 @@
 	if perHome == 0 {
 		return 1
 	}
-	demand := s.perSec * float64(r.gateways) * q.service.hold.Seconds() / perHome
-	grown := int(math.Ceil(demand / growAt))
-	kept := int(math.Ceil(demand / shrinkAt))
+	demand := s.perSecond * float64(r.gateways) * q.service.hold.Seconds() / perHome
+	grown := int(math.Ceil(demand / growUtilization))
+	kept := int(math.Ceil(demand / shrinkUtilization))
 	s.replicas = min(max(s.replicas, grown, 1), max(kept, 1), maxReplicas)
 	return s.replicas
 }
 
 const (
-	// growAt is the fill of an adapter's homes that asks for one more.
-	growAt = 0.8
-	// shrinkAt is the fill below which one fewer is enough.
-	shrinkAt = 0.5
+	// growUtilization is the utilization of an adapter's homes above which the
+	// adapter gets another home.
+	growUtilization = 0.8
+	// shrinkUtilization is the utilization below which the adapter loses a home.
+	shrinkUtilization = 0.5
 )
 
-// homeSlots returns the mean number of slots that one home offers an adapter.
+// homeSlots returns the number of slots that one home offers an adapter: half of
+// the mean number of slots of the region's pools.
 func (s *service) homeSlots() float64 {
 	if len(s.local) == 0 {
 		return 0
--- a/core/ggsroute/crossing.go
+++ b/core/ggsroute/crossing.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// crossingBurst is how many seconds' worth of bytes may cross at once.
-const crossingBurst = 2
+// crossRegionBurstSeconds is the size of the bucket, in seconds of its rate.
+const crossRegionBurstSeconds = 2
 
-// A bucket bounds the bytes that cross regions. A rate of zero means no
-// bound. It may go below zero, by answers that turn out longer than expected;
-// nothing crosses until that is paid back.
-type bucket struct {
+// A tokenBucket limits the bytes sent between regions. A rate of zero means no
+// limit. The tokens become negative when answers are longer than predicted; no
+// request crosses until the bucket has refilled.
+type tokenBucket struct {
 	rate   float64
 	tokens float64
 	at     time.Time
-	// total counts all bytes.
+	// total is the number of bytes sent so far.
 	total int64
 }
 
-// allows reports whether bytes may cross now.
-func (b *bucket) allows(now time.Time, bytes int) bool {
-	b.fill(now)
-	return b.rate == 0 || b.tokens >= min(float64(bytes), b.rate*crossingBurst)
+// allows reports whether a request with its answer of that size may cross now.
+// One that exceeds the size of the bucket crosses when the bucket is full.
+func (b *tokenBucket) allows(now time.Time, bytes int) bool {
+	b.refill(now)
+	return b.rate == 0 || b.tokens >= min(float64(bytes), b.rate*crossRegionBurstSeconds)
 }
 
-// fill adds the tokens that have come up since it was last called.
-func (b *bucket) fill(now time.Time) {
+// refill adds the tokens that are due since the last call.
+func (b *tokenBucket) refill(now time.Time) {
 	if d := now.Sub(b.at); d > 0 {
-		b.tokens = min(b.tokens+d.Seconds()*b.rate, b.rate*crossingBurst)
+		b.tokens = min(b.tokens+d.Seconds()*b.rate, b.rate*crossRegionBurstSeconds)
 		b.at = now
 	}
 }
 
-// setRate changes the rate and keeps the level.
-func (b *bucket) setRate(rate float64) {
+// setRate changes the rate and keeps the tokens, up to the new size of the bucket.
+func (b *tokenBucket) setRate(rate float64) {
 	if b.rate == 0 {
-		b.tokens = rate * crossingBurst
+		b.tokens = rate * crossRegionBurstSeconds
 	}
 	b.rate = max(rate, 0)
-	b.tokens = min(b.tokens, b.rate*crossingBurst)
+	b.tokens = min(b.tokens, b.rate*crossRegionBurstSeconds)
 }
 
-// take counts bytes that cross, or fewer than were counted before.
-func (b *bucket) take(now time.Time, bytes int) {
-	b.fill(now)
+// consume counts bytes that cross. A negative number corrects an earlier count.
+func (b *tokenBucket) consume(now time.Time, bytes int) {
+	b.refill(now)
 	b.total += int64(bytes)
 	if b.rate > 0 {
 		b.tokens -= float64(bytes)
 	}
 }
 
-// until returns when bytes may cross.
-func (b *bucket) until(bytes int) time.Duration {
+// waitFor returns the time until a request of that size may cross.
+func (b *tokenBucket) waitFor(bytes int) time.Duration {
 	if b.rate == 0 {
 		return 0
 	}
-	missing := min(float64(bytes), b.rate*crossingBurst) - b.tokens
+	missing := min(float64(bytes), b.rate*crossRegionBurstSeconds) - b.tokens
 	return time.Duration(max(missing, 0) / b.rate * float64(time.Second))
 }
--- a/core/ggsroute/errors.go
+++ b/core/ggsroute/errors.go
@@ -7,23 +7,25 @@
 	ggscore "greengageslip/core"
 )
 
-// A Cause says why no dispatcher was chosen.
+// A Cause says why a request was refused.
 type Cause string
 
 // The causes of refusals.
 const (
-	// CauseNone means that no dispatcher serves the service.
+	// CauseNone means that no dispatcher has endpoints of the service.
 	CauseNone Cause = "noDispatcher"
-	// CauseAway means that those that do are leaving, silent or not owners.
+	// CauseAway means that all dispatchers of the service are leaving, have stale
+	// summaries or own no endpoint of it.
 	CauseAway Cause = "away"
-	// CauseTried means that the others were excluded by the caller.
+	// CauseTried means that the caller excluded all usable dispatchers.
 	CauseTried Cause = "tried"
-	// CauseCrossing means that only another region could serve, and that the
-	// bytes allowed between regions are used up.
+	// CauseCrossing means that only another region could serve the request, and
+	// that the budget of bytes between regions is used up.
 	CauseCrossing Cause = "crossing"
 )
 
-// A NoDispatcherError says that a request can't be sent now. It has not run.
+// A NoDispatcherError says that no dispatcher can serve a request now. The request
+// has not run.
 type NoDispatcherError struct {
 	Service    ggscore.Service
 	Cause      Cause
@@ -35,7 +37,7 @@
 	return fmt.Sprintf("no dispatcher for %s (%s): retry after %s", e.Service, e.Cause, e.RetryAfter)
 }
 
-// Failure returns the refusal as callers see it.
+// Failure returns the refusal as it is sent to the caller.
 func (e *NoDispatcherError) Failure() *ggscore.Failure {
 	return &ggscore.Failure{
 		Kind:       ggscore.FailureNoCapacity,
--- a/core/ggsroute/merge.go
+++ b/core/ggsroute/merge.go
@@ -7,27 +7,28 @@
 	ggscore "greengageslip/core"
 )
 
-// A source is another board that a board has read.
+// A source is the state of another board whose changes are merged.
 type source struct {
 	version uint64
 	members map[uint32]*sourceMember
 }
 
-// A sourceMember is a dispatcher as a source tells of it.
+// A sourceMember is a dispatcher as a source describes it.
 type sourceMember struct {
 	entry       *entry
 	incarnation string
 	gone        bool
 }
 
-// Merge takes what has changed on another board, and reports whether it builds
-// on what was read of that board; else it is to be read from version zero.
+// Merge applies changes of another board. It returns false if the changes don't
+// start at the version that was last read of the other board; the caller then
+// reads that board again from version zero.
 //
-// A dispatcher's own board knows each of its changes; one that reads it now
-// and then doesn't. If a relay told only what differs from what it knew, a
-// reader that had heard something else in between, from another relay, would
-// keep that for ever. A relay therefore tells on all that it was told, whether
-// it differs or not, and an entry that it was given whole it gives whole.
+// A relay polls a dispatcher's board and may skip states in between. If a relay
+// forwarded only the values that differ from its own copy, a reader that received
+// such a skipped state from another relay would keep it forever. A relay
+// therefore forwards all changes that it receives, also those that leave its own
+// copy as it was, and it forwards a whole entry as a whole entry.
 func (b *Board) Merge(now time.Time, c *Changes) bool {
 	s, ok := b.sources[c.Board]
 	if !ok || c.From == 0 {
@@ -39,20 +40,20 @@
 	}
 	s.version = c.To
 	for i := range c.Groups {
-		b.mergeGroup(now, s, &c.Groups[i])
+		b.mergeDispatcher(now, s, &c.Groups[i])
 	}
 	for _, m := range s.members {
 		if !m.gone && m.incarnation == m.entry.order.incarnation {
-			b.hear(now, m.entry)
+			b.markAlive(now, m.entry)
 		}
 	}
 	return true
 }
 
-// Forget drops a board that is no longer read.
+// Forget deletes the state of a board that is no longer read.
 func (b *Board) Forget(board string) { delete(b.sources, board) }
 
-// Version returns how far another board was read.
+// Version returns the version up to which another board was read, or zero.
 func (b *Board) Version(board string) uint64 {
 	if s, ok := b.sources[board]; ok {
 		return s.version
@@ -60,9 +61,9 @@
 	return 0
 }
 
-// hear notes that a dispatcher is alive.
-func (b *Board) hear(now time.Time, e *entry) {
-	e.heard = now
+// markAlive records that a dispatcher is alive.
+func (b *Board) markAlive(now time.Time, e *entry) {
+	e.lastSeen = now
 	if e.gone {
 		e.gone = false
 		b.version++
@@ -70,8 +71,8 @@
 	}
 }
 
-// mergeGroup takes the change of one dispatcher.
-func (b *Board) mergeGroup(now time.Time, s *source, c *GroupChange) {
+// mergeDispatcher merges the change of one dispatcher.
+func (b *Board) mergeDispatcher(now time.Time, s *source, c *GroupChange) {
 	m := s.members[c.Number]
 	if c.Identity != nil {
 		m = &sourceMember{entry: b.entryOf(c.Identity.VM), incarnation: c.Identity.Incarnation}
@@ -81,15 +82,15 @@
 		return
 	}
 	m.gone = c.Gone
-	news := ggscore.DispatcherSummary{Incarnation: m.incarnation, Sequence: c.Sequence, Leaving: c.Leaving}
-	if !m.entry.order.accept(&news, now.Sub(m.entry.heard) >= b.maxAge) {
+	summary := ggscore.DispatcherSummary{Incarnation: m.incarnation, Sequence: c.Sequence, Leaving: c.Leaving}
+	if !m.entry.order.accept(&summary, now.Sub(m.entry.lastSeen) >= b.maxAge) {
 		return
 	}
 	b.version++
 	m.entry.version = b.version
 	if c.Identity != nil {
 		m.entry.identity = *c.Identity
-		m.entry.floor = b.version
+		m.entry.deltaFloor = b.version
 		m.entry.pools = nil
 	}
 	for i := range c.Pools {
@@ -97,20 +98,20 @@
 	}
 }
 
-// merge takes the change of one pool as it was told.
+// merge records the change of one pool, whether or not it differs from the state.
 func (e *entry) merge(version uint64, c *PoolChange) {
 	p := e.pool(c.Service)
 	homes := p.change.Homes
 	if c.Homes != nil {
 		homes = slices.Clone(c.Homes)
-		p.homesAt = version
+		p.homesVersion = version
 	}
 	p.change = *c
 	p.change.Homes = homes
 	p.change.Held = nil
 	p.version = version
 	for _, h := range c.Held {
-		p.held[h.Adapter] = heldAt{Holding: h, version: version}
+		p.held[h.Adapter] = versionedHolding{Holding: h, version: version}
 	}
 	e.trim(p)
 }
--- a/core/ggsroute/rate.go
+++ b/core/ggsroute/rate.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// rateSlots is the number of adapters whose rates are followed at once.
+// rateSlots is the number of adapters whose rates are tracked at once.
 const rateSlots = 1 << 13
 
-// rateWindow is the time constant of the rates.
+// rateWindow is the time constant of the exponential decay of the rates.
 const rateWindow = 10 * time.Second
 
-// A rateTable follows the rates of the adapters that this router sends most
-// of. Its size is fixed, however many adapters there are: two that share a
-// slot push each other out, and the busier one stays.
+// A rateTable tracks the request rates of the adapters that this router sends
+// most requests for. Its size is fixed, however many adapters there are. Of two
+// adapters that hash to the same slot, the busier one keeps the slot.
 type rateTable struct {
 	slots [rateSlots]rateSlot
 }
 
 // A rateSlot is the rate of one adapter.
 type rateSlot struct {
-	hash     uint64
-	at       time.Time
-	perSec   float64
-	replicas int
+	hash      uint64
+	at        time.Time
+	perSecond float64
+	replicas  int
 }
 
 func newRateTable() *rateTable { return &rateTable{} }
 
-// record counts a request for an adapter and returns its slot, or nil where a
-// busier adapter has it.
+// record counts a request for an adapter and returns the adapter's slot, or nil
+// if a busier adapter has the slot.
 func (t *rateTable) record(now time.Time, hash uint64) *rateSlot {
 	s := &t.slots[hash%rateSlots]
 	s.decay(now)
 	step := 1 / rateWindow.Seconds()
 	if s.hash != hash {
-		if s.perSec > step {
+		if s.perSecond > step {
 			return nil
 		}
 		*s = rateSlot{hash: hash, at: now, replicas: 1}
 	}
-	s.perSec += step
+	s.perSecond += step
 	return s
 }
 
-// peek returns an adapter's slot, or nil.
-func (t *rateTable) peek(hash uint64) *rateSlot {
+// lookup returns an adapter's slot, or nil.
+func (t *rateTable) lookup(hash uint64) *rateSlot {
 	s := &t.slots[hash%rateSlots]
 	if s.hash != hash {
 		return nil
@@ -53,12 +53,12 @@
 	return s
 }
 
-// decay brings the rate to now.
+// decay brings the rate up to date.
 func (s *rateSlot) decay(now time.Time) {
 	age := now.Sub(s.at)
 	if age <= 0 {
 		return
 	}
-	s.perSec *= math.Exp(-age.Seconds() / rateWindow.Seconds())
+	s.perSecond *= math.Exp(-age.Seconds() / rateWindow.Seconds())
 	s.at = now
 }
--- a/core/ggsroute/region_test.go
+++ b/core/ggsroute/region_test.go
@@ -18,16 +18,16 @@
 	price             = 50 * time.Millisecond
 )
 
-// A pair is two regions with a group each, and gateways in both.
-type pair struct {
+// A twoRegions is two regions with a dispatcher and gateways each.
+type twoRegions struct {
 	regions  [2]ggscore.Region
 	gateways [2][]*ggsroute.Router
 	load     [2]float64
 	crossed  int
 }
 
-func newPair() *pair {
-	p := &pair{regions: [2]ggscore.Region{"central", "caribe"}}
+func newTwoRegions() *twoRegions {
+	p := &twoRegions{regions: [2]ggscore.Region{"central", "caribe"}}
 	for side, region := range p.regions {
 		for i := range gatewaysPerRegion {
 			r := ggsroute.New(ggsroute.Options{Region: region, Seed: uint64(side*100 + i), Hold: hold})
@@ -38,8 +38,8 @@
 	return p
 }
 
-// tell gives all gateways both groups' summaries.
-func (p *pair) tell(now time.Time, seq uint64) {
+// publish gives all gateways both dispatchers' summaries.
+func (p *twoRegions) publish(now time.Time, seq uint64) {
 	for side, region := range p.regions {
 		s := summary(string(region), seq)
 		s.Region = region
@@ -55,8 +55,8 @@
 	}
 }
 
-// arrive routes requests of one region's callers.
-func (p *pair) arrive(c *qt.C, now time.Time, side, n, first int) {
+// arrive routes n requests of one region's callers.
+func (p *twoRegions) arrive(c *qt.C, now time.Time, side, n, first int) {
 	for i := range n {
 		r := p.gateways[side][(first+i)%gatewaysPerRegion]
 		choice, err := r.Route(now, &ggscore.Request{Service: service}, nil)
@@ -71,26 +71,25 @@
 	}
 }
 
-// serve lets a step pass on both groups.
-func (p *pair) serve() {
+// serve completes the requests that both dispatchers serve in one step.
+func (p *twoRegions) serve() {
 	for side := range p.load {
 		p.load[side] -= min(p.load[side], 32) * float64(step) / float64(hold)
 	}
 }
 
-// One region has half as much work again as it can take, the other is quiet.
-// All gateways of the busy one see the quiet one in the same summary and send
-// everything there; a second later they all turn back. Callers of both regions
-// wait in turn, and the bytes between the regions are paid for nothing.
+// One region has 1.5 times the load that it can serve, and the other is idle. All
+// gateways of the busy region see the same idle summary, send every request across
+// and switch back a second later: callers wait in both, and bytes cross in vain.
 func TestRegionsDoNotOscillate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	p := newPair()
+	p := newTwoRegions()
 	worst := 0.0
 	for i := range 600 {
 		now := at(time.Duration(i) * step)
 		if i%10 == 0 {
-			p.tell(now, uint64(i+1))
+			p.publish(now, uint64(i+1))
 		}
 		p.arrive(c, now, 0, 9, i*9)
 		p.arrive(c, now, 1, 2, i*2)
@@ -100,13 +99,13 @@
 		}
 	}
 	c.Check(worst < 10, qt.IsTrue, qt.Commentf("%.0f requests queued in the quiet region", worst))
-	c.Check(p.load[0]-32 < 60, qt.IsTrue, qt.Commentf("%.0f queued in the busy one", p.load[0]-32))
-	c.Check(p.crossed > 600 && p.crossed < 3000, qt.IsTrue, qt.Commentf("%d of 6600 crossed", p.crossed))
+	c.Check(p.load[0]-32 < 60, qt.IsTrue, qt.Commentf("%.0f requests queued in the busy region", p.load[0]-32))
+	c.Check(p.crossed > 600 && p.crossed < 3000, qt.IsTrue, qt.Commentf("%d of 6600 requests crossed", p.crossed))
 }
 
-// A region has lost its runners, and its callers' requests all cross to the
-// other. The link between the regions is paid by volume, and the bill of an
-// hour's outage is that of a year.
+// A region loses its runners, and all its callers' requests cross to the other.
+// Traffic between regions is billed by volume, so without a limit one hour of
+// outage costs as much as a year of normal traffic.
 func TestBytesAcrossRegionsAreBounded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -156,10 +155,10 @@
 		price time.Duration
 		cross bool
 	}{
-		"a load is cheaper":  {price: 250 * time.Millisecond},
-		"a load costs more":  {price: 10 * time.Millisecond, cross: true},
-		"crossing is cheap":  {price: time.Nanosecond, cross: true},
-		"crossing costs all": {price: time.Hour},
+		"a load costs less than crossing":   {price: 250 * time.Millisecond},
+		"a load costs more than crossing":   {price: 10 * time.Millisecond, cross: true},
+		"crossing costs almost nothing":     {price: time.Nanosecond, cross: true},
+		"crossing costs more than any wait": {price: time.Hour},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -183,11 +182,10 @@
 	}
 }
 
-// Three regions hold the same thirty busy adapters each, and the rest of their
-// callers wait for loads in turn, although each of those adapters could be
-// resident in one of the regions. Rare adapters are to be used where they are;
-// a busy one is to be loaded here, and its callers to cross until it is.
-func TestRareAdaptersAreUsedWhereTheyAre(t *testing.T) {
+// Three regions each hold the same thirty busy adapters, so that callers of all
+// other adapters wait for loads. A rare adapter must be used where it is resident.
+// A busy one must be loaded locally, and its callers cross until it is.
+func TestRareAdaptersCrossToTheirRegion(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		before  int
@@ -218,16 +216,16 @@
 			for range 50 {
 				next, err := r.Route(at(0), request(), nil)
 				c.Assert(err, qt.IsNil)
-				c.Check(next.CrossRegion, qt.IsTrue, qt.Commentf("one load is under way"))
+				c.Check(next.CrossRegion, qt.IsTrue, qt.Commentf("the adapter is loading"))
 			}
 		})
 	}
 }
 
-// Loads queue at a dispatcher for seconds, and its summaries don't show it.
-// Every caller of a rare adapter is sent there to wait, while another's loads
-// take a quarter of a second.
-func TestStallsAreLearnt(t *testing.T) {
+// Loads queue at a dispatcher for seconds, and its summaries don't show the queue.
+// Every caller of a rare adapter is sent there to wait, while loads at another
+// dispatcher take 250 ms.
+func TestReportedStallsRaisePrediction(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	r := newRouter(c, "a", "b")
--- a/core/ggsroute/replica_test.go
+++ b/core/ggsroute/replica_test.go
@@ -11,76 +11,77 @@
 	"greengageslip/core/ggsroute"
 )
 
-// groups is the number of groups that hold the busy adapter.
-const groups = 8
+// dispatchers is the number of dispatchers where the busy adapter is resident.
+const dispatchers = 8
 
-// A busy is one router before groups that all hold one adapter.
-type busy struct {
+// A testbed is one router with dispatchers that all have one adapter resident.
+type testbed struct {
 	router *ggsroute.Router
 	seq    uint64
 	now    time.Duration
-	// running are the requests in flight, in the order in which they end.
-	running []sent
+	// requests are the requests in flight, in the order in which they end.
+	requests []inFlight
 }
 
-// A sent is a request that keeps its slot until ends.
-type sent struct {
+// An inFlight is a request that holds its slot until ends.
+type inFlight struct {
 	choice ggsroute.Choice
 	ends   time.Duration
 }
 
-// end ends the requests that are due.
-func (b *busy) end() {
-	for len(b.running) > 0 && b.running[0].ends <= b.now {
-		b.router.Ended(at(b.now), b.running[0].choice, ggsroute.End{Held: time.Second})
-		b.running = b.running[1:]
+// endDue ends the requests that are due.
+func (b *testbed) endDue() {
+	for len(b.requests) > 0 && b.requests[0].ends <= b.now {
+		b.router.Ended(at(b.now), b.requests[0].choice, ggsroute.End{Held: time.Second})
+		b.requests = b.requests[1:]
 	}
 }
 
-func newBusy() *busy {
-	b := &busy{router: ggsroute.New(ggsroute.Options{Region: "central", Seed: 1, Hold: time.Second})}
-	b.tell()
+func newTestbed() *testbed {
+	b := &testbed{router: ggsroute.New(ggsroute.Options{Region: "central", Seed: 1, Hold: time.Second})}
+	b.publish()
 	return b
 }
 
-// tell gives the router idle summaries of groups that hold the adapter.
-func (b *busy) tell() {
+// publish gives the router idle summaries of dispatchers where the adapter is
+// resident.
+func (b *testbed) publish() {
 	b.seq++
-	for g := range groups {
+	for g := range dispatchers {
 		s := summary(fmt.Sprintf("vm-%d", g), b.seq)
 		s.Runners[0].Resident = []ggscore.AdapterRef{adapterRef()}
 		b.router.Update(at(b.now), s)
 	}
 }
 
-// second sends requests evenly over a second and returns where they went.
-func (b *busy) second(c *qt.C, requests int) map[ggscore.VMID]int {
-	went := map[ggscore.VMID]int{}
-	b.tell()
-	for range requests {
-		b.end()
+// runSecond sends requests evenly over a second and returns their number by VM.
+func (b *testbed) runSecond(c *qt.C, rate int) map[ggscore.VMID]int {
+	counts := map[ggscore.VMID]int{}
+	b.publish()
+	for range rate {
+		b.endDue()
 		choice, err := b.router.Route(at(b.now), request(), nil)
 		c.Assert(err, qt.IsNil)
 		b.router.Sent(at(b.now), choice)
-		b.running = append(b.running, sent{choice: choice, ends: b.now + time.Second})
-		went[choice.VM]++
-		b.now += time.Second / time.Duration(requests)
+		b.requests = append(b.requests, inFlight{choice: choice, ends: b.now + time.Second})
+		counts[choice.VM]++
+		b.now += time.Second / time.Duration(rate)
 	}
-	return went
+	return counts
 }
 
-// Yesterday's rare adapter is tonight's busiest: with one home, its callers
-// queue while other groups' batches run half empty. In the morning its replicas
-// still fill slots that the day's adapters must be loaded into.
+// A rare adapter becomes the busiest: with one home, its callers queue while other
+// dispatchers' batches have free slots. After the peak, replicas that stay occupy
+// adapter slots that other adapters need.
 func TestReplicasFollowTheRate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBusy()
-	quiet := b.second(c, 2)
+	b := newTestbed()
+	quiet := b.runSecond(c, 2)
 	c.Check(quiet, qt.HasLen, 1)
 	var hot map[ggscore.VMID]int
 	for range 60 {
-		hot = b.second(c, 60)
+		hot = b.runSecond(c, 60)
 	}
 	c.Check(len(hot) >= 4 && len(hot) <= 6, qt.IsTrue, qt.Commentf("%v", hot))
 	for vm := range quiet {
@@ -88,24 +89,25 @@
 	}
 	var after map[ggscore.VMID]int
 	for range 60 {
-		after = b.second(c, 2)
+		after = b.runSecond(c, 2)
 	}
 	c.Check(after, qt.DeepEquals, quiet)
 }
 
-// An adapter's rate hovers about the point where one more replica is wanted.
-// It is loaded and evicted in turn, and every load delays another adapter's.
-func TestReplicasDoNotFlap(t *testing.T) {
+// An adapter's rate varies around the threshold for one more replica. Without
+// hysteresis, the replica is loaded and evicted alternately, and each load delays
+// loads of other adapters.
+func TestReplicaCountHasHysteresis(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBusy()
+	b := newTestbed()
 	changes, last := 0, 0
 	for i := range 300 {
 		rate := 44
 		if i/15%2 == 0 {
 			rate = 34
 		}
-		n := len(b.second(c, rate))
+		n := len(b.runSecond(c, rate))
 		if i >= 60 && n != last {
 			changes++
 		}
@@ -114,9 +116,9 @@
 	c.Check(changes <= 1, qt.IsTrue, qt.Commentf("%d changes of the number of homes", changes))
 }
 
-// A busy home takes every new adapter that hashes to it, while its neighbours
-// idle: its callers queue for slots.
-func TestOverloadedHomeIsPassedOver(t *testing.T) {
+// An overloaded home receives every new adapter that hashes to it while other
+// dispatchers are idle, and its callers queue for slots.
+func TestOverloadedHomeIsSkipped(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	r := newRouter(c, "b", "d")
@@ -133,8 +135,8 @@
 	}
 }
 
-// A VM is replaced and another takes its runners over. If every adapter's home
-// moved with it, all would be loaded anew elsewhere.
+// A VM is replaced and another takes its runners over. If the homes depended on
+// the VM, all adapters would be loaded again elsewhere.
 func TestHomesStayWhenADispatcherIsReplaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsroute/route.go
+++ b/core/ggsroute/route.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// loadFactor bounds a pool's load: this many times the mean.
+	// loadFactor is the bound of a pool's load per slot, as a multiple of the
+	// mean of the region's pools.
 	loadFactor = 1.25
-	// roomShare of its slots is always within a pool's bound, so that on a
-	// quiet deployment adapters stay at home.
-	roomShare = 0.75
-	// replicaDiscount lowers the price of a load where the adapter's rate
-	// asks for one more replica.
+	// minBoundPerSlot is the lowest bound, in requests per slot, so that on an
+	// idle deployment adapters stay at their homes.
+	minBoundPerSlot = 0.75
+	// replicaDiscount is the factor on the predicted stall of a load if the
+	// adapter's rate needs another replica.
 	replicaDiscount = 0.5
-	// maxReplicas is the number of homes that one adapter may have.
+	// maxReplicas is the highest number of homes of one adapter.
 	maxReplicas = 16
-	// retryAfter is the wait told to callers while dispatchers are away.
+	// retryAfter is the delay sent to callers while no dispatcher is usable.
 	retryAfter = time.Second
-	// firstAnswerBytes is the guess of an answer's size before any ended, and
-	// answerGain the weight of a new one in their mean.
+	// firstAnswerBytes is the assumed size of an answer before any has ended.
+	// answerSmoothing is the weight of a new sample in the mean size.
 	firstAnswerBytes = 8 << 10
-	answerGain       = 0.05
+	answerSmoothing  = 0.05
 )
 
 // A Reason says why a dispatcher was chosen.
 type Reason string
 
-// The reasons of choices.
+// The reasons for a choice.
 const (
 	ReasonResident Reason = "resident"
 	ReasonLoading  Reason = "loading"
@@ -37,30 +38,31 @@
 	ReasonLoad     Reason = "leastLoad"
 )
 
-// A Choice is where to send a request.
+// A Choice is the dispatcher that a request is sent to.
 type Choice struct {
 	VM     ggscore.VMID
 	Region ggscore.Region
-	// Wait is the predicted time until the request runs; Stall is the part of
-	// it that it waits for its adapter.
+	// Wait is the predicted time until the request runs. Stall is the part of
+	// Wait in which the request waits for its adapter.
 	Wait  time.Duration
 	Stall time.Duration
-	// CrossRegion says that the request leaves the region.
+	// CrossRegion says that the dispatcher is in another region.
 	CrossRegion bool
 	Reason      Reason
 
 	pool *pool
 	hash uint64
-	// body and answer are the bytes that Sent reserves for a crossing.
+	// body and answer are the bytes that Sent takes from the cross-region budget.
 	body   int
 	answer int
 }
 
-// An End tells how a request that was sent has ended.
+// An End describes how a sent request ended.
 type End struct {
-	// Held is how long it was in flight, or zero where that isn't known.
+	// Held is how long the request was in flight, or zero if unknown.
 	Held time.Duration
-	// Stall is the part of it that it waited for a slot and its adapter.
+	// Stall is the part of Held in which the request waited for a slot and its
+	// adapter.
 	Stall time.Duration
 	// AnswerBytes is the size of the answer.
 	AnswerBytes int
@@ -69,7 +71,7 @@
 // A candidate is a pool with its predicted cost.
 type candidate struct {
 	pool   *pool
-	rank   uint64
+	score  uint64
 	wait   time.Duration
 	stall  time.Duration
 	reason Reason
@@ -78,8 +80,8 @@
 // cost returns the predicted time until the request runs.
 func (c candidate) cost() time.Duration { return c.wait + c.stall }
 
-// better reports whether c is to be preferred to d: for its cost, or where that
-// is equal for the emptier batches, then for the higher score.
+// better reports whether c is preferred to d: by lower cost, then by lower
+// utilization, then by higher score.
 func (c candidate) better(d candidate) bool {
 	if c.pool == nil || d.pool == nil {
 		return c.pool != nil
@@ -87,72 +89,73 @@
 	if c.cost() != d.cost() {
 		return c.cost() < d.cost()
 	}
-	if c.pool.fill() != d.pool.fill() {
-		return c.pool.fill() < d.pool.fill()
+	if c.pool.utilization() != d.pool.utilization() {
+		return c.pool.utilization() < d.pool.utilization()
 	}
-	return c.rank > d.rank
+	return c.score > d.score
 }
 
-// A query is one request on its way through the router.
+// A query holds the state of one call of Route.
 type query struct {
-	now      time.Time
-	service  *service
-	hash     uint64
-	adapter  *adapter
-	exclude  []ggscore.VMID
-	replicas int
-	plain    bool
+	now       time.Time
+	service   *service
+	hash      uint64
+	adapter   *adapter
+	exclude   []ggscore.VMID
+	replicas  int
+	noAdapter bool
 }
 
-// allows reports whether the pool may get the request.
+// allows reports whether the pool may receive the request.
 func (q *query) allows(p *pool) bool {
-	return p.usable(q.now) && (len(q.exclude) == 0 || !slices.Contains(q.exclude, p.group.vm))
+	return p.usable(q.now) && (len(q.exclude) == 0 || !slices.Contains(q.exclude, p.dispatcher.vm))
 }
 
-// Ended gives back what Sent counted.
+// Ended reverts what Sent counted, and updates the means from the request's end.
 func (r *Router) Ended(now time.Time, c Choice, e End) {
 	p := c.pool
-	p.own = max(p.own-1, 0)
-	if p.reported+p.sent > 0 {
-		p.sent--
+	p.inFlight = max(p.inFlight-1, 0)
+	if p.reported+p.unreported > 0 {
+		p.unreported--
 	}
-	if h := p.holderOf(c.hash); h != nil && h.load+h.sent > 0 {
-		h.sent--
+	if h := p.holderOf(c.hash); h != nil && h.load+h.unreported > 0 {
+		h.unreported--
 	}
 	if held := e.Held - e.Stall; held > 0 {
-		p.service.hold += time.Duration(holdGain * float64(held-p.service.hold))
+		p.service.hold += time.Duration(holdSmoothing * float64(held-p.service.hold))
 	}
-	p.learnStall(now, &c, e.Stall)
-	r.answerBytes += answerGain * (float64(e.AnswerBytes) - r.answerBytes)
+	p.recordStall(now, &c, e.Stall)
+	r.answerBytes += answerSmoothing * (float64(e.AnswerBytes) - r.answerBytes)
 	if c.CrossRegion {
-		r.crossing.take(now, e.AnswerBytes-c.answer)
+		r.crossRegion.consume(now, e.AnswerBytes-c.answer)
 	}
 }
 
-// Route chooses the dispatcher for a request, apart from the excluded ones,
-// which were tried before. A failure is a *NoDispatcherError.
+// Route chooses the dispatcher for a request. It skips the excluded dispatchers,
+// which are those that the request was sent to before. A failure is a
+// *NoDispatcherError.
 func (r *Router) Route(now time.Time, req *ggscore.Request, exclude []ggscore.VMID) (Choice, error) {
 	s, ok := r.services[req.Service]
 	if !ok {
 		return Choice{}, &NoDispatcherError{Service: req.Service, Cause: CauseNone, RetryAfter: retryAfter}
 	}
 	q := query{now: now, service: s, exclude: exclude, replicas: 1}
-	q.plain = req.Adapter.IsZero()
-	if !q.plain {
+	q.noAdapter = req.Adapter.IsZero()
+	if !q.noAdapter {
 		q.hash = hashRef(req.Adapter)
 		q.adapter = s.adapters[q.hash]
-		q.replicas = r.replicasOf(&q)
+		q.replicas = r.wantedReplicas(&q)
 	}
 	best := r.best(&q, true)
 	answer := int(r.answerBytes)
 	bytes := len(req.Body) + answer
-	crosses := r.crosses(&q, &best, bytes)
+	crosses := r.chooseRegion(&q, &best, bytes)
 	if best.pool == nil {
 		return Choice{}, r.refusal(&q, bytes)
 	}
 	return Choice{
-		VM:          best.pool.group.vm,
-		Region:      best.pool.group.region,
+		VM:          best.pool.dispatcher.vm,
+		Region:      best.pool.dispatcher.region,
 		Wait:        best.cost(),
 		Stall:       best.stall,
 		CrossRegion: crosses,
@@ -164,40 +167,41 @@
 	}, nil
 }
 
-// Sent counts a request that goes to the chosen dispatcher.
+// Sent counts a request that is sent to the chosen dispatcher.
 func (r *Router) Sent(now time.Time, c Choice) {
 	p := c.pool
-	p.own++
-	p.sent++
+	p.inFlight++
+	p.unreported++
 	if c.CrossRegion {
-		r.crossing.take(now, c.body+c.answer)
+		r.crossRegion.consume(now, c.body+c.answer)
 	}
 	if c.hash == 0 {
 		return
 	}
 	r.rates.record(now, c.hash)
 	if h := p.holderOf(c.hash); h != nil {
-		h.sent++
+		h.unreported++
 		return
 	}
-	r.presume(now, p, c.hash)
+	r.recordPresumedLoad(now, p, c.hash)
 }
 
-// presume notes the load that a request must cause at its pool. Until a
-// summary shows it, the next request for the adapter would go elsewhere and
-// load it again.
-func (r *Router) presume(now time.Time, p *pool, hash uint64) {
-	h := p.hold(hash)
+// recordPresumedLoad records the load that a request must cause at its pool.
+// Without the record, the next request for the adapter could be sent to another
+// pool and load the adapter again, until a summary shows the first load.
+func (r *Router) recordPresumedLoad(now time.Time, p *pool, hash uint64) {
+	h := p.ensureHolder(hash)
 	h.generation = 0
-	h.sent = 1
+	h.unreported = 1
 	p.loading++
 	p.service.loading++
 	h.presumedUntil = now.Add(r.options.MaxAge + r.loadStall(now, p))
 }
 
-// best returns the best candidate inside the region, or outside it.
+// best returns the best candidate inside the region, or outside it if local is
+// false.
 func (r *Router) best(q *query, local bool) candidate {
-	if q.plain {
+	if q.noAdapter {
 		return r.leastLoaded(q, local)
 	}
 	c := r.bestHolder(q, local)
@@ -214,7 +218,7 @@
 	return c
 }
 
-// refusal says why there is no candidate.
+// refusal returns the error for a request without a candidate.
 func (r *Router) refusal(q *query, bytes int) error {
 	e := &NoDispatcherError{Service: q.service.name, Cause: CauseAway, RetryAfter: retryAfter}
 	for _, p := range q.service.local {
@@ -226,7 +230,7 @@
 		if !q.allows(p) {
 			continue
 		}
-		if wait := r.crossing.until(bytes); wait > 0 {
+		if wait := r.crossRegion.waitFor(bytes); wait > 0 {
 			e.Cause = CauseCrossing
 			e.RetryAfter = wait
 		}
--- a/core/ggsroute/route_test.go
+++ b/core/ggsroute/route_test.go
@@ -54,22 +54,22 @@
 		want   ggscore.VMID
 		reason ggsroute.Reason
 	}{
-		"where it is resident": {
+		"a dispatcher where the adapter is resident": {
 			change: func(_, b *ggscore.DispatcherSummary) { b.Runners[0].Resident = []ggscore.AdapterRef{adapterRef()} },
 			want:   "b", reason: ggsroute.ReasonResident,
 		},
-		"where it is loading": {
+		"a dispatcher where the adapter is loading": {
 			change: func(a, _ *ggscore.DispatcherSummary) { a.Runners[0].Loading = []ggscore.AdapterRef{adapterRef()} },
 			want:   "a", reason: ggsroute.ReasonLoading,
 		},
-		"a resident one to a loading one": {
+		"resident over loading": {
 			change: func(a, b *ggscore.DispatcherSummary) {
 				a.Runners[0].Loading = []ggscore.AdapterRef{adapterRef()}
 				b.Runners[0].Resident = []ggscore.AdapterRef{adapterRef()}
 			},
 			want: "b", reason: ggsroute.ReasonResident,
 		},
-		"batch room": {
+		"a free batch slot": {
 			change: func(a, b *ggscore.DispatcherSummary) {
 				a.Runners[0].Resident = []ggscore.AdapterRef{adapterRef()}
 				a.Runners[0].Running = 8
@@ -77,21 +77,21 @@
 			},
 			want: "b", reason: ggsroute.ReasonResident,
 		},
-		"a resident one in mode resident only": {
+		"resident in mode resident only": {
 			change: func(a, _ *ggscore.DispatcherSummary) {
 				a.Runners[0].Mode = ggscore.ModeResidentOnly
 				a.Runners[0].Resident = []ggscore.AdapterRef{adapterRef()}
 			},
 			want: "a", reason: ggsroute.ReasonResident,
 		},
-		"no leaving dispatcher": {
+		"another over a leaving dispatcher": {
 			change: func(a, _ *ggscore.DispatcherSummary) {
 				a.Leaving = true
 				a.Runners[0].Resident = []ggscore.AdapterRef{adapterRef()}
 			},
 			want: "b", reason: ggsroute.ReasonHome,
 		},
-		"no runner without an owner": {
+		"another over runners without an owner": {
 			change: func(a, _ *ggscore.DispatcherSummary) {
 				for i := range a.Runners {
 					a.Runners[i].Mode = ggscore.ModeNone
@@ -100,7 +100,7 @@
 			},
 			want: "b", reason: ggsroute.ReasonHome,
 		},
-		"no load in mode resident only": {
+		"another for a load over mode resident only": {
 			change: func(a, _ *ggscore.DispatcherSummary) {
 				for i := range a.Runners {
 					a.Runners[i].Mode = ggscore.ModeResidentOnly
@@ -108,7 +108,7 @@
 			},
 			want: "b", reason: ggsroute.ReasonHome,
 		},
-		"another than an overloaded home": {
+		"another over an overloaded home": {
 			change: func(a, _ *ggscore.DispatcherSummary) {
 				for i := range a.Runners {
 					a.Runners[i].Running = 8
@@ -141,9 +141,9 @@
 		exclude []ggscore.VMID
 		want    ggsroute.Cause
 	}{
-		"an unknown service":  {want: ggsroute.CauseNone},
-		"a silent dispatcher": {vms: []string{"a"}, now: 3 * time.Second, want: ggsroute.CauseAway},
-		"all that were tried": {vms: []string{"a"}, exclude: []ggscore.VMID{"a"}, want: ggsroute.CauseTried},
+		"unknown service":          {want: ggsroute.CauseNone},
+		"stale summary":            {vms: []string{"a"}, now: 3 * time.Second, want: ggsroute.CauseAway},
+		"all dispatchers excluded": {vms: []string{"a"}, exclude: []ggscore.VMID{"a"}, want: ggsroute.CauseTried},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestOwnDispatchesCount(t *testing.T) {
+func TestOwnRequestsCountBeforeSummary(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	r := newRouter(c, "a", "b", "d")
@@ -173,10 +173,10 @@
 	c.Check(second.Reason, qt.Equals, ggsroute.ReasonLoading)
 }
 
-// A VM's clock was set back before its dispatcher restarted. Its new summaries
-// seem older than those of its earlier incarnation, and it gets no work for as
-// long as it runs.
-func TestClockSetBackBeforeARestart(t *testing.T) {
+// A VM's clock is set back before its dispatcher restarts. The new summaries sort
+// before those of the earlier incarnation, and the dispatcher receives no requests
+// for as long as it runs.
+func TestRestartAfterClockSetBack(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	r := newRouter(c, "a")
@@ -189,21 +189,21 @@
 	c.Check(err, qt.IsNil)
 }
 
-// A dispatcher leaves and says so. A summary that it sent before was held up
-// on the way and arrives afterwards, and callers' requests go to the leaving
-// dispatcher again until it stops, each refused or cut off there.
-func TestStaleSummaryDoesNotBringBackLeavingDispatcher(t *testing.T) {
+// A summary that a dispatcher sent before it began to leave is delayed and arrives
+// after the leaving one. Requests are then sent to the leaving dispatcher until it
+// stops, and each is refused or cut off.
+func TestDelayedSummaryDoesNotRestoreLeavingDispatcher(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		events func(r *ggsroute.Router)
 	}{
-		"an earlier summary after the leaving one": {events: func(r *ggsroute.Router) {
+		"an earlier summary after a leaving one": {events: func(r *ggsroute.Router) {
 			s := summary("a", 3)
 			s.Leaving = true
 			r.Update(at(0), s)
 			r.Update(at(0), summary("a", 2))
 		}},
-		"an earlier summary after one of leaving endpoints": {events: func(r *ggsroute.Router) {
+		"an earlier summary after one with leaving endpoints": {events: func(r *ggsroute.Router) {
 			s := summary("a", 3)
 			for i := range s.Runners {
 				s.Runners[i].Leaving = true
@@ -211,7 +211,7 @@
 			r.Update(at(0), s)
 			r.Update(at(0), summary("a", 2))
 		}},
-		"a restart on a VM that the list says leaves": {events: func(r *ggsroute.Router) {
+		"a restart on a VM marked as leaving": {events: func(r *ggsroute.Router) {
 			r.Leave("a")
 			s := summary("a", 1)
 			s.Incarnation = "i2"
@@ -223,18 +223,18 @@
 			r.Update(at(0), s)
 			r.Update(at(0), summary("a", 4))
 		}},
-		"a summary after the list said that the VM leaves": {events: func(r *ggsroute.Router) {
+		"a summary of a VM marked as leaving": {events: func(r *ggsroute.Router) {
 			r.Leave("a")
 			r.Update(at(0), summary("a", 4))
 		}},
-		"a summary of an incarnation that was replaced": {events: func(r *ggsroute.Router) {
+		"a summary of a replaced incarnation": {events: func(r *ggsroute.Router) {
 			s := summary("a", 1)
 			s.Incarnation = "i2"
 			s.Leaving = true
 			r.Update(at(0), s)
 			r.Update(at(0), summary("a", 9))
 		}},
-		"a summary that it sent before it was removed": {events: func(r *ggsroute.Router) {
+		"a summary sent before the dispatcher was removed": {events: func(r *ggsroute.Router) {
 			s := summary("a", 3)
 			s.Leaving = true
 			r.Update(at(0), s)
@@ -253,9 +253,9 @@
 	}
 }
 
-// Boards are read every ten seconds. A group fills up in between, and its
-// gateways go on sending to it although every answer shows its queue.
-func TestAnswersTellOfTheLoad(t *testing.T) {
+// Boards are read every ten seconds. A dispatcher fills up in between, and gateways
+// continue to send to it although each answer reports its load.
+func TestObservedLoadChangesChoice(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	r := newRouter(c, "a", "b")
--- a/core/ggsroute/router.go
+++ b/core/ggsroute/router.go
@@ -1,5 +1,6 @@
-// Package ggsroute chooses the dispatcher for each request, from lagging
-// summaries and from its own dispatches that they don't show yet.
+// Package ggsroute chooses the dispatcher for each request. Its inputs are the
+// dispatchers' summaries, which lag, and the requests that the gateway itself has
+// sent and that the summaries don't show yet.
 //
 // # Usage
 //
@@ -14,16 +15,17 @@
 //	// send the request to c.VM and relay the answer, then
 //	r.Ended(now, c, ggsroute.End{Held: held, AnswerBytes: n})
 //
-// A dispatcher with its endpoints of one service is a pool. A request with an
-// adapter goes to a pool where the adapter is resident and a batch has room;
-// else where it is being loaded; else to its home, which rendezvous hashing
-// over the region's runners gives. Hashing over runners, and not over
-// dispatchers, weighs pools by their size, and an adapter keeps its home when
-// another VM takes the runners over. A pool that is loaded beyond its bound is
-// passed over for the next home.
+// A pool is a dispatcher's endpoints of one service. A request with an adapter is
+// sent to a pool where the adapter is resident and a batch slot is free. If there
+// is none, it is sent to a pool where the adapter is loading, else to the
+// adapter's home. The home is chosen by rendezvous hashing over the region's
+// runners. Hashing over runners, and not over dispatchers, weights pools by their
+// size, and an adapter keeps its home when another VM takes the runners over.
+// Pools whose load exceeds a bound are skipped for the next home.
 //
-// The package holds no clock, no goroutine and no lock; one seed and one
-// sequence of calls always give the same choices.
+// The package has no clock, goroutine or lock of its own, and a Router or Board
+// must not be used concurrently. The same seed and sequence of calls always give
+// the same choices.
 package ggsroute
 
 import (
@@ -40,17 +42,18 @@
 	DefaultHold   = 500 * time.Millisecond
 )
 
-// seedStream separates the router's random numbers from others of one seed.
+// seedStream separates the router's random numbers from those of other uses of the
+// same seed.
 const seedStream = 0x726f757465
 
-// An Options describes the gateway that a router works for.
+// Options configure a router for one gateway.
 type Options struct {
 	Region ggscore.Region
 	Seed   uint64
-	// MaxAge is how long a dispatcher gets work after its last summary; zero
-	// means DefaultMaxAge.
+	// MaxAge is how long a dispatcher receives requests after its last summary.
+	// Zero means DefaultMaxAge.
 	MaxAge time.Duration
-	// Hold is the first guess of how long a request keeps its slot; zero
+	// Hold is the initial estimate of how long a request holds a slot. Zero
 	// means DefaultHold.
 	Hold time.Duration
 }
@@ -60,69 +63,69 @@
 	options  Options
 	policy   ggscore.PolicySpec
 	gateways int
-	// regions is the number of regions with dispatchers, the own among them.
-	regions  int
-	rng      *rand.Rand
-	groups   map[ggscore.VMID]*group
-	services map[ggscore.Service]*service
-	boards   map[string]*view
-	rates    *rateTable
-	crossing bucket
-	// answerBytes is the mean size of an answer.
+	// regions is the number of regions with dispatchers, including the own one.
+	regions     int
+	rng         *rand.Rand
+	dispatchers map[ggscore.VMID]*dispatcher
+	services    map[ggscore.Service]*service
+	boards      map[string]*boardState
+	rates       *rateTable
+	crossRegion tokenBucket
+	// answerBytes is the mean size of an answer, in bytes.
 	answerBytes float64
 }
 
-// A service is what the router knows of one service.
+// A service is the router's state of one service.
 type service struct {
 	name     ggscore.Service
 	local    []*pool
 	remote   []*pool
 	adapters map[uint64]*adapter
-	// hold is the mean time that a request keeps its slot.
+	// hold is the mean time that a request holds a slot.
 	hold time.Duration
-	// loading counts loads in all pools.
+	// loading is the number of loads in progress in all pools.
 	loading int
 }
 
-// New returns a router that knows no dispatcher.
+// New returns a router without dispatchers.
 func New(o Options) *Router {
 	o.MaxAge = cmp.Or(o.MaxAge, DefaultMaxAge)
 	o.Hold = cmp.Or(o.Hold, DefaultHold)
 	return &Router{
-		options:  o,
-		gateways: 1,
-		regions:  1,
-		rng:      rand.New(rand.NewPCG(o.Seed, seedStream)),
-		groups:   map[ggscore.VMID]*group{},
-		services: map[ggscore.Service]*service{},
-		boards:   map[string]*view{},
-		rates:    newRateTable(),
+		options:     o,
+		gateways:    1,
+		regions:     1,
+		rng:         rand.New(rand.NewPCG(o.Seed, seedStream)),
+		dispatchers: map[ggscore.VMID]*dispatcher{},
+		services:    map[ggscore.Service]*service{},
+		boards:      map[string]*boardState{},
+		rates:       newRateTable(),
 
 		answerBytes: firstAnswerBytes,
 	}
 }
 
-// SetGateways sets the number of live gateways, by which the router scales its
-// own rates up to the deployment's, and of whose bytes across regions each may
-// use an equal part.
+// SetGateways sets the number of live gateways. The router multiplies its own
+// request rates by this number to estimate the deployment's rates, and it uses an
+// equal part of the deployment's cross-region bytes.
 func (r *Router) SetGateways(n int) {
 	r.gateways = max(n, 1)
-	r.setCrossing()
+	r.setCrossRegionRate()
 }
 
-// SetPolicy sets the document's policy.
+// SetPolicy sets the policy of the document.
 func (r *Router) SetPolicy(now time.Time, p ggscore.PolicySpec) {
 	r.policy = p
-	r.crossing.fill(now)
-	r.setCrossing()
+	r.crossRegion.refill(now)
+	r.setCrossRegionRate()
 }
 
-// setCrossing gives the router its part of the bytes that may cross.
-func (r *Router) setCrossing() {
-	r.crossing.setRate(r.policy.CrossRegionBytesPerSecond / float64(r.gateways))
+// setCrossRegionRate sets the router's part of the deployment's cross-region bytes.
+func (r *Router) setCrossRegionRate() {
+	r.crossRegion.setRate(r.policy.CrossRegionBytesPerSecond / float64(r.gateways))
 }
 
-// serviceOf returns the state of a service, new where there was none.
+// serviceOf returns the state of a service and creates it if there is none.
 func (r *Router) serviceOf(name ggscore.Service) *service {
 	s, ok := r.services[name]
 	if !ok {
@@ -136,5 +139,6 @@
 	return s
 }
 
-// CrossRegionBytes returns the bytes that were sent to and from other regions.
-func (r *Router) CrossRegionBytes() int64 { return r.crossing.total }
+// CrossRegionBytes returns the number of bytes sent to and received from other
+// regions.
+func (r *Router) CrossRegionBytes() int64 { return r.crossRegion.total }
--- a/core/ggsroute/update.go
+++ b/core/ggsroute/update.go
@@ -7,29 +7,33 @@
 	ggscore "greengageslip/core"
 )
 
-// tombstoneAge is how long the order of a removed dispatcher's summaries is
-// kept. No summary is on its way for that long.
+// tombstoneAge is how long the summary order of a removed dispatcher is kept. It
+// exceeds any delay of a summary in transit.
 const tombstoneAge = time.Hour
 
-// An order decides which summaries of one dispatcher are news.
-type order struct {
+// A summaryOrder decides which summaries of one dispatcher are newer than those
+// accepted before.
+type summaryOrder struct {
 	incarnation string
 	sequence    uint64
 	leaving     bool
-	// left is set when the VM itself is leaving, in whatever incarnation.
-	left bool
+	// vmLeaving is set if the VM itself is leaving. It applies to all
+	// incarnations.
+	vmLeaving bool
 }
 
-// accept reports whether a summary is news, and takes its place in the order.
+// accept reports whether a summary is newer than those accepted before, and if so
+// records its position.
 //
-// A summary that was held up on the way shows the dispatcher as it was: taken
-// as news, it would bring back one that has left since, and requests would go
-// there to be refused. Sequences order one incarnation's summaries, and one
-// that is leaving never stops leaving. Incarnations are ordered by their names,
-// which begin with the time of their start (a UUID of version 7). Where a
-// clock was set back, the later one is the lesser: it is accepted once the
-// earlier one has been silent.
-func (o *order) accept(s *ggscore.DispatcherSummary, silent bool) bool {
+// A delayed summary shows an earlier state of the dispatcher. If it were accepted,
+// it would make a dispatcher that has left since usable again, and requests sent
+// there would be refused. Within an incarnation, summaries are ordered by their
+// sequence, and an incarnation that is leaving stays so. Incarnations are ordered
+// by name, which is a UUID of version 7 and starts with the time of the process's
+// start. If the VM's clock was set back before a restart, the later incarnation
+// has the lower name. It is accepted once the last summary of the earlier one is
+// stale.
+func (o *summaryOrder) accept(s *ggscore.DispatcherSummary, stale bool) bool {
 	if s.Incarnation == o.incarnation {
 		if s.Sequence <= o.sequence {
 			return false
@@ -38,70 +42,72 @@
 		o.leaving = o.leaving || s.Leaving
 		return true
 	}
-	if s.Incarnation < o.incarnation && !silent {
+	if s.Incarnation < o.incarnation && !stale {
 		return false
 	}
 	o.incarnation = s.Incarnation
 	o.sequence = s.Sequence
-	o.leaving = s.Leaving || o.left
+	o.leaving = s.Leaving || o.vmLeaving
 	return true
 }
 
-// Leave marks a dispatcher's VM as leaving, for good: the platform's list or a
-// heartbeat said so, perhaps before its summary.
+// Leave marks a dispatcher's VM as leaving. The mark is permanent. Its source is
+// the platform's list or a heartbeat, which may arrive before a summary.
 func (r *Router) Leave(vm ggscore.VMID) {
-	g := r.groupOf(vm)
-	g.order.left = true
-	g.order.leaving = true
+	d := r.dispatcherOf(vm)
+	d.order.vmLeaving = true
+	d.order.leaving = true
 }
 
-// Remove forgets a dispatcher that is gone. Its place in the order of its
-// summaries is kept, so that a late one can't bring it back.
+// Remove deletes the state of a dispatcher that no longer exists. The position in
+// the order of its summaries is kept for tombstoneAge, so that a delayed summary
+// can't make the dispatcher usable again.
 func (r *Router) Remove(now time.Time, vm ggscore.VMID) {
-	r.sweep(now)
-	g, ok := r.groups[vm]
+	r.evictRemoved(now)
+	d, ok := r.dispatchers[vm]
 	if !ok {
 		return
 	}
-	for _, p := range g.pools {
+	for _, p := range d.pools {
 		p.clear()
-		p.settle(now)
-		p.service.drop(p)
+		p.finishUpdate(now)
+		p.service.removePool(p)
 	}
-	g.pools = nil
-	g.expires = time.Time{}
-	g.removed = now
+	d.pools = nil
+	d.expires = time.Time{}
+	d.removed = now
 }
 
-// Update takes a dispatcher's summary and reports whether it was news.
+// Update applies a dispatcher's summary. It returns false if the summary is older
+// than one applied before.
 func (r *Router) Update(now time.Time, s *ggscore.DispatcherSummary) bool {
-	g := r.groupOf(s.VM)
-	if !g.order.accept(s, g.silent(now)) {
+	d := r.dispatcherOf(s.VM)
+	if !d.order.accept(s, d.stale(now)) {
 		return false
 	}
-	r.place(g, s.Region)
-	g.expires = now.Add(r.options.MaxAge)
-	for _, p := range g.pools {
+	r.setRegion(d, s.Region)
+	d.expires = now.Add(r.options.MaxAge)
+	for _, p := range d.pools {
 		p.clear()
 	}
 	for i := range s.Runners {
-		r.poolOf(g, s.Runners[i].Service).take(&s.Runners[i])
+		r.poolOf(d, s.Runners[i].Service).addRunner(&s.Runners[i])
 	}
-	for _, p := range g.pools {
-		p.settle(now)
+	for _, p := range d.pools {
+		p.finishUpdate(now)
 	}
 	return true
 }
 
-// place notes where a dispatcher stands.
-func (r *Router) place(g *group, region ggscore.Region) {
-	if g.region == region {
+// setRegion records a dispatcher's region and counts the regions.
+func (r *Router) setRegion(d *dispatcher, region ggscore.Region) {
+	if d.region == region {
 		return
 	}
-	g.region = region
-	g.local = region == r.options.Region
+	d.region = region
+	d.local = region == r.options.Region
 	regions := map[ggscore.Region]bool{r.options.Region: true}
-	for _, o := range r.groups {
+	for _, o := range r.dispatchers {
 		if o.region != "" {
 			regions[o.region] = true
 		}
@@ -109,44 +115,44 @@
 	r.regions = len(regions)
 }
 
-// groupOf returns the state of a dispatcher, new where there was none.
-func (r *Router) groupOf(vm ggscore.VMID) *group {
-	g, ok := r.groups[vm]
+// dispatcherOf returns the state of a dispatcher and creates it if there is none.
+func (r *Router) dispatcherOf(vm ggscore.VMID) *dispatcher {
+	d, ok := r.dispatchers[vm]
 	if !ok {
-		g = &group{vm: vm}
-		r.groups[vm] = g
+		d = &dispatcher{vm: vm}
+		r.dispatchers[vm] = d
 	}
-	g.removed = time.Time{}
-	return g
+	d.removed = time.Time{}
+	return d
 }
 
-// sweep forgets the dispatchers that were removed long ago.
-func (r *Router) sweep(now time.Time) {
-	for vm, g := range r.groups {
-		if !g.removed.IsZero() && now.Sub(g.removed) > tombstoneAge {
-			delete(r.groups, vm)
+// evictRemoved deletes the dispatchers that were removed more than tombstoneAge ago.
+func (r *Router) evictRemoved(now time.Time) {
+	for vm, d := range r.dispatchers {
+		if !d.removed.IsZero() && now.Sub(d.removed) > tombstoneAge {
+			delete(r.dispatchers, vm)
 		}
 	}
 }
 
-// drop removes a pool from the service.
-func (s *service) drop(p *pool) {
+// removePool removes a pool from the service.
+func (s *service) removePool(p *pool) {
 	same := func(o *pool) bool { return o == p }
 	s.local = slices.DeleteFunc(s.local, same)
 	s.remote = slices.DeleteFunc(s.remote, same)
 }
 
-// poolOf returns a dispatcher's pool of a service, new where there was none.
-func (r *Router) poolOf(g *group, name ggscore.Service) *pool {
-	for _, p := range g.pools {
+// poolOf returns a dispatcher's pool of a service and creates it if there is none.
+func (r *Router) poolOf(d *dispatcher, name ggscore.Service) *pool {
+	for _, p := range d.pools {
 		if p.service.name == name {
 			return p
 		}
 	}
 	s := r.serviceOf(name)
-	p := &pool{group: g, service: s, generation: 1}
-	g.pools = append(g.pools, p)
-	if g.local {
+	p := &pool{dispatcher: d, service: s, generation: 1}
+	d.pools = append(d.pools, p)
+	if d.local {
 		s.local = append(s.local, p)
 	} else {
 		s.remote = append(s.remote, p)
@@ -154,13 +160,13 @@
 	return p
 }
 
-// Observe takes a dispatcher's own word on its load, which its answers carry:
-// the requests that run and wait on the chosen pool.
+// Observe sets the load of the chosen pool, in requests running and queued, as
+// reported in a dispatcher's answer.
 //
-// Boards are read seldom in a large deployment, and each gateway sends little
-// of the whole. The answers that pass through it keep what it knows of the
-// busiest pools fresh, without a message of their own.
+// In a large deployment, boards are read seldom, and each gateway sends a small
+// part of all requests. The load in the answers keeps the gateway's state of the
+// busiest pools recent without additional messages.
 func (r *Router) Observe(c Choice, load int) {
 	c.pool.reported = max(load, 0)
-	c.pool.sent = 0
+	c.pool.unreported = 0
 }
