--- a/core/ggsqueue/queue_test.go
+++ b/core/ggsqueue/queue_test.go
@@ -11,9 +11,9 @@
 	"greengageslip/core/ggsqueue"
 )
 
-// Two markets keep work waiting all the time. Whatever their weights and the
-// order of arrival, none gets ahead of its share by more than one dispatch of
-// each market; else its callers' waits would depend on the other's load.
+// Two markets always have work waiting, at any weights. If one exceeded its share
+// by more than one dispatch of each market, in any order of arrival, its load would
+// determine the waits of the other's callers.
 func TestSharesFollowWeights(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,14 +47,14 @@
 		total := float64(weights["cr"] + weights["pa"])
 		fair := float64(n) * float64(weights["cr"]) / total
 		if got := served[c.Share("cr")]; got < fair-1.5 || got > fair+1.5 {
-			t.Fatalf("cr was served %v times of %d, its share is %.2f", got, n, fair)
+			t.Fatalf("cr was served %v times of %d, want %.2f", got, n, fair)
 		}
 	})
 }
 
-// A market that was quiet for long sends a burst. Had it saved up its share, the
-// burst would shut out everyone else for as long.
-func TestQuietMarketSavesNothing(t *testing.T) {
+// A market sends a burst after a long idle time. If it received credit for that
+// time, the burst would block all other markets for as long.
+func TestIdleMarketGetsNoCredit(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	var k ggsqueue.Clock
@@ -76,7 +76,7 @@
 	c.Assert(served, qt.DeepEquals, map[string]int{"busy": 5, "quiet": 5})
 }
 
-func TestOrderWithinMarket(t *testing.T) {
+func TestClassAndDeadlineOrderWithinMarket(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	var k ggsqueue.Clock
