--- a/core/ggsowner/doc.go
+++ b/core/ggsowner/doc.go
@@ -1,40 +1,41 @@
-// Package ggsowner decides who owns a group of endpoints, and what an owner
-// may do with them now.
+// Package ggsowner decides which dispatcher owns a group of endpoints, and what
+// the owner may do with the endpoints at the moment.
 //
-// A group's record stands in the platform's key-value service: its owner, a
-// fencing number that grows with each change of owner, and the adapters that
-// the owner protects on each endpoint. It stands under no lease, so that
-// nothing of it vanishes. The lease is the owner's alone, one a VM, and the
-// record names it.
+// The platform's key-value service stores one record per group. The record holds
+// the owner, a fencing token that grows with each change of owner or lease, and the
+// adapters that the owner protects on each endpoint. The record isn't bound to a
+// lease, so that it never expires. Each VM has one lease of its own, and the record
+// names the owner's lease.
 //
 // # Usage
 //
 //	l := ggsowner.NewLease(limits)
 //	l.Granted(id, sent)
-//	l.Renewed(sent) // each time that a renewal succeeded
+//	l.Renewed(sent) // after each successful renewal
 //
 //	g := ggsowner.NewGroup(self)
 //	g.Want(first)
 //	g.Poll()
 //	for s := g.Next(now, l); s.Kind != ggsowner.StepIdle; s = g.Next(now, l) {
-//		// read or write, then report by RecordRead, LeaseRead, WriteDone or Away
+//		// do the I/O, then call RecordRead, LeaseRead, WriteDone or Away
 //	}
 //	fence, err := g.Check(now, l, endpoint, adapter, ggscore.OrderDispatch)
 //
-// # Why it holds
+// # Safety
 //
-// Only the holder of the lease that the record names gives orders. Another VM
-// takes the record over only after the platform said that this lease lapsed,
-// or after the owner released the record; both go through compare-and-swap of
-// the record. The holder counts its lease from before the renewal was sent,
-// less a margin, on the monotonic clock, so that it stops earlier than the
-// platform lets another begin.
+// Only the holder of the lease that the record names gives orders other than
+// dispatches. Another VM takes the group over only after the platform has reported
+// this lease as lapsed, or after the owner has released the record. Takeover and
+// release are compare-and-swap writes of the record. The holder counts the lease's
+// time to live from before it sent the renewal, less a margin, on the monotonic
+// clock, so that its lease ends before the platform allows a takeover.
 //
-// An owner whose lease is not confirmed goes on serving the adapters that the
-// record protects and gives no orders. A new owner takes these as pinned until
-// the earlier one is known to have stopped. An adapter is used only after the
-// record protects it, also with the lease held: a run that began before the
-// lease lapsed is thereby covered too.
+// An owner whose lease isn't confirmed continues to serve the adapters that the
+// record protects, but gives no other orders. A new owner treats these adapters
+// as pinned until the earlier owner is known to have stopped. A request is
+// dispatched only if the record protects its adapter, also while the lease is
+// held, so that runs that began before the lease lapsed are protected too.
 //
-// The package holds no clock, no goroutine and no lock.
+// The package has no clock, goroutine or lock of its own: callers pass the time,
+// do the I/O and serialize the calls.
 package ggsowner
--- a/core/ggsowner/errors.go
+++ b/core/ggsowner/errors.go
@@ -6,7 +6,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A NotOwnerError says that an order needs an ownership that isn't held.
+// A NotOwnerError says that the dispatcher's ownership mode doesn't allow an order.
 type NotOwnerError struct {
 	Endpoint ggscore.EndpointID
 	Mode     ggscore.OwnerMode
@@ -14,11 +14,11 @@
 
 // Error implements error.
 func (e *NotOwnerError) Error() string {
-	return fmt.Sprintf("not the owner of %s (mode %d)", e.Endpoint, e.Mode)
+	return fmt.Sprintf("not the owner of endpoint %s: order refused (mode %d: 0 none, 1 resident only)", e.Endpoint, e.Mode)
 }
 
-// A NotProtectedError says that an adapter isn't protected yet on an endpoint,
-// so that another owner might evict it during a run.
+// A NotProtectedError says that the record doesn't yet protect an adapter on an
+// endpoint, so that another owner could evict the adapter during a run.
 type NotProtectedError struct {
 	Endpoint ggscore.EndpointID
 	Adapter  ggscore.AdapterRef
@@ -26,10 +26,10 @@
 
 // Error implements error.
 func (e *NotProtectedError) Error() string {
-	return fmt.Sprintf("adapter %s is not protected on %s", e.Adapter, e.Endpoint)
+	return fmt.Sprintf("dispatch refused: adapter %s is not protected yet on endpoint %s", e.Adapter, e.Endpoint)
 }
 
-// A PinnedError says that an earlier owner may be using an adapter.
+// A PinnedError says that an earlier owner may still be using an adapter.
 type PinnedError struct {
 	Endpoint ggscore.EndpointID
 	Adapter  ggscore.AdapterRef
@@ -38,5 +38,5 @@
 
 // Error implements error.
 func (e *PinnedError) Error() string {
-	return fmt.Sprintf("adapter %s on %s is pinned by %s", e.Adapter, e.Endpoint, e.Holder.VM)
+	return fmt.Sprintf("unload refused: adapter %s on endpoint %s is pinned by %s", e.Adapter, e.Endpoint, e.Holder.VM)
 }
--- a/core/ggsowner/group.go
+++ b/core/ggsowner/group.go
@@ -6,22 +6,22 @@
 	ggscore "greengageslip/core"
 )
 
-// A StepKind says what I/O a Group wants.
+// A StepKind is the kind of I/O that a Group needs.
 type StepKind int
 
 // The kinds of steps.
 const (
-	// StepIdle wants none.
+	// StepIdle means that no I/O is needed.
 	StepIdle StepKind = iota
-	// StepReadRecord wants the record read.
+	// StepReadRecord reads the record.
 	StepReadRecord
-	// StepReadLease wants to know whether Lease of Owner has lapsed.
+	// StepReadLease reads whether Lease of Owner has lapsed.
 	StepReadLease
-	// StepWriteRecord wants Record put at revision Prev.
+	// StepWriteRecord writes Record if the stored record has revision Prev.
 	StepWriteRecord
 )
 
-// A Step is the next I/O that a Group wants.
+// A Step is the next I/O that a Group needs.
 type Step struct {
 	Kind   StepKind
 	Owner  ggscore.VMID
@@ -30,68 +30,68 @@
 	Prev   ggscore.StoreRevision
 }
 
-// A WriteResult says how a write ended.
+// A WriteResult is the result of a write.
 type WriteResult int
 
-// The ends of writes.
+// The results of writes.
 const (
-	// WriteOK means that it took effect.
+	// WriteOK means that the write took effect.
 	WriteOK WriteResult = iota
-	// WriteConflict means that it met another revision and had no effect.
+	// WriteConflict means that the record had another revision and the write had
+	// no effect.
 	WriteConflict
-	// WriteAmbiguous means that it may have taken effect or may yet do so.
+	// WriteAmbiguous means that the write may have taken effect or may do so later.
 	WriteAmbiguous
 )
 
-// leaseState is what is known of the recorded owner's lease.
+// leaseState is the last known state of the recorded owner's lease.
 type leaseState int
 
 const (
-	leaseUnasked leaseState = iota
+	leaseUnknown leaseState = iota
 	leaseHeld
 	leaseLapsed
 )
 
-// A Group is a group of endpoints as one dispatcher knows it. One I/O is in
-// flight at a time.
+// A Group is one dispatcher's state of a group of endpoints. At most one I/O per
+// Group is in flight.
 type Group struct {
-	self     Holder
-	record   Record
-	revision ggscore.StoreRevision
-	known    bool
-	// owner is the state of the recorded owner's lease.
-	owner  leaseState
-	wanted bool
-	// want names what is to be protected; confirmed what the record protects
-	// whatever becomes of writes that are still under way.
-	want      Set
+	self       Holder
+	record     Record
+	revision   ggscore.StoreRevision
+	upToDate   bool
+	ownerLease leaseState
+	candidate  bool
+	// desired contains the adapters that the record should protect. confirmed
+	// contains those that it protects whether or not ambiguous writes take effect.
+	desired   Set
 	confirmed Set
 	releasing bool
 	idle      bool
 	stopped   map[Holder]bool
-	// doubt is the revision on which an ambiguous write stands that may still
-	// take effect.
-	doubt   ggscore.StoreRevision
-	inDoubt bool
-	next    Record
-	writing bool
+	// inDoubtRevision is the revision that an ambiguous write replaces, if that
+	// write may still take effect.
+	inDoubtRevision ggscore.StoreRevision
+	inDoubt         bool
+	next            Record
+	writeInFlight   bool
 }
 
-// NewGroup returns a group of which nothing is known.
+// NewGroup returns a group whose record hasn't been read.
 func NewGroup(self Holder) *Group {
 	return &Group{self: self, stopped: make(map[Holder]bool)}
 }
 
-// Away reports that a read failed, or that a write had no effect.
+// Away records that a read failed, or that a write failed without effect.
 func (g *Group) Away() {
-	g.writing, g.next = false, Record{}
-	g.known = false
+	g.writeInFlight, g.next = false, Record{}
+	g.upToDate = false
 }
 
-// Check says whether an order may be given now, and with which fencing number.
-// It is called right before the order is written, in the goroutine that writes
-// it. Failures are *NotOwnerError, *NotProtectedError and *PinnedError; the
-// order must then not be given.
+// Check returns the fencing token for an order, or an error if the order must not
+// be sent now. It must be called immediately before the order is written, in the
+// goroutine that writes the order. The errors are *NotOwnerError,
+// *NotProtectedError and *PinnedError.
 func (g *Group) Check(
 	now time.Time, l *Lease, id ggscore.EndpointID, a ggscore.AdapterRef, k ggscore.OrderKind,
 ) (ggscore.FenceNumber, error) {
@@ -99,9 +99,9 @@
 	if m == ggscore.ModeNone || (m == ggscore.ModeResidentOnly && k != ggscore.OrderDispatch) {
 		return 0, &NotOwnerError{Endpoint: id, Mode: m}
 	}
-	// A run whose adapter the record doesn't protect would be cut off, were
-	// the lease to lapse during the run: the next owner evicts what it finds
-	// unprotected. What the record protects it takes as pinned.
+	// If the lease lapses during a run, the next owner evicts adapters that the
+	// record doesn't protect, and a run that uses one of them breaks off. The next
+	// owner treats adapters that the record protects as pinned.
 	if k == ggscore.OrderDispatch && !a.IsZero() && !g.confirmed.Has(id, a) {
 		return 0, &NotProtectedError{Endpoint: id, Adapter: a}
 	}
@@ -114,7 +114,7 @@
 	return g.record.Fence, nil
 }
 
-// Mode says what may be done now.
+// Mode returns what this dispatcher may do with the group now.
 func (g *Group) Mode(now time.Time, l *Lease) ggscore.OwnerMode {
 	switch {
 	case !g.Owned() || g.releasing:
@@ -126,94 +126,96 @@
 	}
 }
 
-// Next returns the I/O to do now. It is called when none is in flight.
+// Next returns the I/O to do now. It must be called only if none is in flight.
 func (g *Group) Next(now time.Time, l *Lease) Step {
-	if g.writing {
+	if g.writeInFlight {
 		return Step{}
 	}
-	if !g.known {
+	if !g.upToDate {
 		return Step{Kind: StepReadRecord}
 	}
 	next, changed, step := g.plan(now, l)
 	if step.Kind != StepIdle {
 		return step
 	}
-	// An ambiguous write may land on the present revision at any time, and
-	// take protection from an adapter in use, or make an owner of a VM that
-	// has given up. Any write that succeeds on that revision shuts it out.
-	if mayLand := g.inDoubt && g.doubt == g.revision; !changed && !mayLand {
+	// An ambiguous write on the present revision may take effect at any time. It
+	// could remove the protection of an adapter in use, or make a VM the owner that
+	// no longer expects it. Any write that succeeds on that revision prevents this.
+	if mayTakeEffect := g.inDoubt && g.inDoubtRevision == g.revision; !changed && !mayTakeEffect {
 		return Step{}
 	}
-	g.next, g.writing = next, true
+	g.next, g.writeInFlight = next, true
 	return Step{Kind: StepWriteRecord, Record: next, Prev: g.revision}
 }
 
-// Owned reports whether the last record read or written names this holder.
+// Owned reports whether the last record read or written names this holder as the
+// owner and isn't released.
 func (g *Group) Owned() bool { return g.record.Owner == g.self && !g.record.Released }
 
-// Poll asks for a fresh look at the record.
-func (g *Group) Poll() { g.known = false }
+// Poll makes Next read the record again.
+func (g *Group) Poll() { g.upToDate = false }
 
-// Protect names the adapters that the record of an owned group is to protect,
-// and reports whether it takes a write.
+// Protect sets the adapters that the record of an owned group should protect, and
+// reports whether the record must be written for that.
 func (g *Group) Protect(s Set) bool {
 	if !g.Owned() {
 		return false
 	}
-	g.want = s
+	g.desired = s
 	return !s.Equal(g.record.Protected)
 }
 
-// Protected reports whether the record protects an adapter.
+// Protected reports whether the record certainly protects an adapter.
 func (g *Group) Protected(id ggscore.EndpointID, a ggscore.AdapterRef) bool {
 	return g.confirmed.Has(id, a)
 }
 
-// Record returns the record as last known.
+// Record returns the record as last read or written.
 func (g *Group) Record() Record { return g.record }
 
-// RecordRead reports the record as read; a missing one has revision zero.
+// RecordRead records the result of StepReadRecord. A missing record has revision
+// zero.
 func (g *Group) RecordRead(r Record, rev ggscore.StoreRevision) {
 	if r.Owner != g.record.Owner || r.Lease != g.record.Lease {
-		g.owner = leaseUnasked
+		g.ownerLease = leaseUnknown
 	}
-	if g.owner == leaseHeld {
-		g.owner = leaseUnasked
+	if g.ownerLease == leaseHeld {
+		g.ownerLease = leaseUnknown
 	}
-	g.record, g.revision, g.known = r, rev, true
-	if g.doubt != rev {
+	g.record, g.revision, g.upToDate = r, rev, true
+	if g.inDoubtRevision != rev {
 		g.inDoubt = false
 	}
 	if !g.inDoubt {
-		g.confirm()
+		g.updateConfirmed()
 	}
 }
 
-// LeaseRead reports whether the recorded owner's lease has lapsed.
+// LeaseRead records the result of StepReadLease.
 func (g *Group) LeaseRead(lapsed bool) {
-	g.owner = leaseHeld
+	g.ownerLease = leaseHeld
 	if lapsed {
-		g.owner = leaseLapsed
+		g.ownerLease = leaseLapsed
 	}
 }
 
-// Release gives the group up: no new work and no orders from now on. What is
-// protected stays pinned until SetIdle.
+// Release starts to give up the ownership: from now on, Check refuses all orders.
+// The protected adapters stay pinned until SetIdle reports this holder as idle.
 func (g *Group) Release() { g.releasing = true }
 
-// Released reports whether a release has been recorded.
-func (g *Group) Released() bool { return g.known && !g.Owned() && !g.inDoubt }
+// Released reports whether it is certain that this holder doesn't own the group.
+func (g *Group) Released() bool { return g.upToDate && !g.Owned() && !g.inDoubt }
 
-// SetIdle says whether this holder has nothing in progress in the group. It is
-// looked at only while no new work is taken: said earlier it would be out of
-// date with the next dispatch.
+// SetIdle sets whether this holder has no requests in progress in the group. The
+// value is ignored while the holder may still dispatch requests, since the next
+// dispatch would invalidate it.
 func (g *Group) SetIdle(idle bool) { g.idle = idle && (g.releasing || !g.Owned()) }
 
-// Involved reports whether this holder has a part in the group: it owns it, or
-// has pins left from when it did.
+// Involved reports whether the record names this holder as the owner, also if
+// released, or has pins of this holder.
 func (g *Group) Involved() bool { return g.record.Owner == g.self || g.Pinning() }
 
-// Pinning reports whether the record keeps pins of this holder.
+// Pinning reports whether the record has pins of this holder.
 func (g *Group) Pinning() bool {
 	for _, p := range g.record.Pins {
 		if p.Holder == g.self {
@@ -223,72 +225,75 @@
 	return false
 }
 
-// Stopped reports that an earlier holder has ended for certain: its process
-// was replaced by another, or its VM is gone.
+// Stopped records that an earlier holder has certainly stopped: its process was
+// replaced by another, or its VM no longer exists.
 func (g *Group) Stopped(h Holder) { g.stopped[h] = true }
 
-// Want says whether this dispatcher is the first candidate to take the group
-// over from the owner that the record names.
-func (g *Group) Want(wanted bool) { g.wanted = wanted }
+// Want sets whether this dispatcher is the first candidate to take the group over
+// from the owner that the record names.
+func (g *Group) Want(candidate bool) { g.candidate = candidate }
 
-// WriteDone reports a write's end; rev is the new revision with WriteOK.
+// WriteDone records the result of StepWriteRecord. With WriteOK, rev is the new
+// revision.
 func (g *Group) WriteDone(res WriteResult, rev ggscore.StoreRevision) {
 	next := g.next
-	g.writing, g.next = false, Record{}
+	g.writeInFlight, g.next = false, Record{}
 	switch res {
 	case WriteOK:
 		if next.Owner != g.record.Owner || next.Lease != g.record.Lease {
-			g.owner = leaseUnasked
+			g.ownerLease = leaseUnknown
 		}
 		g.record, g.revision, g.inDoubt = next, rev, false
-		g.confirm()
+		g.updateConfirmed()
 	case WriteAmbiguous:
-		g.inDoubt, g.doubt, g.known = true, g.revision, false
+		g.inDoubt, g.inDoubtRevision, g.upToDate = true, g.revision, false
 		g.confirmed = intersect(g.confirmed, next.Protected)
 	case WriteConflict:
-		g.known = false
+		g.upToDate = false
 	}
 }
 
-func (g *Group) confirm() {
+func (g *Group) updateConfirmed() {
 	g.confirmed = nil
 	if !g.Owned() {
-		g.want = nil
+		g.desired = nil
 		return
 	}
 	g.confirmed = g.record.Protected
-	// A new owner goes on with what its predecessor protected, until it is
-	// told what the runners hold.
-	if g.want == nil {
-		g.want = g.record.Protected
+	// A new owner keeps its predecessor's protected adapters until Protect sets
+	// those that are resident on the runners.
+	if g.desired == nil {
+		g.desired = g.record.Protected
 	}
 }
 
-// plan returns the record as it should be, or the read that it takes to know.
+// plan returns the record as it should be and whether it changes, or the read that
+// is needed first.
 func (g *Group) plan(now time.Time, l *Lease) (Record, bool, Step) {
 	next := g.record.clone()
 	changed := next.unpin(func(h Holder) bool { return g.hasStopped(h) })
 	if g.Owned() {
-		return next, g.keep(now, l, &next) || changed, Step{}
+		return next, g.updateOwned(now, l, &next) || changed, Step{}
 	}
-	if !g.wanted || g.releasing || !l.HeldAt(now) {
+	if !g.candidate || g.releasing || !l.HeldAt(now) {
 		return next, changed, Step{}
 	}
 	if g.record.Owner.VM != "" && !g.record.Released && g.record.Owner.VM != g.self.VM {
-		switch g.owner {
-		case leaseUnasked:
+		switch g.ownerLease {
+		case leaseUnknown:
 			return next, false, Step{Kind: StepReadLease, Owner: g.record.Owner.VM, Lease: g.record.Lease}
 		case leaseHeld:
 			return next, changed, Step{}
 		case leaseLapsed:
 		}
 	}
-	g.take(l, &next)
+	g.takeOver(l, &next)
 	return next, true, Step{}
 }
 
-// hasStopped reports whether a holder's pins may go. The holder itself says so
-// of its own when it is idle and no longer the owner.
+// hasStopped reports whether a holder's pins may be removed. This holder's own pins
+// may be removed if it is idle, or if it is the owner again. Earlier processes on
+// its VM have stopped.
 func (g *Group) hasStopped(h Holder) bool {
 	if h == g.self {
 		return g.idle || g.Owned()
@@ -296,8 +301,8 @@
 	return g.stopped[h] || h.VM == g.self.VM
 }
 
-// keep brings the record of an owned group up to date.
-func (g *Group) keep(now time.Time, l *Lease, next *Record) bool {
+// updateOwned updates the record of an owned group and reports whether it changes.
+func (g *Group) updateOwned(now time.Time, l *Lease, next *Record) bool {
 	if g.releasing {
 		next.Released = true
 		if !g.idle {
@@ -311,16 +316,16 @@
 		next.Fence++
 		changed = true
 	}
-	if !g.want.Equal(g.record.Protected) {
-		next.Protected = g.want
+	if !g.desired.Equal(g.record.Protected) {
+		next.Protected = g.desired
 		changed = true
 	}
 	return changed
 }
 
-// take makes this holder the owner. What the earlier one may use stays
-// protected, and pinned until that holder is known to have stopped.
-func (g *Group) take(l *Lease, next *Record) {
+// takeOver makes this holder the owner. The adapters that the earlier owner may use
+// stay protected, and pinned until that owner is known to have stopped.
+func (g *Group) takeOver(l *Lease, next *Record) {
 	old := next.Owner
 	if !next.Released && old.VM != "" && !g.hasStopped(old) {
 		next.pin(old, next.Protected)
--- a/core/ggsowner/group_test.go
+++ b/core/ggsowner/group_test.go
@@ -10,234 +10,236 @@
 	ggscore "greengageslip/core"
 )
 
-// A renter's answer breaks off in the middle: the owner of the runner was cut
-// off or paused, another took over and evicted the adapter that the first was
-// using; or two owners ordered loads at once.
-func TestOneOwnerUnderFaults(t *testing.T) {
+// The owner of a runner is partitioned or paused. Another dispatcher takes over and
+// evicts an adapter that the first one uses, so that a caller's answer breaks off,
+// or both order loads at the same time.
+func TestSingleOwnerUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(3)
-		names, act := actions(w)
+		s := newSimulation(3)
+		names, byName := actions(s)
 		for range rapid.IntRange(100, 200).Draw(t, "steps") {
-			act[rapid.SampledFrom(names).Draw(t, "action")](t)
-			w.checkOwners(t)
+			byName[rapid.SampledFrom(names).Draw(t, "action")](t)
+			s.checkSingleOwner(t)
 		}
 	})
 }
 
-func actions(w *world) ([]string, map[string]func(*rapid.T)) {
-	dispatchers := rapid.IntRange(0, len(w.dispatchers)-1)
+func actions(s *simulation) ([]string, map[string]func(*rapid.T)) {
+	dispatchers := rapid.IntRange(0, len(s.dispatchers)-1)
 	adapters := rapid.Custom(func(t *rapid.T) ggscore.AdapterRef { return adapter(rapid.IntRange(1, 2).Draw(t, "n")) })
-	order := func(k ggscore.OrderKind) func(*rapid.T) {
+	orderAction := func(k ggscore.OrderKind) func(*rapid.T) {
 		return func(t *rapid.T) {
-			_ = w.give(t, dispatchers.Draw(t, "dispatcher"), adapters.Draw(t, "adapter"), k)
+			_ = s.order(t, dispatchers.Draw(t, "dispatcher"), adapters.Draw(t, "adapter"), k)
 		}
 	}
-	act := map[string]func(*rapid.T){
-		"start":  func(t *rapid.T) { w.start(dispatchers.Draw(t, "dispatcher")) },
-		"answer": func(t *rapid.T) { w.end(dispatchers.Draw(t, "dispatcher"), endAnswered) },
-		"lose":   func(t *rapid.T) { w.end(dispatchers.Draw(t, "dispatcher"), rapid.IntRange(1, 3).Draw(t, "how")) },
-		"land":   func(t *rapid.T) { pick(t, len(w.delayed), w.land) },
-		"poll":   func(t *rapid.T) { w.dispatchers[dispatchers.Draw(t, "dispatcher")].group.Poll() },
-		"settle": func(t *rapid.T) { w.settle(dispatchers.Draw(t, "dispatcher")) },
-		"take":   func(t *rapid.T) { i := dispatchers.Draw(t, "dispatcher"); w.renew(i, true); w.poll(i) },
-		"renew":  func(t *rapid.T) { w.renew(dispatchers.Draw(t, "dispatcher"), rapid.Bool().Draw(t, "answered")) },
+	byName := map[string]func(*rapid.T){
+		"startStep": func(t *rapid.T) { s.startStep(dispatchers.Draw(t, "dispatcher")) },
+		"answer":    func(t *rapid.T) { s.endStep(dispatchers.Draw(t, "dispatcher"), endAnswered) },
+		"failStep": func(t *rapid.T) {
+			s.endStep(dispatchers.Draw(t, "dispatcher"), rapid.IntRange(1, 3).Draw(t, "outcome"))
+		},
+		"applyDelayed": func(t *rapid.T) { drawIndex(t, len(s.delayed), s.applyDelayed) },
+		"poll":         func(t *rapid.T) { s.dispatchers[dispatchers.Draw(t, "dispatcher")].group.Poll() },
+		"runSteps":     func(t *rapid.T) { s.runSteps(dispatchers.Draw(t, "dispatcher")) },
+		"takeOver":     func(t *rapid.T) { i := dispatchers.Draw(t, "dispatcher"); s.renew(i, true); s.pollRecord(i) },
+		"renew":        func(t *rapid.T) { s.renew(dispatchers.Draw(t, "dispatcher"), rapid.Bool().Draw(t, "answered")) },
 		"wait": func(t *rapid.T) {
-			w.now = w.now.Add(rapid.SampledFrom([]time.Duration{time.Second, 4 * time.Second, 10 * time.Second}).Draw(t, "wait"))
+			s.now = s.now.Add(rapid.SampledFrom([]time.Duration{time.Second, 4 * time.Second, 10 * time.Second}).Draw(t, "wait"))
 		},
-		"restart":  func(t *rapid.T) { w.restart(dispatchers.Draw(t, "dispatcher")) },
-		"release":  func(t *rapid.T) { w.dispatchers[dispatchers.Draw(t, "dispatcher")].group.Release() },
-		"end":      func(t *rapid.T) { w.endRuns(dispatchers.Draw(t, "dispatcher")) },
-		"load":     order(ggscore.OrderLoad),
-		"unload":   order(ggscore.OrderUnload),
-		"dispatch": order(ggscore.OrderDispatch),
+		"restart":  func(t *rapid.T) { s.restart(dispatchers.Draw(t, "dispatcher")) },
+		"release":  func(t *rapid.T) { s.dispatchers[dispatchers.Draw(t, "dispatcher")].group.Release() },
+		"endRuns":  func(t *rapid.T) { s.endRuns(dispatchers.Draw(t, "dispatcher")) },
+		"load":     orderAction(ggscore.OrderLoad),
+		"unload":   orderAction(ggscore.OrderUnload),
+		"dispatch": orderAction(ggscore.OrderDispatch),
 	}
-	names := []string{"restart", "release", "end"}
-	for _, often := range []string{"land", "poll", "renew", "start", "answer", "lose", "wait", "settle"} {
+	names := []string{"restart", "release", "endRuns"}
+	for _, often := range []string{"applyDelayed", "poll", "renew", "startStep", "answer", "failStep", "wait", "runSteps"} {
 		names = append(names, often, often)
 	}
-	for _, veryOften := range []string{"take", "load", "unload", "dispatch"} {
+	for _, veryOften := range []string{"takeOver", "load", "unload", "dispatch"} {
 		names = append(names, veryOften, veryOften, veryOften, veryOften, veryOften)
 	}
-	return names, act
+	return names, byName
 }
 
-// own makes the first dispatcher the owner with an adapter loaded and protected.
-func own(t *testing.T, w *world, a ggscore.AdapterRef) {
+// makeOwner makes the first dispatcher the owner, with an adapter loaded and
+// protected.
+func makeOwner(t *testing.T, s *simulation, a ggscore.AdapterRef) {
 	t.Helper()
 	c := qt.New(t)
-	w.renew(0, true)
-	w.poll(0)
-	c.Assert(w.give(t, 0, a, ggscore.OrderLoad), qt.IsNil)
-	w.settle(0)
+	s.renew(0, true)
+	s.pollRecord(0)
+	c.Assert(s.order(t, 0, a, ggscore.OrderLoad), qt.IsNil)
+	s.runSteps(0)
 }
 
-// A paused dispatcher wakes after its lease lapsed and evicts an adapter that
-// the new owner is using, since to itself it still is the owner.
-func TestPausedOwnerGivesNoOrders(t *testing.T) {
+// A paused dispatcher resumes after its lease has lapsed. It still regards itself as
+// the owner and evicts an adapter that the new owner uses.
+func TestPausedOwnerCannotOrder(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
+	s := newSimulation(2)
 	a := adapter(1)
-	own(t, w, a)
-	w.now = w.now.Add(testTTL - testMargin)
+	makeOwner(t, s, a)
+	s.now = s.now.Add(testTTL - testMargin)
 	var n *NotOwnerError
-	c.Assert(w.give(t, 0, a, ggscore.OrderUnload), qt.ErrorAs, &n)
+	c.Assert(s.order(t, 0, a, ggscore.OrderUnload), qt.ErrorAs, &n)
 	c.Assert(n.Mode, qt.Equals, ggscore.ModeResidentOnly)
 }
 
-// Two owners order loads at once: one's lease lapsed and it has a new one, but
-// the record still names the old, so that another may take over meanwhile.
-func TestNewLeaseNeedsTheRecord(t *testing.T) {
+// Two owners order loads at the same time: the first has a new lease, but the record
+// still names its lapsed lease, so that another dispatcher may take over.
+func TestNewLeaseMustBeRecorded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(1)
-	own(t, w, adapter(1))
-	d := w.dispatchers[0]
-	w.now = w.now.Add(testTTL + time.Second)
-	w.renew(0, true)
-	w.renew(0, true)
-	c.Assert(d.lease.HeldAt(w.now), qt.IsTrue)
-	c.Assert(d.group.Mode(w.now, d.lease), qt.Equals, ggscore.ModeResidentOnly)
-	w.settle(0)
-	c.Assert(d.group.Mode(w.now, d.lease), qt.Equals, ggscore.ModeFull)
-	c.Assert(w.record.Fence, qt.Equals, ggscore.FenceNumber(2))
+	s := newSimulation(1)
+	makeOwner(t, s, adapter(1))
+	d := s.dispatchers[0]
+	s.now = s.now.Add(testTTL + time.Second)
+	s.renew(0, true)
+	s.renew(0, true)
+	c.Assert(d.lease.HeldAt(s.now), qt.IsTrue)
+	c.Assert(d.group.Mode(s.now, d.lease), qt.Equals, ggscore.ModeResidentOnly)
+	s.runSteps(0)
+	c.Assert(d.group.Mode(s.now, d.lease), qt.Equals, ggscore.ModeFull)
+	c.Assert(s.record.Fence, qt.Equals, ggscore.FenceNumber(2))
 }
 
-// Two owners order loads at once: a candidate that knew the first owner's
-// lease as lapsed took over from the second, whose lease was held.
-func TestLapseIsOfOneOwnerOnly(t *testing.T) {
+// Two owners order loads at the same time: a candidate reads that the first owner's
+// lease has lapsed and takes over from the second owner, whose lease is held.
+func TestLapseAppliesToOneOwnerOnly(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(3)
-	own(t, w, adapter(1))
-	w.now = w.now.Add(testTTL + time.Second)
-	w.renew(1, true)
-	w.renew(2, true)
-	w.dispatchers[2].group.Want(true)
-	w.dispatchers[2].group.Poll()
+	s := newSimulation(3)
+	makeOwner(t, s, adapter(1))
+	s.now = s.now.Add(testTTL + time.Second)
+	s.renew(1, true)
+	s.renew(2, true)
+	s.dispatchers[2].group.Want(true)
+	s.dispatchers[2].group.Poll()
 	for range 2 {
-		w.start(2)
-		w.end(2, endAnswered)
+		s.startStep(2)
+		s.endStep(2, endAnswered)
 	}
-	w.start(2)
-	w.poll(1)
-	w.end(2, endAnswered)
-	w.settle(2)
-	c.Assert(w.record.Owner.VM, qt.Equals, vm(1))
+	s.startStep(2)
+	s.pollRecord(1)
+	s.endStep(2, endAnswered)
+	s.runSteps(2)
+	c.Assert(s.record.Owner.VM, qt.Equals, vm(1))
 }
 
-// Nobody serves a group: a candidate that could get no lease took it over.
-func TestTakeoverNeedsALease(t *testing.T) {
+// A candidate without a lease takes a group over, and no dispatcher can serve it.
+func TestTakeoverRequiresLease(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(1)
-	w.poll(0)
-	c.Assert(w.dispatchers[0].group.Owned(), qt.IsFalse)
+	s := newSimulation(1)
+	s.pollRecord(0)
+	c.Assert(s.dispatchers[0].group.Owned(), qt.IsFalse)
 }
 
-// An agency's answers break off when its domain is cut from the platform and
-// another VM takes over: the cut owner goes on with its adapters, and the new
-// one evicts them. What the record protects stays until the first owner says
-// that it is idle.
-func TestNewOwnerKeepsWhatTheOldMayUse(t *testing.T) {
+// A failure domain is partitioned from the platform, and the new owner of a group
+// evicts adapters that the old one still serves. Adapters that the record protects
+// must stay until the old owner reports that it is idle.
+func TestNewOwnerKeepsAdaptersPinnedByOld(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
+	s := newSimulation(2)
 	a := adapter(1)
-	own(t, w, a)
-	w.now = w.now.Add(testTTL + time.Second)
-	w.renew(1, true)
-	w.poll(1)
-	c.Assert(w.dispatchers[1].group.Mode(w.now, w.dispatchers[1].lease), qt.Equals, ggscore.ModeFull)
-	c.Assert(w.record.Fence, qt.Equals, ggscore.FenceNumber(2))
-	c.Assert(w.give(t, 0, a, ggscore.OrderDispatch), qt.IsNil)
+	makeOwner(t, s, a)
+	s.now = s.now.Add(testTTL + time.Second)
+	s.renew(1, true)
+	s.pollRecord(1)
+	c.Assert(s.dispatchers[1].group.Mode(s.now, s.dispatchers[1].lease), qt.Equals, ggscore.ModeFull)
+	c.Assert(s.record.Fence, qt.Equals, ggscore.FenceNumber(2))
+	c.Assert(s.order(t, 0, a, ggscore.OrderDispatch), qt.IsNil)
 	var p *PinnedError
-	c.Assert(w.give(t, 1, a, ggscore.OrderUnload), qt.ErrorAs, &p)
-	c.Assert(w.record.PinnedOn(runner, w.dispatchers[1].group.self), qt.DeepEquals, []ggscore.AdapterRef{a})
+	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.ErrorAs, &p)
+	c.Assert(s.record.PinnedOn(runner, s.dispatchers[1].group.self), qt.DeepEquals, []ggscore.AdapterRef{a})
 
-	w.dispatchers[0].group.Poll()
-	w.settle(0)
+	s.dispatchers[0].group.Poll()
+	s.runSteps(0)
 	var n *NotOwnerError
-	c.Assert(w.give(t, 0, a, ggscore.OrderDispatch), qt.ErrorAs, &n)
-	w.endRuns(0)
-	w.settle(0)
-	w.poll(1)
-	c.Assert(w.give(t, 1, a, ggscore.OrderUnload), qt.IsNil)
+	c.Assert(s.order(t, 0, a, ggscore.OrderDispatch), qt.ErrorAs, &n)
+	s.endRuns(0)
+	s.runSteps(0)
+	s.pollRecord(1)
+	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.IsNil)
 }
 
-// A lookup that began just before a takeover breaks off: its adapter had been
-// loaded, but the record did not protect it yet, so that the new owner thought
-// it free. It may not be used before the record protects it.
-func TestUnprotectedAdapterIsNotUsed(t *testing.T) {
+// A run breaks off because its adapter was loaded just before a takeover, and the
+// new owner evicted it: the record didn't protect the adapter yet. An adapter must
+// not be used before the record protects it.
+func TestUnprotectedAdapterIsNotDispatched(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(1)
-	own(t, w, adapter(1))
-	c.Assert(w.give(t, 0, adapter(2), ggscore.OrderLoad), qt.IsNil)
+	s := newSimulation(1)
+	makeOwner(t, s, adapter(1))
+	c.Assert(s.order(t, 0, adapter(2), ggscore.OrderLoad), qt.IsNil)
 	var n *NotProtectedError
-	c.Assert(w.give(t, 0, adapter(2), ggscore.OrderDispatch), qt.ErrorAs, &n)
-	w.settle(0)
-	c.Assert(w.give(t, 0, adapter(2), ggscore.OrderDispatch), qt.IsNil)
+	c.Assert(s.order(t, 0, adapter(2), ggscore.OrderDispatch), qt.ErrorAs, &n)
+	s.runSteps(0)
+	c.Assert(s.order(t, 0, adapter(2), ggscore.OrderDispatch), qt.IsNil)
 }
 
-// A protection that was recorded is taken back by an older write that was
-// under way for long: the owner had gone back to its earlier set without a
-// write, and serves what the record no longer protects.
-func TestDelayedProtectionIsShutOut(t *testing.T) {
+// The owner reverts an ambiguous change of its protected set and skips the write,
+// since the record already has that set. The delayed earlier write then removes the
+// protection of an adapter in use.
+func TestDelayedWriteCannotRemoveProtection(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(1)
+	s := newSimulation(1)
 	a := adapter(1)
-	own(t, w, a)
-	g := w.dispatchers[0].group
+	makeOwner(t, s, a)
+	g := s.dispatchers[0].group
 	g.Protect(Set{})
-	w.start(0)
-	w.end(0, endLostBeforeEffect)
+	s.startStep(0)
+	s.endStep(0, endLostBeforeEffect)
 	c.Assert(g.Protected(runner, a), qt.IsFalse)
 	g.Protect(Set{runner: {a}})
-	w.settle(0)
-	w.land(0)
+	s.runSteps(0)
+	s.applyDelayed(0)
 	c.Assert(g.Protected(runner, a), qt.IsTrue)
-	c.Assert(w.record.Protected.Has(runner, a), qt.IsTrue)
+	c.Assert(s.record.Protected.Has(runner, a), qt.IsTrue)
 }
 
-// Requests wait for a whole lease during a planned stop: the next owner can't
-// begin before the lease lapses. A released group is taken over at once, and
-// what the leaving owner still runs stays pinned.
-func TestReleaseHandsOverAtOnce(t *testing.T) {
+// During a planned stop, requests wait until the lease lapses, because the next owner
+// can't take over earlier. A released group must be taken over at once, with the
+// adapters of the leaving owner's runs still pinned.
+func TestReleasedGroupIsTakenOverAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
+	s := newSimulation(2)
 	a := adapter(1)
-	own(t, w, a)
-	c.Assert(w.give(t, 0, a, ggscore.OrderDispatch), qt.IsNil)
-	w.dispatchers[0].group.Release()
+	makeOwner(t, s, a)
+	c.Assert(s.order(t, 0, a, ggscore.OrderDispatch), qt.IsNil)
+	s.dispatchers[0].group.Release()
 	var n *NotOwnerError
-	c.Assert(w.give(t, 0, a, ggscore.OrderDispatch), qt.ErrorAs, &n)
-	w.settle(0)
-	w.renew(1, true)
-	w.poll(1)
-	c.Assert(w.give(t, 1, a, ggscore.OrderDispatch), qt.IsNil)
-	w.endRuns(1)
+	c.Assert(s.order(t, 0, a, ggscore.OrderDispatch), qt.ErrorAs, &n)
+	s.runSteps(0)
+	s.renew(1, true)
+	s.pollRecord(1)
+	c.Assert(s.order(t, 1, a, ggscore.OrderDispatch), qt.IsNil)
+	s.endRuns(1)
 	var p *PinnedError
-	c.Assert(w.give(t, 1, a, ggscore.OrderUnload), qt.ErrorAs, &p)
-	w.endRuns(0)
-	w.dispatchers[0].group.Poll()
-	w.settle(0)
-	w.poll(1)
-	c.Assert(w.give(t, 1, a, ggscore.OrderUnload), qt.IsNil)
+	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.ErrorAs, &p)
+	s.endRuns(0)
+	s.dispatchers[0].group.Poll()
+	s.runSteps(0)
+	s.pollRecord(1)
+	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.IsNil)
 }
 
-// Two owners order loads at once: a candidate took over while the owner's
-// lease was held.
+// Two owners order loads at the same time: a candidate takes over while the owner's
+// lease is held.
 func TestHeldLeaseIsNotTakenOver(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
-	own(t, w, adapter(1))
-	w.renew(1, true)
-	w.poll(1)
-	c.Assert(w.dispatchers[1].group.Owned(), qt.IsFalse)
-	c.Assert(w.record.Owner.VM, qt.Equals, vm(0))
+	s := newSimulation(2)
+	makeOwner(t, s, adapter(1))
+	s.renew(1, true)
+	s.pollRecord(1)
+	c.Assert(s.dispatchers[1].group.Owned(), qt.IsFalse)
+	c.Assert(s.record.Owner.VM, qt.Equals, vm(0))
 }
--- a/core/ggsowner/record.go
+++ b/core/ggsowner/record.go
@@ -7,24 +7,24 @@
 	ggscore "greengageslip/core"
 )
 
-// A Holder is one life of a dispatcher.
+// A Holder is one incarnation of a dispatcher on a VM.
 type Holder struct {
 	VM          ggscore.VMID
 	Incarnation string
 }
 
-// A Set names adapters on each endpoint. It is immutable once shared.
+// A Set is a set of adapters per endpoint. It must not be changed once it is shared.
 type Set map[ggscore.EndpointID][]ggscore.AdapterRef
 
-// Has reports whether s names an adapter on an endpoint.
+// Has reports whether s contains an adapter on an endpoint.
 func (s Set) Has(id ggscore.EndpointID, a ggscore.AdapterRef) bool {
 	return slices.Contains(s[id], a)
 }
 
-// Equal reports whether s and o name the same adapters, in any order.
-func (s Set) Equal(o Set) bool { return s.within(o) && o.within(s) }
+// Equal reports whether s and o contain the same adapters, in any order.
+func (s Set) Equal(o Set) bool { return s.subsetOf(o) && o.subsetOf(s) }
 
-// Clone returns a copy that may be changed.
+// Clone returns a deep copy.
 func (s Set) Clone() Set {
 	c := make(Set, len(s))
 	for id, refs := range s {
@@ -33,7 +33,7 @@
 	return c
 }
 
-func (s Set) within(o Set) bool {
+func (s Set) subsetOf(o Set) bool {
 	for id, refs := range s {
 		for _, r := range refs {
 			if !o.Has(id, r) {
@@ -44,7 +44,7 @@
 	return true
 }
 
-// intersect returns what both sets name.
+// intersect returns the adapters that are in both sets.
 func intersect(a, b Set) Set {
 	c := Set{}
 	for id, refs := range a {
@@ -57,23 +57,24 @@
 	return c
 }
 
-// A Pin names what an earlier owner may still be using.
+// A Pin protects the adapters that an earlier owner may still be using.
 type Pin struct {
 	Holder    Holder
 	Protected Set
 }
 
-// A Record says who owns a group. The zero value is a group that nobody has
-// owned yet.
+// A Record is the stored ownership of a group. The zero value is that of a group
+// without an owner so far.
 type Record struct {
 	Owner Holder
-	// Lease is the owner's lease, without which the ownership has no force.
+	// Lease is the owner's lease. The owner may give orders other than dispatches
+	// only while it holds this lease.
 	Lease ggscore.LeaseID
 	Fence ggscore.FenceNumber
-	// Released says that the owner gives no orders and takes no new work; what
-	// it still runs is among the pins.
+	// Released says that the owner gives no more orders and accepts no new
+	// requests. The adapters of its requests in flight are in Pins.
 	Released bool
-	// Protected names the adapters that the owner may use.
+	// Protected contains the adapters that the owner may use.
 	Protected Set
 	Pins      []Pin
 }
@@ -83,7 +84,7 @@
 	return r
 }
 
-// pin adds what a holder may be using, in place of what it pinned before.
+// pin sets the adapters that a holder may be using, in place of its earlier pin.
 func (r *Record) pin(h Holder, s Set) {
 	r.unpin(func(o Holder) bool { return o == h })
 	if len(s) > 0 {
@@ -91,14 +92,14 @@
 	}
 }
 
-// unpin drops the pins of the holders that are known to have stopped.
+// unpin removes the pins of stopped holders and reports whether there were any.
 func (r *Record) unpin(stopped func(Holder) bool) bool {
 	n := len(r.Pins)
 	r.Pins = slices.DeleteFunc(r.Pins, func(p Pin) bool { return stopped(p.Holder) })
 	return len(r.Pins) < n
 }
 
-// pinned returns the holder that may be using an adapter.
+// pinned returns a holder other than self that may be using an adapter.
 func (r Record) pinned(id ggscore.EndpointID, a ggscore.AdapterRef, self Holder) (Holder, bool) {
 	for _, p := range r.Pins {
 		if p.Holder != self && p.Protected.Has(id, a) {
--- a/core/ggsowner/world_test.go
+++ b/core/ggsowner/world_test.go
@@ -19,242 +19,242 @@
 	prev   ggscore.StoreRevision
 }
 
-// dispatcher is one life of a dispatcher with its I/O in flight.
+// dispatcher is one incarnation of a dispatcher with its I/O in flight.
 type dispatcher struct {
 	group *Group
 	lease *Lease
 	step  Step
-	// running counts its runs of each adapter.
-	running map[ggscore.AdapterRef]int
-	life    int
+	// running is the number of runs by adapter.
+	running  map[ggscore.AdapterRef]int
+	restarts int
 }
 
-// world holds one group's record, the platform's leases and one runner.
-type world struct {
+// simulation holds one group's record, the platform's leases and one runner.
+type simulation struct {
 	now         time.Time
 	record      Record
 	revision    ggscore.StoreRevision
 	delayed     []delayedWrite
 	leases      map[ggscore.LeaseID]time.Time
-	keys        map[ggscore.VMID]ggscore.LeaseID
+	leaseKeys   map[ggscore.VMID]ggscore.LeaseID
 	lastLease   ggscore.LeaseID
 	dispatchers []*dispatcher
 	resident    Set
-	// fences names the owner under each fencing number.
+	// fences maps each fencing token to its owner.
 	fences map[ggscore.FenceNumber]Holder
 }
 
 const runner = ggscore.EndpointID("runner")
 
-func newWorld(n int) *world {
-	w := &world{
-		now:      time.Unix(1_800_000_000, 0),
-		leases:   map[ggscore.LeaseID]time.Time{},
-		keys:     map[ggscore.VMID]ggscore.LeaseID{},
-		resident: Set{runner: nil},
-		fences:   map[ggscore.FenceNumber]Holder{},
+func newSimulation(n int) *simulation {
+	s := &simulation{
+		now:       time.Unix(1_800_000_000, 0),
+		leases:    map[ggscore.LeaseID]time.Time{},
+		leaseKeys: map[ggscore.VMID]ggscore.LeaseID{},
+		resident:  Set{runner: nil},
+		fences:    map[ggscore.FenceNumber]Holder{},
 	}
 	for i := range n {
-		w.dispatchers = append(w.dispatchers, nil)
-		w.restart(i)
+		s.dispatchers = append(s.dispatchers, nil)
+		s.restart(i)
 	}
-	return w
+	return s
 }
 
 func vm(i int) ggscore.VMID { return ggscore.VMID(fmt.Sprint("vm", i)) }
 
 func adapter(n int) ggscore.AdapterRef { return ggscore.AdapterRef{Name: fmt.Sprint(n), Version: "v1"} }
 
-// restart ends a dispatcher's process, and its runs, and starts another.
-func (w *world) restart(i int) {
+// restart stops a dispatcher's process with its runs and starts a new one.
+func (s *simulation) restart(i int) {
 	d := &dispatcher{running: map[ggscore.AdapterRef]int{}}
-	if old := w.dispatchers[i]; old != nil {
-		d.life = old.life + 1
+	if old := s.dispatchers[i]; old != nil {
+		d.restarts = old.restarts + 1
 		if old.step.Kind == StepWriteRecord {
-			w.delayed = append(w.delayed, delayedWrite{record: old.step.Record, prev: old.step.Prev})
+			s.delayed = append(s.delayed, delayedWrite{record: old.step.Record, prev: old.step.Prev})
 		}
-		for _, o := range w.dispatchers {
+		for _, o := range s.dispatchers {
 			o.group.Stopped(old.group.self)
 		}
 	}
-	d.group = NewGroup(Holder{VM: vm(i), Incarnation: fmt.Sprint(d.life)})
+	d.group = NewGroup(Holder{VM: vm(i), Incarnation: fmt.Sprint(d.restarts)})
 	d.group.Want(true)
 	l := NewLease(Limits{TTL: testTTL, Margin: testMargin})
 	d.lease = &l
-	w.dispatchers[i] = d
+	s.dispatchers[i] = d
 }
 
-func (w *world) alive(l ggscore.LeaseID) bool { return w.now.Before(w.leases[l]) }
+func (s *simulation) leaseAlive(l ggscore.LeaseID) bool { return s.now.Before(s.leases[l]) }
 
-// renew renews a lease, or grants one; the answer may be lost.
-func (w *world) renew(i int, answered bool) {
-	d := w.dispatchers[i]
+// renew renews or grants a lease. The answer is lost if answered is false.
+func (s *simulation) renew(i int, answered bool) {
+	d := s.dispatchers[i]
 	if id := d.lease.ID(); id != 0 {
 		switch {
-		case w.alive(id):
-			w.leases[id] = w.now.Add(testTTL)
+		case s.leaseAlive(id):
+			s.leases[id] = s.now.Add(testTTL)
 			if answered {
-				d.lease.Renewed(w.now)
+				d.lease.Renewed(s.now)
 			}
 		case answered:
 			d.lease.Lost()
 		}
 		return
 	}
-	w.lastLease++
-	w.leases[w.lastLease] = w.now.Add(testTTL)
+	s.lastLease++
+	s.leases[s.lastLease] = s.now.Add(testTTL)
 	if answered {
-		w.keys[vm(i)] = w.lastLease
-		d.lease.Granted(w.lastLease, w.now)
+		s.leaseKeys[vm(i)] = s.lastLease
+		d.lease.Granted(s.lastLease, s.now)
 	}
 }
 
-func (w *world) start(i int) {
-	d := w.dispatchers[i]
+func (s *simulation) startStep(i int) {
+	d := s.dispatchers[i]
 	if d.step.Kind == StepIdle {
-		d.step = d.group.Next(w.now, d.lease)
+		d.step = d.group.Next(s.now, d.lease)
 	}
 }
 
-// The ends of I/O that a test may choose.
+// The outcomes of I/O.
 const (
 	endAnswered = iota
 	endLostAfterEffect
 	endLostBeforeEffect
-	endAway
+	endFailed
 )
 
-func (w *world) end(i, how int) {
-	d := w.dispatchers[i]
+func (s *simulation) endStep(i, outcome int) {
+	d := s.dispatchers[i]
 	step := d.step
 	d.step = Step{}
 	switch {
 	case step.Kind == StepIdle:
-	case how == endAway, step.Kind != StepWriteRecord && how != endAnswered:
+	case outcome == endFailed, step.Kind != StepWriteRecord && outcome != endAnswered:
 		d.group.Away()
 	case step.Kind == StepReadRecord:
-		d.group.RecordRead(w.record, w.revision)
+		d.group.RecordRead(s.record, s.revision)
 	case step.Kind == StepReadLease:
-		d.group.LeaseRead(!w.alive(step.Lease) || w.keys[step.Owner] != step.Lease)
-	case how == endLostBeforeEffect:
-		w.delayed = append(w.delayed, delayedWrite{record: step.Record, prev: step.Prev})
+		d.group.LeaseRead(!s.leaseAlive(step.Lease) || s.leaseKeys[step.Owner] != step.Lease)
+	case outcome == endLostBeforeEffect:
+		s.delayed = append(s.delayed, delayedWrite{record: step.Record, prev: step.Prev})
 		d.group.WriteDone(WriteAmbiguous, 0)
-	case how == endLostAfterEffect:
-		w.put(step.Record, step.Prev)
+	case outcome == endLostAfterEffect:
+		s.put(step.Record, step.Prev)
 		d.group.WriteDone(WriteAmbiguous, 0)
-	case w.put(step.Record, step.Prev):
-		d.group.WriteDone(WriteOK, w.revision)
+	case s.put(step.Record, step.Prev):
+		d.group.WriteDone(WriteOK, s.revision)
 	default:
 		d.group.WriteDone(WriteConflict, 0)
 	}
 }
 
-func (w *world) put(r Record, prev ggscore.StoreRevision) bool {
-	if prev != w.revision {
+func (s *simulation) put(r Record, prev ggscore.StoreRevision) bool {
+	if prev != s.revision {
 		return false
 	}
-	w.record = r
-	w.revision++
+	s.record = r
+	s.revision++
 	return true
 }
 
-func (w *world) land(n int) {
-	d := w.delayed[n]
-	w.delayed = append(w.delayed[:n:n], w.delayed[n+1:]...)
-	w.put(d.record, d.prev)
+func (s *simulation) applyDelayed(n int) {
+	d := s.delayed[n]
+	s.delayed = append(s.delayed[:n:n], s.delayed[n+1:]...)
+	s.put(d.record, d.prev)
 }
 
-// settle does a dispatcher's I/O without faults until it wants none.
-func (w *world) settle(i int) {
-	for w.start(i); w.dispatchers[i].step.Kind != StepIdle; w.start(i) {
-		w.end(i, endAnswered)
+// runSteps does a dispatcher's I/O without faults until no more is needed.
+func (s *simulation) runSteps(i int) {
+	for s.startStep(i); s.dispatchers[i].step.Kind != StepIdle; s.startStep(i) {
+		s.endStep(i, endAnswered)
 	}
 }
 
-// poll looks at the record and takes it over where allowed.
-func (w *world) poll(i int) {
-	w.dispatchers[i].group.Want(true)
-	w.dispatchers[i].group.Poll()
-	w.settle(i)
+// pollRecord reads the record and takes the group over if allowed.
+func (s *simulation) pollRecord(i int) {
+	s.dispatchers[i].group.Want(true)
+	s.dispatchers[i].group.Poll()
+	s.runSteps(i)
 }
 
-// give checks an order and carries it out, with the checks that every holder
-// makes on what it knows itself.
-func (w *world) give(t failer, i int, a ggscore.AdapterRef, k ggscore.OrderKind) error {
-	d := w.dispatchers[i]
-	f, err := d.group.Check(w.now, d.lease, runner, a, k)
+// order checks an order and executes it. A dispatcher dispatches only to resident
+// adapters, and doesn't evict adapters that its own runs use.
+func (s *simulation) order(t fataler, i int, a ggscore.AdapterRef, k ggscore.OrderKind) error {
+	d := s.dispatchers[i]
+	f, err := d.group.Check(s.now, d.lease, runner, a, k)
 	if err != nil {
 		return err
 	}
-	if d.group.Mode(w.now, d.lease) == ggscore.ModeFull {
-		if h, ok := w.fences[f]; ok && h != d.group.self {
-			t.Fatalf("fencing number %d of %v and %v", f, h, d.group.self)
+	if d.group.Mode(s.now, d.lease) == ggscore.ModeFull {
+		if h, ok := s.fences[f]; ok && h != d.group.self {
+			t.Fatalf("fencing token %d was used by both %v and %v", f, h, d.group.self)
 		}
-		w.fences[f] = d.group.self
+		s.fences[f] = d.group.self
 	}
 	switch k {
 	case ggscore.OrderDispatch:
-		if w.resident.Has(runner, a) {
+		if s.resident.Has(runner, a) {
 			d.running[a]++
 		}
 	case ggscore.OrderLoad:
-		w.load(i, a)
+		s.load(i, a)
 	case ggscore.OrderUnload:
-		w.unload(t, i, a)
+		s.unload(t, i, a)
 	case ggscore.OrderRefuse:
 	}
 	return nil
 }
 
-func (w *world) load(i int, a ggscore.AdapterRef) {
-	w.resident = w.resident.Clone()
-	if !w.resident.Has(runner, a) {
-		w.resident[runner] = append(w.resident[runner], a)
+func (s *simulation) load(i int, a ggscore.AdapterRef) {
+	s.resident = s.resident.Clone()
+	if !s.resident.Has(runner, a) {
+		s.resident[runner] = append(s.resident[runner], a)
 	}
-	w.dispatchers[i].group.Protect(w.resident)
+	s.dispatchers[i].group.Protect(s.resident)
 }
 
-func (w *world) unload(t failer, i int, a ggscore.AdapterRef) {
-	if w.dispatchers[i].running[a] > 0 {
+func (s *simulation) unload(t fataler, i int, a ggscore.AdapterRef) {
+	if s.dispatchers[i].running[a] > 0 {
 		return
 	}
-	for o, d := range w.dispatchers {
+	for o, d := range s.dispatchers {
 		if d.running[a] > 0 {
-			t.Fatalf("vm%d evicted %s beneath a request of vm%d", i, a, o)
+			t.Fatalf("vm%d evicted adapter %s during a run of vm%d", i, a, o)
 		}
 	}
 	kept := Set{runner: nil}
-	for _, r := range w.resident[runner] {
+	for _, r := range s.resident[runner] {
 		if r != a {
 			kept[runner] = append(kept[runner], r)
 		}
 	}
-	w.resident = kept
-	w.dispatchers[i].group.Protect(kept)
+	s.resident = kept
+	s.dispatchers[i].group.Protect(kept)
 }
 
-func (w *world) endRuns(i int) {
-	d := w.dispatchers[i]
+func (s *simulation) endRuns(i int) {
+	d := s.dispatchers[i]
 	d.running = map[ggscore.AdapterRef]int{}
 	d.group.SetIdle(true)
 }
 
-// checkOwners fails where two dispatchers may give orders at once.
-func (w *world) checkOwners(t failer) {
+// checkSingleOwner fails if two dispatchers have ModeFull at the same time.
+func (s *simulation) checkSingleOwner(t fataler) {
 	full := 0
-	for _, d := range w.dispatchers {
-		if d.group.Mode(w.now, d.lease) == ggscore.ModeFull {
+	for _, d := range s.dispatchers {
+		if d.group.Mode(s.now, d.lease) == ggscore.ModeFull {
 			full++
 		}
 	}
 	if full > 1 {
-		t.Fatalf("%d owners", full)
+		t.Fatalf("%d dispatchers have ModeFull, want at most 1", full)
 	}
 }
 
-type failer interface{ Fatalf(string, ...any) }
+type fataler interface{ Fatalf(string, ...any) }
 
-func pick(t *rapid.T, n int, do func(int)) {
+func drawIndex(t *rapid.T, n int, do func(int)) {
 	if n > 0 {
 		do(rapid.IntRange(0, n-1).Draw(t, "pick"))
 	}
