--- a/core/ggsplace/errors.go
+++ b/core/ggsplace/errors.go
@@ -14,5 +14,5 @@
 }
 
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("no free capacity at %d ready endpoints, retry after %s", e.Ready, e.RetryAfter)
+	return fmt.Sprintf("none of %d ready endpoints has free capacity, retry after %s", e.Ready, e.RetryAfter)
 }
--- a/core/ggsplace/load_test.go
+++ b/core/ggsplace/load_test.go
@@ -24,8 +24,8 @@
 	restartAt time.Duration
 	// withoutOrders is the number of runners that get no orders.
 	withoutOrders int
-	// storeCapacity is the number of concurrent loads that the weight store serves at full speed, zero
-	// for any. Beyond it, loads take longer in proportion.
+	// storeCapacity is the number of concurrent loads that the weight store serves at full
+	// speed, zero for any. Beyond it, loads take longer in proportion.
 	storeCapacity int
 }
 
