--- a/core/ggsturn/observed.go
+++ b/core/ggsturn/observed.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// leastObserved is the number of a service's endpoints that are observed at least, and
-	// observedShare the part of them where there are more.
-	leastObserved = 8
-	observedShare = 8
-	// watchShare is the part of streams that are hurt from which all endpoints are observed,
-	// and watchTime the time for which they are: well before prompts have to wait, and for
-	// as long as they may have to again.
-	watchShare = 0.05
-	watchTime  = time.Minute
-	// longWork is the work of a prompt from which others are to know of it at once: those
-	// that are sent to the same endpoint meanwhile wait for all of it.
-	longWork = 100 * time.Millisecond
+	// While turns aren't enforced, one in observedDivisor of a service's endpoints is
+	// observed, and at least minObserved.
+	minObserved     = 8
+	observedDivisor = 8
+	// observeAllFraction is the fraction of degraded streams from which all endpoints are
+	// observed, for observeAllDuration. It is far below maxDegraded, so that all turns are
+	// known before turns are enforced. Observation goes on for as long as turns may have to be
+	// enforced again.
+	observeAllFraction = 0.05
+	observeAllDuration = time.Minute
+	// longPrefill is the prefill time from which a turn is always announced: all prompts that
+	// are sent to the same endpoint meanwhile wait for the whole of it.
+	longPrefill = 100 * time.Millisecond
 )
 
-// SetEndpoints takes the endpoints of a service of a large fleet, where announcing each
-// turn to all VMs costs more than it gains. While prompts don't wait, turns are announced at
-// some endpoints only, the same for all VMs, and streams there stand for all.
+// SetEndpoints sets the endpoints of a service in a large fleet, where announcing each turn to
+// all VMs costs more than it gains. While turns aren't enforced, turns are announced only at a
+// subset of the endpoints, the same on all VMs. Streams at these endpoints are taken as
+// representative.
 func (t *Table) SetEndpoints(s ggscore.Service, ids []ggscore.EndpointID) {
 	ranked := slices.Clone(ids)
 	slices.SortFunc(ranked, func(a, b ggscore.EndpointID) int {
@@ -35,30 +37,32 @@
 	})
 	v := t.service(s)
 	v.observed = map[ggscore.EndpointID]bool{}
-	for _, id := range ranked[:min(max(leastObserved, len(ranked)/observedShare), len(ranked))] {
+	for _, id := range ranked[:min(max(minObserved, len(ranked)/observedDivisor), len(ranked))] {
 		v.observed[id] = true
 	}
 }
 
-// knows reports whether the turns of all VMs at an endpoint are known.
-func (v *service) knows(now time.Time, id ggscore.EndpointID) bool {
-	return v.observed == nil || v.observed[id] || v.pauses.watched(now)
+// knowsAllTurns reports whether the turns of all VMs at an endpoint are announced.
+func (v *service) knowsAllTurns(now time.Time, id ggscore.EndpointID) bool {
+	return v.observed == nil || v.observed[id] || v.mode.observesAll(now)
 }
 
-// watched reports whether prompts wait or may have to soon.
-func (p *pauses) watched(now time.Time) bool {
-	return p.waits || now.Before(p.watchUntil)
+// observesAll reports whether all endpoints are observed, because turns are enforced or may
+// have to be soon.
+func (p *modeController) observesAll(now time.Time) bool {
+	return p.enforced || now.Before(p.observeAllUntil)
 }
 
-// watch has all endpoints observed for some time where too many streams are hurt.
-func (p *pauses) watch(now time.Time) {
-	if p.streams >= leastStreams && p.hurt >= watchShare*p.streams {
-		p.watchUntil = now.Add(watchTime)
+// updateObserveAll starts or extends the observation of all endpoints if too many streams are
+// degraded.
+func (p *modeController) updateObserveAll(now time.Time) {
+	if p.streams >= minStreams && p.degraded >= observeAllFraction*p.streams {
+		p.observeAllUntil = now.Add(observeAllDuration)
 	}
 }
 
-// Announces reports whether a turn is announced to peers.
+// Announces reports whether a turn has to be announced to peers.
 func (t *Table) Announces(now time.Time, n ggscore.PromptTurn) bool {
 	v := t.service(n.Service)
-	return v.knows(now, n.Endpoint) || v.usual(n.Tokens) >= longWork
+	return v.knowsAllTurns(now, n.Endpoint) || v.usualPrefillTime(n.Tokens) >= longPrefill
 }
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -8,88 +8,91 @@
 )
 
 const (
-	// gapShare is the part of the allowed pause that steps may fill. The rest is the
-	// way of the pieces.
-	gapShare = 0.95
-	// leastShare bounds the part that reading gets, however long quiet steps are.
-	leastShare = 0.25
-	// quietShare is the part of pauses that count as those of steps without reading,
-	// and quietStep the factor by which the estimate moves with each pause.
-	quietShare = 0.2
-	quietStep  = 0.05
-	// filled is the part of a pause that reading has to fill for it to count as
-	// brought about by prompts. One by a lost packet, a slow VM or a stall has another
-	// cause, and fewer prompts at once would only make callers wait.
-	filled = 0.8
-	// hurtConstant is the time in which streams lose two thirds of their weight in the
-	// part that is hurt, and leastStreams the weight by which it is told.
-	hurtConstant = 2 * time.Second
-	leastStreams = 30.0
-	// hurtMost is the part from which prompts wait for turns. Where engines read in
-	// pieces that keep pauses within the aim, 1 to 10 in a hundred streams pass it
-	// under the heaviest load; where not, 20 to 60.
-	hurtMost = 0.15
-	// tryTime is how long prompts wait for turns at least before it is judged: what
-	// was begun before has been read then.
-	tryTime = 1500 * time.Millisecond
-	// restFirst is how long prompts don't wait after more streams were hurt by waiting
-	// than before, restMost bounds it, and restGrow is the factor by which it grows
-	// each time.
-	restFirst = 5 * time.Second
-	restMost  = 5 * time.Minute
-	restGrow  = 3
-	// withoutConstant is the time in which the part that was hurt without turns loses
-	// two thirds of its weight: the load changes, so now and then it is seen anew.
-	withoutConstant = 5 * time.Minute
+	// gapFraction is the fraction of the allowed gap that engine steps may fill. The rest
+	// covers the transfer of the pieces.
+	gapFraction = 0.95
+	// minPrefillFraction is the fraction of the allowed gap that prefill gets at least,
+	// however long decoding steps are.
+	minPrefillFraction = 0.25
+	// The estimate of the gap without prefill tracks the quantile decodeGapQuantile of all
+	// gaps, and moves by the factor decodeGapStep with each.
+	decodeGapQuantile = 0.2
+	decodeGapStep     = 0.05
+	// minPrefillInGap is the fraction of a gap that prefill has to fill for the gap to be
+	// attributed to prompts. A gap due to a lost packet, a slow VM or a stall has another
+	// cause, and enforcing turns would only delay callers.
+	minPrefillInGap = 0.8
+	// degradedTimeConstant is the decay time constant of the stream counts, minStreams the
+	// decayed count below which they aren't evaluated.
+	degradedTimeConstant = 2 * time.Second
+	minStreams           = 30.0
+	// maxDegraded is the fraction of degraded streams from which turns are enforced. Under the
+	// heaviest load, 1 to 10 percent of the streams are degraded where engines prefill in
+	// chunks that keep gaps within the aim, and 20 to 60 percent where they don't.
+	maxDegraded = 0.15
+	// minTrial is how long turns are enforced before their effect is evaluated. By then,
+	// prefill that began before is finished.
+	minTrial = 1500 * time.Millisecond
+	// After a trial that degraded more streams than before, turns aren't enforced for
+	// suspendInitial. Each further failed trial multiplies the time by suspendFactor, up to
+	// suspendMax.
+	suspendInitial = 5 * time.Second
+	suspendMax     = 5 * time.Minute
+	suspendFactor  = 3
+	// baselineTimeConstant is the decay time constant of the degraded fraction measured
+	// without turns. Load changes, so the fraction has to be measured again from time to time.
+	baselineTimeConstant = 5 * time.Minute
 )
 
-// A pauses learns whether prompts have to wait for each other.
+// A modeController decides whether turns are enforced.
 //
-// Without turns prompts make streams pause; with them prompts wait, and endpoints read
-// a tenth slower. A stream is hurt by one as by the other. So prompts wait where many
-// streams are hurt without, as long as fewer are with.
-type pauses struct {
-	// quiet is the pause of a stream whose endpoint reads nothing.
-	quiet time.Duration
-	// streams and hurt are the sums of streams, and of those that were hurt, since
-	// prompts wait or don't, decayed to the moment at.
-	streams, hurt float64
-	at            time.Time
-	// waits says that prompts wait, since when.
-	waits bool
-	since time.Time
-	// without is the part that was hurt when prompts began to wait.
-	without float64
-	// watchUntil is until when all endpoints are observed.
-	watchUntil time.Time
-	// rest is how long prompts don't wait after a try that failed, until when.
-	rest  time.Duration
-	until time.Time
+// Without turns, prefill causes gaps in streams. With turns, prompts wait and endpoints
+// prefill a tenth slower. Both degrade streams. Turns are enforced while many streams are
+// degraded without them and fewer are degraded with them.
+type modeController struct {
+	// decodeGap is the estimated gap in a stream while its endpoint prefills nothing.
+	decodeGap time.Duration
+	// streams and degraded count all streams and the degraded ones since the last change of
+	// mode, decayed to the time at.
+	streams, degraded float64
+	at                time.Time
+	// enforced reports whether prompts wait for their turns, since the time of the last
+	// change.
+	enforced bool
+	since    time.Time
+	// baseline is the degraded fraction when enforcement began.
+	baseline float64
+	// observeAllUntil is the time until which all endpoints are observed.
+	observeAllUntil time.Time
+	// suspendFor is how long turns aren't enforced after the last failed trial, which ends at
+	// suspendedUntil.
+	suspendFor     time.Duration
+	suspendedUntil time.Time
 }
 
-// Gap notes a pause between two pieces of a stream, and reports whether prompts made it
-// longer than callers want.
+// Gap records a gap between two pieces of a stream, and reports whether prefill made the gap
+// longer than callers accept.
 func (t *Table) Gap(now time.Time, s ggscore.Service, id ggscore.EndpointID, gap time.Duration) bool {
 	v := t.service(s)
 	if v.gapAim <= 0 || gap <= 0 {
 		return false
 	}
-	v.pauses.seeQuiet(gap)
-	if !v.knows(now, id) {
+	v.mode.updateDecodeGap(gap)
+	if !v.knowsAllTurns(now, id) {
 		return false
 	}
-	return gap > v.gapAim && float64(v.reading(t.queue(id), now, gap)) >= filled*float64(gap)
+	return gap > v.gapAim && float64(v.prefillWithin(t.queue(id), now, gap)) >= minPrefillInGap*float64(gap)
 }
 
-// Stream notes a stream of this VM that ended whole, or one that was hurt when it was
-// first: by a pause that Gap reports, or by a first piece that came late only because
-// its prompt waited for its turn.
-func (t *Table) Stream(now time.Time, s ggscore.Service, id ggscore.EndpointID, hurt bool) {
-	if !t.service(s).knows(now, id) {
+// Stream records a stream of this VM: at its end if it wasn't degraded, otherwise when it
+// became degraded. A stream is degraded by a gap for which Gap returns true, or by a first
+// piece that is late only because the prompt waited for its turn.
+func (t *Table) Stream(now time.Time, s ggscore.Service, id ggscore.EndpointID, degraded bool) {
+	if !t.service(s).knowsAllTurns(now, id) {
 		return
 	}
 	n := ggscore.TurnTally{Service: s, Streams: 1}
-	if hurt {
+	if degraded {
 		n.Hurt = 1
 	}
 	t.LearnTally(now, n)
@@ -103,68 +106,68 @@
 	t.tallies = append(t.tallies, n)
 }
 
-// seeQuiet moves the estimate of a pause without reading.
-func (p *pauses) seeQuiet(gap time.Duration) {
+// updateDecodeGap adjusts the estimated gap without prefill.
+func (p *modeController) updateDecodeGap(gap time.Duration) {
 	switch {
-	case p.quiet == 0:
-		p.quiet = gap
-	case gap < p.quiet:
-		p.quiet -= time.Duration(quietStep * (1 - quietShare) * float64(p.quiet))
+	case p.decodeGap == 0:
+		p.decodeGap = gap
+	case gap < p.decodeGap:
+		p.decodeGap -= time.Duration(decodeGapStep * (1 - decodeGapQuantile) * float64(p.decodeGap))
 	default:
-		p.quiet += time.Duration(quietStep * quietShare * float64(p.quiet))
+		p.decodeGap += time.Duration(decodeGapStep * decodeGapQuantile * float64(p.decodeGap))
 	}
 }
 
-// tally takes streams of some VM.
-func (p *pauses) tally(now time.Time, streams, hurt int) {
+// addTally adds stream counts of any VM.
+func (p *modeController) addTally(now time.Time, streams, degraded int) {
 	keep := 0.0
 	if !p.at.IsZero() {
-		keep = math.Exp(-float64(now.Sub(p.at)) / float64(hurtConstant))
+		keep = math.Exp(-float64(now.Sub(p.at)) / float64(degradedTimeConstant))
 	}
-	p.at, p.streams, p.hurt = now, p.streams*keep+float64(streams), p.hurt*keep+float64(hurt)
+	p.at, p.streams, p.degraded = now, p.streams*keep+float64(streams), p.degraded*keep+float64(degraded)
 }
 
-// decide has prompts wait or not by the streams that were seen.
-func (p *pauses) decide(now time.Time) {
-	if p.streams < leastStreams {
+// updateMode starts or stops enforcing turns by the stream counts.
+func (p *modeController) updateMode(now time.Time) {
+	if p.streams < minStreams {
 		return
 	}
-	share := p.hurt / p.streams
+	share := p.degraded / p.streams
 	switch {
-	case !p.waits && share >= hurtMost && !now.Before(p.until):
-		p.without = share
-		p.turn(now, true)
-	case p.waits && now.Sub(p.since) >= tryTime && share > p.expected(now):
-		p.rest = min(max(restGrow*p.rest, restFirst), restMost)
-		p.until = now.Add(p.rest)
-		p.turn(now, false)
+	case !p.enforced && share >= maxDegraded && !now.Before(p.suspendedUntil):
+		p.baseline = share
+		p.setMode(now, true)
+	case p.enforced && now.Sub(p.since) >= minTrial && share > p.expectedDegraded(now):
+		p.suspendFor = min(max(suspendFactor*p.suspendFor, suspendInitial), suspendMax)
+		p.suspendedUntil = now.Add(p.suspendFor)
+		p.setMode(now, false)
 	}
 }
 
-// turn has prompts wait from now on, or no longer.
-func (p *pauses) turn(now time.Time, waits bool) {
-	p.waits, p.since, p.streams, p.hurt = waits, now, 0, 0
+// setMode changes the mode and resets the stream counts.
+func (p *modeController) setMode(now time.Time, enforced bool) {
+	p.enforced, p.since, p.streams, p.degraded = enforced, now, 0, 0
 }
 
-// expected returns the part of streams that would be hurt if prompts didn't wait.
-func (p *pauses) expected(now time.Time) float64 {
-	return p.without * math.Exp(-float64(now.Sub(p.since))/float64(withoutConstant))
+// expectedDegraded returns the fraction of streams expected to be degraded without turns.
+func (p *modeController) expectedDegraded(now time.Time) float64 {
+	return p.baseline * math.Exp(-float64(now.Sub(p.since))/float64(baselineTimeConstant))
 }
 
-// reading returns the part of a pause that has just ended in which the endpoint had
-// prompts to read.
-func (v *service) reading(q *queue, now time.Time, gap time.Duration) time.Duration {
-	var read time.Duration
-	var free time.Time
+// prefillWithin returns the time within a gap that ends now in which the endpoint had prompts
+// to prefill.
+func (v *service) prefillWithin(q *queue, now time.Time, gap time.Duration) time.Duration {
+	var prefill time.Duration
+	var idleAt time.Time
 	for _, n := range q.turns {
 		if !n.Begin.Before(now) {
 			break
 		}
-		from := later(n.Begin, free)
-		free = from.Add(v.usual(n.Tokens))
-		read += max(earlier(free, now).Sub(later(from, now.Add(-gap))), 0)
+		from := later(n.Begin, idleAt)
+		idleAt = from.Add(v.usualPrefillTime(n.Tokens))
+		prefill += max(earlier(idleAt, now).Sub(later(from, now.Add(-gap))), 0)
 	}
-	return read
+	return prefill
 }
 
 func later(a, b time.Time) time.Time {
@@ -181,10 +184,10 @@
 	return a
 }
 
-// limit returns the work that may begin within the aim, zero for no limit.
-func (p *pauses) limit(aim time.Duration) time.Duration {
-	if !p.waits {
+// prefillLimit returns the prefill time that may begin within the gap aim, zero for no limit.
+func (p *modeController) prefillLimit(aim time.Duration) time.Duration {
+	if !p.enforced {
 		return 0
 	}
-	return max(time.Duration(gapShare*float64(aim))-p.quiet, time.Duration(leastShare*float64(aim)))
+	return max(time.Duration(gapFraction*float64(aim))-p.decodeGap, time.Duration(minPrefillFraction*float64(aim)))
 }
--- a/core/ggsturn/pauses_test.go
+++ b/core/ggsturn/pauses_test.go
@@ -10,8 +10,8 @@
 	"greengageslip/core/ggsturn"
 )
 
-// learner returns a table that knows the speed and has prompts wait for nothing.
-func learner() *ggsturn.Table {
+// learningTable returns a table that knows the prefill speed and doesn't enforce turns.
+func learningTable() *ggsturn.Table {
 	t := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
 	t.SetService(models, gapAim)
 	t.SetDecides(true)
@@ -26,101 +26,101 @@
 	return w > 0
 }
 
-// streams plays streams of a hundred a second, of which so many are hurt.
-func streams(t *ggsturn.Table, from, length time.Duration, hurt int) time.Duration {
+// playStreams records 100 streams per second, of which the given percentage is degraded.
+func playStreams(t *ggsturn.Table, from, length time.Duration, degraded int) time.Duration {
 	for n := range int(length / (10 * time.Millisecond)) {
-		t.Stream(at(from+time.Duration(n)*10*time.Millisecond), models, "r1", n*37%100 < hurt)
+		t.Stream(at(from+time.Duration(n)*10*time.Millisecond), models, "r1", n*37%100 < degraded)
 	}
 	return from + length
 }
 
-// waiting plays a load of which so many streams in a hundred are hurt with and without
-// turns, and returns the part of the time in which prompts waited.
-func waiting(b *ggsturn.Table, length time.Duration, without, with int) float64 {
+// waitingFraction simulates a load with the given percentages of degraded streams without and
+// with turns. It returns the fraction of the time in which prompts waited.
+func waitingFraction(b *ggsturn.Table, length time.Duration, without, with int) float64 {
 	steps, waited := 0, 0
 	for now := time.Duration(0); now < length; steps++ {
-		hurt := without
+		degraded := without
 		if waits(b, now) {
-			hurt = with
+			degraded = with
 			waited++
 		}
-		now = streams(b, now, 100*time.Millisecond, hurt)
+		now = playStreams(b, now, 100*time.Millisecond, degraded)
 	}
 	return float64(waited) / float64(steps)
 }
 
-// Prompts wait where streams are hurt without, and only as long as fewer are hurt with:
-// held up for nothing, callers of a service whose engines read in small pieces waited
-// half a second for their first piece when five of twelve runners were lost.
-func TestPromptsWaitWhereStreamsAreHurt(t *testing.T) {
+// Guards against enforcing turns where they don't reduce the number of degraded streams.
+// Callers of engines that prefill in small chunks then waited 500 ms for their first piece
+// when five of twelve runners were lost.
+func TestTurnsAreEnforcedWhileTheyHelp(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		without, with int
-		// The part of the time in which prompts wait.
+		// Bounds of the fraction of the time in which prompts wait.
 		least, most float64
 	}{
-		"none hurt":          {without: 0, most: 0},
-		"as many as usual":   {without: 10, most: 0},
-		"turns mend it":      {without: 40, with: 5, least: 0.9, most: 1},
-		"turns don't help":   {without: 20, with: 60, most: 0.3},
-		"a little less hurt": {without: 40, with: 30, least: 0.5, most: 1},
+		"none degraded":       {without: 0, most: 0},
+		"usual fraction":      {without: 10, most: 0},
+		"turns help":          {without: 40, with: 5, least: 0.9, most: 1},
+		"turns don't help":    {without: 20, with: 60, most: 0.3},
+		"turns help slightly": {without: 40, with: 30, least: 0.5, most: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			w := waiting(learner(), 20*time.Second, tc.without, tc.with)
+			w := waitingFraction(learningTable(), 20*time.Second, tc.without, tc.with)
 			c.Assert(w >= tc.least && w <= tc.most, qt.IsTrue, qt.Commentf("%.2f", w))
 		})
 	}
 }
 
-// After a try that hurt more streams than it helped, prompts don't wait for some time,
-// and longer after the next one.
-func TestTriesThatFailGetRarer(t *testing.T) {
+// Guards against frequent trials of turns that degrade more streams than they help. The time
+// between trials has to grow.
+func TestFailedTrialsBecomeLessFrequent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := learner()
-	tries, was, now := 0, false, time.Duration(0)
+	b := learningTable()
+	trials, was, now := 0, false, time.Duration(0)
 	for range 600 {
-		hurt := 20
+		degraded := 20
 		if was {
-			hurt = 70
+			degraded = 70
 		}
-		now = streams(b, now, 100*time.Millisecond, hurt)
+		now = playStreams(b, now, 100*time.Millisecond, degraded)
 		is := waits(b, now)
 		if is && !was {
-			tries++
+			trials++
 		}
 		was = is
 	}
-	c.Assert(tries >= 2 && tries <= 4, qt.IsTrue, qt.Commentf("%d in a minute", tries))
+	c.Assert(trials >= 2 && trials <= 4, qt.IsTrue, qt.Commentf("%d trials in a minute", trials))
 }
 
-// A stream stops for a second while nothing is read, because a packet was lost or a VM
-// stood still. Fewer prompts at once would not have changed it.
-func TestStallsArentPutDownToPrompts(t *testing.T) {
+// Guards against attributing gaps to prefill that have another cause, such as a lost packet or
+// a stalled VM. Fewer concurrent prompts wouldn't have prevented them.
+func TestStallsAreNotAttributedToPrefill(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
-		tokens int
-		gap    time.Duration
-		hurt   bool
+		tokens   int
+		gap      time.Duration
+		degraded bool
 	}{
-		"a stall":            {tokens: 400, gap: time.Second, hurt: false},
-		"reading":            {tokens: 7000, gap: 340 * time.Millisecond, hurt: true},
-		"reading, but short": {tokens: 7000, gap: 290 * time.Millisecond, hurt: false},
+		"stall":              {tokens: 400, gap: time.Second, degraded: false},
+		"prefill":            {tokens: 7000, gap: 340 * time.Millisecond, degraded: true},
+		"prefill, short gap": {tokens: 7000, gap: 290 * time.Millisecond, degraded: false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := learner()
+			b := learningTable()
 			b.Take(at(0), models, runner, tc.tokens, 0)
-			qt.New(t).Assert(b.Gap(at(tc.gap), models, runner, tc.gap), qt.Equals, tc.hurt)
+			qt.New(t).Assert(b.Gap(at(tc.gap), models, runner, tc.gap), qt.Equals, tc.degraded)
 		})
 	}
 }
 
-// All processes are killed. What they had learnt stands in their records, so that the
-// streams of the next seconds aren't hurt while it is learnt anew.
-func TestWhatWasLearntOutlivesTheProcess(t *testing.T) {
+// Guards against degraded streams while the state is learned again after all processes were
+// killed. The state is restored from stored records.
+func TestLearnedStateSurvivesRestart(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	a := table("vm")
@@ -131,20 +131,20 @@
 	b.Adopt(at(0), h[0])
 	c.Assert(waits(b, 0), qt.IsTrue)
 	c.Assert(b.Expect(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
-	// A record of another writer changes nothing that was learnt since.
+	// A stored record doesn't override what was learned since.
 	b.Adopt(at(0), ggscore.TurnShape{Service: models, PerToken: time.Second})
 	c.Assert(b.Expect(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
 }
 
-// Every VM counts streams, each a little differently. If each decided for itself, some
-// would have their prompts wait while those of others go ahead of them.
-func TestOneVMDecides(t *testing.T) {
+// Guards against VMs that decide for themselves from slightly different counts. Prompts of
+// some VMs would wait while those of others overtake them.
+func TestOneVMDecidesOnTurns(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	a, b := learner(), learner()
+	a, b := learningTable(), learningTable()
 	b.SetDecides(false)
-	now := streams(a, 0, 500*time.Millisecond, 40)
-	streams(b, 0, 500*time.Millisecond, 40)
+	now := playStreams(a, 0, 500*time.Millisecond, 40)
+	playStreams(b, 0, 500*time.Millisecond, 40)
 	c.Assert(waits(a, now), qt.IsTrue)
 	c.Assert(waits(b, now), qt.IsFalse)
 	for _, m := range a.Modes() {
@@ -154,10 +154,10 @@
 	c.Assert(b.Modes(), qt.DeepEquals, a.Modes())
 }
 
-func TestUntoldIsToldOnce(t *testing.T) {
+func TestUntoldReportsOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := learner()
+	b := learningTable()
 	b.Stream(at(0), models, "r1", true)
 	b.Stream(at(0), models, "r1", false)
 	n := b.Take(at(0), models, runner, 1000, 0)
--- a/core/ggsturn/samples.go
+++ b/core/ggsturn/samples.go
@@ -8,62 +8,62 @@
 	ggscore "greengageslip/core"
 )
 
-// mostUntold bounds the samples that are told at once: VMs of today's sites see one or
-// two between two beats.
-const mostUntold = 16
+// maxUnreported bounds the samples in one report. A VM collects one or two between two
+// heartbeats.
+const maxUnreported = 16
 
-// LearnFirst takes a first piece that a peer saw. One VM alone sees one that tells the
-// speed every second or two.
+// LearnFirst adds a first-piece sample of a peer. A single VM gets a usable sample only every
+// second or two.
 func (t *Table) LearnFirst(p ggscore.TurnSample) {
 	t.service(p.Service).speed.add(firstPiece{tokens: p.Tokens, took: p.Took})
 }
 
-// LearnTally takes the streams of a peer.
+// LearnTally adds stream counts of a peer.
 func (t *Table) LearnTally(now time.Time, n ggscore.TurnTally) {
-	p := &t.service(n.Service).pauses
-	p.tally(now, n.Streams, n.Hurt)
-	p.watch(now)
+	p := &t.service(n.Service).mode
+	p.addTally(now, n.Streams, n.Hurt)
+	p.updateObserveAll(now)
 	if t.decides {
-		p.decide(now)
+		p.updateMode(now)
 	}
 }
 
-// Modes returns whether prompts wait, by service.
+// Modes returns the mode of each service: whether turns are enforced.
 func (t *Table) Modes() []ggscore.TurnMode {
 	var ms []ggscore.TurnMode
 	for n, v := range t.services {
 		if v.gapAim > 0 {
-			ms = append(ms, ggscore.TurnMode{Service: n, Waits: v.pauses.waits, Without: v.pauses.without})
+			ms = append(ms, ggscore.TurnMode{Service: n, Waits: v.mode.enforced, Without: v.mode.baseline})
 		}
 	}
 	return ms
 }
 
-// Follow takes the word of the VM that decides whether prompts wait.
+// Follow applies the mode set by the VM that decides.
 func (t *Table) Follow(now time.Time, m ggscore.TurnMode) {
-	p := &t.service(m.Service).pauses
-	if t.decides || p.waits == m.Waits {
+	p := &t.service(m.Service).mode
+	if t.decides || p.enforced == m.Waits {
 		return
 	}
-	p.without = m.Without
-	p.turn(now, m.Waits)
+	p.baseline = m.Without
+	p.setMode(now, m.Waits)
 }
 
-// Untold returns what this VM saw since it was last asked.
+// Untold returns the samples and stream counts collected since the previous call.
 func (t *Table) Untold() ([]ggscore.TurnSample, []ggscore.TurnTally) {
 	s, n := t.samples, t.tallies
 	t.samples, t.tallies = nil, nil
 	return s, n
 }
 
-// Shapes returns what was learnt, by service.
+// Shapes returns the learned state of each service.
 func (t *Table) Shapes() []ggscore.TurnShape {
 	var hs []ggscore.TurnShape
 	for n, v := range t.services {
 		if v.gapAim > 0 && v.speed.known() {
 			hs = append(hs, ggscore.TurnShape{
-				Service: n, PerToken: v.speed.slope, Start: v.speed.start,
-				Quiet: v.pauses.quiet, Mode: ggscore.TurnMode{Service: n, Waits: v.pauses.waits, Without: v.pauses.without},
+				Service: n, PerToken: v.speed.slope, Start: v.speed.intercept,
+				Quiet: v.mode.decodeGap, Mode: ggscore.TurnMode{Service: n, Waits: v.mode.enforced, Without: v.mode.baseline},
 			})
 		}
 	}
@@ -71,20 +71,20 @@
 	return hs
 }
 
-// Adopt takes what other VMs, or this one's process before, have learnt of a service of
-// which this one knows nothing.
+// Adopt initializes the state of a service from the record of another VM or of this VM's
+// previous process. It has no effect once this VM has learned the prefill speed.
 //
-// After all processes of a deployment were killed, half of the streams of the next ten
-// seconds paused too long: each learnt anew that turns were needed.
+// Without it, half of the streams had excessive gaps in the 10 s after all processes of a
+// deployment were killed, because each process had to learn again that turns were needed.
 func (t *Table) Adopt(now time.Time, h ggscore.TurnShape) {
 	v := t.service(h.Service)
 	if v.speed.known() || h.PerToken <= 0 {
 		return
 	}
-	v.speed.slope, v.speed.start = min(max(h.PerToken, leastPerToken), mostPerToken), max(h.Start, 0)
-	v.pauses.quiet = max(h.Quiet, 0)
+	v.speed.slope, v.speed.intercept = min(max(h.PerToken, minPerToken), maxPerToken), max(h.Start, 0)
+	v.mode.decodeGap = max(h.Quiet, 0)
 	if h.Mode.Waits {
-		v.pauses.without = min(max(h.Mode.Without, hurtMost), 1)
-		v.pauses.turn(now, true)
+		v.mode.baseline = min(max(h.Mode.Without, maxDegraded), 1)
+		v.mode.setMode(now, true)
 	}
 }
--- a/core/ggsturn/size.go
+++ b/core/ggsturn/size.go
@@ -1,23 +1,23 @@
 package ggsturn
 
-// A usualSize is the size of a service's prompts, for those that don't tell theirs.
-type usualSize struct {
+// A promptSize estimates the size of a service's prompts whose callers don't state it.
+type promptSize struct {
 	seen bool
 	mean float64
 }
 
 const (
-	// priorTokens is the size of a prompt before any was told: two pages of text.
-	priorTokens = 1000
-	// mostTokens bounds a size that is told: no engine's memory takes more, and a
-	// number without bound would give a caller an endpoint to itself for minutes.
-	mostTokens = 200_000
+	// defaultTokens is the size assumed before any size was stated: two pages of text.
+	defaultTokens = 1000
+	// maxTokens bounds a stated size. No engine's memory holds more tokens, and an unbounded
+	// number would reserve an endpoint for one caller for minutes.
+	maxTokens  = 200_000
 	sizeWeight = 0.05
 )
 
-// add notes a prompt's size; one that isn't told says nothing.
-func (u *usualSize) add(tokens int) {
-	if tokens <= 0 || tokens > mostTokens {
+// add records a prompt's size. An unstated or impossible size is ignored.
+func (u *promptSize) add(tokens int) {
+	if tokens <= 0 || tokens > maxTokens {
 		return
 	}
 	if !u.seen {
@@ -27,13 +27,13 @@
 	u.mean += sizeWeight * (float64(tokens) - u.mean)
 }
 
-// or returns the size, the usual one where it isn't told or can't be.
-func (u *usualSize) or(tokens int) int {
+// orMean returns the size, or the mean if the size is unstated or impossible.
+func (u *promptSize) orMean(tokens int) int {
 	switch {
-	case tokens > 0 && tokens <= mostTokens:
+	case tokens > 0 && tokens <= maxTokens:
 		return tokens
 	case u.seen:
 		return int(u.mean)
 	}
-	return priorTokens
+	return defaultTokens
 }
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -1,36 +1,42 @@
-// Package ggsturn decides when an endpoint may begin to read a request's prompt.
+// Package ggsturn schedules the prefill of prompts: it decides when a request's prompt may be
+// sent to its endpoint.
 //
-// An engine reads prompts in pieces between the tokens of the streams that it
-// runs. Prompts that begin together fill step after step, and every stream of the
-// endpoint pauses for as long. So each prompt gets a turn: within any stretch as
-// long as the shortest pause that a route of the service allows, only so much is
-// begun at an endpoint as it reads in that time beside its streams' own steps.
+// An engine prefills prompts in chunks between the decoding steps of its streams. Prompts that
+// begin together fill step after step, and every stream of the endpoint stalls meanwhile. Each
+// prompt therefore gets a turn, which is the time at which it may begin. Within any window of
+// the shortest gap that a route of the service allows, the prefill time of the prompts that
+// begin at an endpoint is bounded by what fits beside the decoding steps.
+//
+// Turns are enforced only while they reduce the number of degraded streams: those with gaps
+// caused by prefill, or with a first piece that is late because of the turn.
 //
 // # Usage
 //
 //	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
-//	t.SetService(service, gapAim)                  // by the configuration
-//	e := t.Expect(now, service, endpoint, tokens)  // for the choice of an endpoint
-//	n := t.Take(now, service, endpoint, tokens, w) // tell peers, wait until n.Begin
+//	t.SetService(service, gapAim)                  // from the configuration
+//	e := t.Expect(now, service, endpoint, tokens)  // to choose an endpoint
+//	n := t.Take(now, service, endpoint, tokens, d) // announce to peers, wait until n.Begin
 //	t.SetEndpoints(service, endpoints)             // in a large fleet
-//	ok := t.Announces(now, n)                      // whether peers need to know of it
-//	n, ok := t.Confirm(now, n)                     // send, or tell peers and wait again
-//	t.Cancel(n)                                    // its caller left: tell peers
+//	ok := t.Announces(now, n)                      // whether to announce the turn
+//	n, ok := t.Confirm(now, n)                     // send, or announce and wait again
 //	t.Add(now, n)                                  // a peer's turn
-//	t.Drop(n)                                      // and its end
-//	t.First(now, n, sent)                          // the first piece came
-//	hurt := t.Gap(now, service, endpoint, gap)     // a pause between two pieces
-//	t.Stream(now, service, endpoint, hurt)         // a stream ended, or was hurt first
-//	samples, tallies := t.Untold()                 // tell peers what was seen
-//	t.LearnFirst(sample)                           // what a peer saw
-//	t.LearnTally(now, tally)
-//	t.SetDecides(first)                            // one VM decides if prompts wait
-//	t.Follow(now, mode)                            // and the others do as it says
+//	t.Drop(n)                                      // the caller left, or a peer dropped its turn
+//	t.First(now, n, sent)                          // the first piece arrived
+//	degraded := t.Gap(now, service, endpoint, gap) // a gap between two pieces
+//	t.Stream(now, service, endpoint, degraded)     // a stream ended or became degraded
+//	samples, tallies := t.Untold()                 // report to peers
+//	t.LearnFirst(sample)                           // a peer's sample
+//	t.LearnTally(now, tally)                       // a peer's stream counts
+//	t.SetDecides(first)                            // one VM decides on enforcement
+//	t.Follow(now, mode)                            // the other VMs apply its mode
+//
+// There is no central scheduler. A VM takes the next turn that is free in its own view and
+// announces the turn to its peers at once. Two VMs can take the same turn within the
+// propagation delay of a datagram. Their prompts then run together, for which the bound leaves
+// room. A VM that receives nothing from its peers continues with its own view.
 //
-// Nobody grants turns. A VM takes the next one that its own view leaves free and
-// tells the others at once; two that take the same one, within the way of a
-// datagram, read together, which the bound has room for. A VM that hears nobody
-// goes on with what it knows. The package holds no clock, no goroutine and no lock.
+// A Table isn't safe for concurrent use. It has no clock and no goroutines: the caller passes
+// the time.
 package ggsturn
 
 import (
@@ -39,68 +45,67 @@
 	ggscore "greengageslip/core"
 )
 
-// An Options sets a Table.
+// Options configure a Table.
 type Options struct {
 	VM ggscore.VMID
-	// First is the number of the first turn. One that differs between processes of a
-	// VM keeps a new one's turns apart from those that peers know of the one before.
+	// First is the number of the first turn. It has to differ between processes of a VM, so
+	// that turns of a new process aren't mistaken for those of the previous one.
 	First uint64
 }
 
 var _ ggscore.TurnExpecter = (*Table)(nil)
 
-// A Table holds the turns at the endpoints, and what is known of their speed.
+// A Table holds the turns of all endpoints and the learned prefill speeds.
 type Table struct {
-	options  Options
-	number   uint64
-	decides  bool
-	services map[ggscore.Service]*service
-	queues   map[ggscore.EndpointID]*queue
-	// samples and tallies are what peers weren't told of.
+	options    Options
+	lastNumber uint64
+	decides    bool
+	services   map[ggscore.Service]*service
+	queues     map[ggscore.EndpointID]*queue
+	// samples and tallies are those not yet reported to peers.
 	samples []ggscore.TurnSample
 	tallies []ggscore.TurnTally
 }
 
-// A service is what is known of the endpoints of a service.
+// A service is the state of one service.
 type service struct {
-	// gapAim is the shortest pause between pieces that a route allows, zero where
-	// none limits it.
+	// gapAim is the shortest gap between pieces that a route allows, zero for no limit.
 	gapAim time.Duration
 	speed  speed
-	pauses pauses
-	size   usualSize
-	// observed are the endpoints whose turns are announced while prompts don't wait, nil
-	// for all.
+	mode   modeController
+	size   promptSize
+	// observed is the set of endpoints whose turns are announced while turns aren't enforced,
+	// nil for all.
 	observed map[ggscore.EndpointID]bool
 }
 
-// A queue holds an endpoint's turns in the order of their beginning.
+// A queue holds an endpoint's turns, ordered by their begin.
 type queue struct {
 	turns []ggscore.PromptTurn
-	// free is when the endpoint is expected to have read all.
-	free time.Time
-	// slowness is how much longer its first pieces take than expected.
+	// idleAt is when the endpoint is expected to have prefilled all prompts.
+	idleAt time.Time
+	// slowness is the ratio of the endpoint's times to first piece to the expected ones.
 	slowness float64
 }
 
-// keepFor is how long turns are kept after their beginning: a prompt of 10,000
-// tokens is read within it by the slowest engines known, at 10 tokens a ms.
-const keepFor = 2 * time.Second
+// turnRetention is how long a turn is kept after its begin. The slowest engines, at 10 tokens
+// per ms, prefill a prompt of 10,000 tokens in less.
+const turnRetention = 2 * time.Second
 
 // NewTable returns a table without turns.
 func NewTable(o Options) *Table {
-	return &Table{options: o, number: o.First, services: map[ggscore.Service]*service{}, queues: map[ggscore.EndpointID]*queue{}}
+	return &Table{options: o, lastNumber: o.First, services: map[ggscore.Service]*service{}, queues: map[ggscore.EndpointID]*queue{}}
 }
 
-// SetDecides sets whether this VM decides if prompts wait. One does for all: where some
-// VMs had theirs wait and others didn't, streams were hurt and callers waited for it.
+// SetDecides sets whether this VM decides on the enforcement of turns. One VM decides for all:
+// where only some VMs enforced turns, streams were degraded although callers waited.
 func (t *Table) SetDecides(decides bool) { t.decides = decides }
 
-// SetService sets the shortest pause between pieces that a route to the service
-// allows, zero for none.
+// SetService sets the shortest gap between pieces that a route to the service allows, zero for
+// no limit.
 func (t *Table) SetService(s ggscore.Service, gapAim time.Duration) { t.service(s).gapAim = gapAim }
 
-// Remove forgets an endpoint.
+// Remove drops the state of an endpoint.
 func (t *Table) Remove(id ggscore.EndpointID) { delete(t.queues, id) }
 
 func (t *Table) service(s ggscore.Service) *service {
@@ -121,36 +126,37 @@
 	return q
 }
 
-// Expect returns what a prompt would meet. Zero tokens stand for a usual prompt.
+// Expect estimates the wait for a turn and the time until a prompt is prefilled. Zero tokens
+// mean the usual size.
 func (t *Table) Expect(now time.Time, s ggscore.Service, id ggscore.EndpointID, tokens int) ggscore.TurnEstimate {
 	v, q := t.service(s), t.queue(id)
-	work := v.work(q, v.size.or(tokens))
-	begin := t.next(now, v, q, work)
-	return ggscore.TurnEstimate{Wait: begin.Sub(now), Ready: later(begin, q.free).Add(work).Sub(now)}
+	prefill := v.prefillTime(q, v.size.orMean(tokens))
+	begin := t.earliestBegin(now, v, q, prefill)
+	return ggscore.TurnEstimate{Wait: begin.Sub(now), Ready: later(begin, q.idleAt).Add(prefill).Sub(now)}
 }
 
-// Take gives a prompt its turn. Zero tokens stand for a usual prompt. A turn that is
-// limited by others begins no sooner than the way that word of it takes to the VMs that
-// send to the endpoint too; it is to be confirmed then.
-func (t *Table) Take(now time.Time, s ggscore.Service, id ggscore.EndpointID, tokens int, way time.Duration) ggscore.PromptTurn {
+// Take assigns the next turn to a prompt. Zero tokens mean the usual size. If turns are
+// enforced, the turn begins no sooner than the delay with which its announcement reaches the
+// VMs that send to the same endpoint. The turn has to be confirmed when it is due.
+func (t *Table) Take(now time.Time, s ggscore.Service, id ggscore.EndpointID, tokens int, delay time.Duration) ggscore.PromptTurn {
 	v, q := t.service(s), t.queue(id)
 	v.size.add(tokens)
-	t.number++
-	n := ggscore.PromptTurn{VM: t.options.VM, Number: t.number, Service: s, Endpoint: id, Tokens: v.size.or(tokens)}
-	n.Begin = t.next(now, v, q, v.work(q, n.Tokens))
-	if v.limit() > 0 {
-		n.Begin = later(n.Begin, now.Add(way))
+	t.lastNumber++
+	n := ggscore.PromptTurn{VM: t.options.VM, Number: t.lastNumber, Service: s, Endpoint: id, Tokens: v.size.orMean(tokens)}
+	n.Begin = t.earliestBegin(now, v, q, v.prefillTime(q, n.Tokens))
+	if v.prefillLimit() > 0 {
+		n.Begin = later(n.Begin, now.Add(delay))
 	}
 	t.Add(now, n)
 	return n
 }
 
-// Confirm looks at a turn of this VM once more when it is due. Two VMs that took turns
-// at the same moment didn't know of each other's, and the endpoint would read both at
-// once: the later one gets its turn anew, and ok is false.
+// Confirm checks a turn of this VM again when it is due. Two VMs that took turns at the same
+// time didn't know of each other's, and the endpoint would prefill both prompts at once. The
+// later turn is then replaced by a new one, and ok is false.
 func (t *Table) Confirm(now time.Time, n ggscore.PromptTurn) (turn ggscore.PromptTurn, ok bool) {
 	v, q := t.service(n.Service), t.queue(n.Endpoint)
-	limit := v.limit()
+	limit := v.prefillLimit()
 	i := q.find(n)
 	if limit <= 0 || i < 0 {
 		return n, true
@@ -158,23 +164,23 @@
 	var begun time.Duration
 	for _, o := range q.turns[:i] {
 		if n.Begin.Sub(o.Begin) < v.gapAim {
-			begun += v.work(q, o.Tokens)
+			begun += v.prefillTime(q, o.Tokens)
 		}
 	}
-	work := v.work(q, n.Tokens)
-	if begun == 0 || begun+work <= limit {
+	prefill := v.prefillTime(q, n.Tokens)
+	if begun == 0 || begun+prefill <= limit {
 		return n, true
 	}
 	t.Drop(n)
-	n.Begin = t.next(now, v, q, work)
+	n.Begin = t.earliestBegin(now, v, q, prefill)
 	t.Add(now, n)
 	return n, false
 }
 
-// Add notes a turn, of this VM or of a peer.
+// Add records a turn of this VM or of a peer.
 func (t *Table) Add(now time.Time, n ggscore.PromptTurn) {
 	v, q := t.service(n.Service), t.queue(n.Endpoint)
-	q.forget(now)
+	q.dropExpired(now)
 	if q.find(n) >= 0 {
 		return
 	}
@@ -185,10 +191,10 @@
 	q.turns = append(q.turns, ggscore.PromptTurn{})
 	copy(q.turns[i+1:], q.turns[i:])
 	q.turns[i] = n
-	q.read(v)
+	q.updateIdleAt(v)
 }
 
-// Drop takes a turn back that wasn't used.
+// Drop removes a turn that wasn't used.
 func (t *Table) Drop(n ggscore.PromptTurn) {
 	q := t.queues[n.Endpoint]
 	if q == nil {
@@ -196,15 +202,15 @@
 	}
 	if i := q.find(n); i >= 0 {
 		q.turns = append(q.turns[:i], q.turns[i+1:]...)
-		q.read(t.service(n.Service))
+		q.updateIdleAt(t.service(n.Service))
 	}
 }
 
-// next returns the earliest beginning of a turn of so much work. Turns begin in
-// the order in which they were taken: a long prompt would never find its time
-// among short ones that pass it.
-func (t *Table) next(now time.Time, v *service, q *queue, work time.Duration) time.Time {
-	limit := v.limit()
+// earliestBegin returns the earliest begin of a turn with the given prefill time. Turns begin
+// in the order in which they were taken. Otherwise a long prompt would starve, overtaken by
+// short ones.
+func (t *Table) earliestBegin(now time.Time, v *service, q *queue, prefill time.Duration) time.Time {
+	limit := v.prefillLimit()
 	if limit <= 0 {
 		return now
 	}
@@ -218,17 +224,17 @@
 			i = j + 1
 			continue
 		}
-		begun += v.work(q, n.Tokens)
+		begun += v.prefillTime(q, n.Tokens)
 	}
-	// The oldest turns leave the stretch one after the other.
-	for ; i < len(q.turns) && begun+work > limit; i++ {
+	// The oldest turns leave the window one by one.
+	for ; i < len(q.turns) && begun+prefill > limit; i++ {
 		at = q.turns[i].Begin.Add(v.gapAim)
-		begun -= v.work(q, q.turns[i].Tokens)
+		begun -= v.prefillTime(q, q.turns[i].Tokens)
 	}
 	return at
 }
 
-// before reports whether a turn comes before another. All VMs agree on it.
+// before reports whether turn a precedes turn b. The order is the same on all VMs.
 func before(a, b ggscore.PromptTurn) bool {
 	if !a.Begin.Equal(b.Begin) {
 		return a.Begin.Before(b.Begin)
@@ -236,7 +242,7 @@
 	return a.VM < b.VM || a.VM == b.VM && a.Number < b.Number
 }
 
-// find returns the index of a turn, -1 where it isn't there.
+// find returns the index of a turn, or -1.
 func (q *queue) find(n ggscore.PromptTurn) int {
 	for i := range q.turns {
 		if q.turns[i].VM == n.VM && q.turns[i].Number == n.Number {
@@ -246,38 +252,38 @@
 	return -1
 }
 
-// forget drops turns that were read long ago.
-func (q *queue) forget(now time.Time) {
+// dropExpired drops turns older than turnRetention.
+func (q *queue) dropExpired(now time.Time) {
 	i := 0
-	for i < len(q.turns) && now.Sub(q.turns[i].Begin) > keepFor {
+	for i < len(q.turns) && now.Sub(q.turns[i].Begin) > turnRetention {
 		i++
 	}
 	q.turns = append(q.turns[:0], q.turns[i:]...)
 }
 
-// read works out when the endpoint will have read all turns.
-func (q *queue) read(v *service) {
-	q.free = time.Time{}
+// updateIdleAt recomputes when the endpoint will have prefilled all prompts.
+func (q *queue) updateIdleAt(v *service) {
+	q.idleAt = time.Time{}
 	for _, n := range q.turns {
-		q.free = later(n.Begin, q.free).Add(v.work(q, n.Tokens))
+		q.idleAt = later(n.Begin, q.idleAt).Add(v.prefillTime(q, n.Tokens))
 	}
 }
 
-// work returns the time that an endpoint takes to read tokens.
-func (v *service) work(q *queue, tokens int) time.Duration {
-	return time.Duration(float64(v.usual(tokens)) * q.slow())
+// prefillTime returns the prefill time of a prompt at an endpoint.
+func (v *service) prefillTime(q *queue, tokens int) time.Duration {
+	return time.Duration(float64(v.usualPrefillTime(tokens)) * q.slowFactor())
 }
 
-// usual returns the time that endpoints of the service usually take to read tokens.
-func (v *service) usual(tokens int) time.Duration {
+// usualPrefillTime returns the usual prefill time of a prompt at endpoints of the service.
+func (v *service) usualPrefillTime(tokens int) time.Duration {
 	return time.Duration(tokens) * v.speed.perToken()
 }
 
-// limit returns the work that may begin within a stretch of the shortest pause,
+// prefillLimit returns the prefill time that may begin within a window of the shortest gap,
 // zero for no limit.
-func (v *service) limit() time.Duration {
+func (v *service) prefillLimit() time.Duration {
 	if v.gapAim <= 0 {
 		return 0
 	}
-	return v.pauses.limit(v.gapAim)
+	return v.mode.prefillLimit(v.gapAim)
 }
--- a/core/ggsturn/table_test.go
+++ b/core/ggsturn/table_test.go
@@ -16,16 +16,16 @@
 	models = ggscore.Service("models")
 	runner = ggscore.EndpointID("r1")
 	gapAim = 300 * time.Millisecond
-	way    = 2 * time.Millisecond
-	// perToken is the speed that tests teach: a prompt of 1,000 tokens takes 50 ms.
+	delay  = 2 * time.Millisecond
+	// perToken is the speed that tests use: a prompt of 1,000 tokens takes 50 ms.
 	perToken = 50 * time.Microsecond
 	quiet    = 30 * time.Millisecond
 )
 
 func at(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 
-// table returns a table that knows the speed and lets prompts wait: 255 ms of reading
-// may begin within 300.
+// table returns a table that knows the prefill speed and enforces turns: 255 ms of prefill may
+// begin within 300 ms.
 func table(vm ggscore.VMID) *ggsturn.Table {
 	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
 	t.SetService(models, gapAim)
@@ -37,24 +37,24 @@
 	return t.Take(at(now), models, runner, tokens, 0).Begin.Sub(at(0))
 }
 
-// Four prompts come at the same moment. Read one after the other without a pause they
-// would stop every stream of the runner for as long.
-func TestPromptsBeginAsStreamsAllow(t *testing.T) {
+// Guards against prompts that arrive together and are prefilled without a break, which stalls
+// every stream of the runner meanwhile.
+func TestPrefillIsBoundedPerWindow(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := table("vm")
 	c.Assert(take(b, 0, 2000), qt.Equals, time.Duration(0))
 	c.Assert(take(b, 0, 3000), qt.Equals, time.Duration(0))
-	c.Assert(take(b, 0, 1000), qt.Equals, gapAim, qt.Commentf("250 ms of reading have begun"))
+	c.Assert(take(b, 0, 1000), qt.Equals, gapAim, qt.Commentf("250 ms of prefill have begun"))
 	c.Assert(take(b, 0, 1000), qt.Equals, gapAim)
 	e := b.Expect(at(10*time.Millisecond), models, runner, 1000)
 	c.Assert(e.Wait, qt.Equals, gapAim-10*time.Millisecond)
 	c.Assert(e.Ready, qt.Equals, gapAim+3*50*time.Millisecond-10*time.Millisecond)
 }
 
-// A prompt longer than all that may begin within the aim has to be read some time. It
-// waits until nothing else was begun of late, and shorter ones don't pass it.
-func TestLongPromptIsntStarved(t *testing.T) {
+// Guards against starvation of a prompt longer than the limit. It waits until no other prefill
+// began recently, and shorter prompts don't overtake it.
+func TestLongPromptIsNotStarved(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := table("vm")
@@ -63,8 +63,8 @@
 	c.Assert(take(b, 20*time.Millisecond, 100), qt.Equals, 2*gapAim)
 }
 
-// A caller leaves while its prompt waits: the turn is free for the next one.
-func TestUnusedTurnIsFree(t *testing.T) {
+// Guards against a turn that stays reserved after its caller left.
+func TestDroppedTurnIsReassigned(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := table("vm")
@@ -73,19 +73,19 @@
 	c.Assert(take(b, 0, 5000), qt.Equals, time.Duration(0))
 }
 
-// Two VMs take a turn within the way of a datagram, and neither knows of the other's.
-// Both prompts would be read at once, 400 ms of them: the later one steps back.
-func TestTurnsTakenAtOnce(t *testing.T) {
+// Guards against two VMs that take a turn within the propagation delay of a datagram. Their
+// prompts would be prefilled together, 400 ms of them; the later turn is replaced.
+func TestConcurrentTurnsAreConfirmed(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	a, b := table("a"), table("b")
-	x := a.Take(at(0), models, runner, 4000, way)
-	y := b.Take(at(time.Millisecond), models, runner, 4000, way)
-	c.Assert(x.Begin, qt.Equals, at(way))
-	c.Assert(y.Begin, qt.Equals, at(time.Millisecond+way))
+	x := a.Take(at(0), models, runner, 4000, delay)
+	y := b.Take(at(time.Millisecond), models, runner, 4000, delay)
+	c.Assert(x.Begin, qt.Equals, at(delay))
+	c.Assert(y.Begin, qt.Equals, at(time.Millisecond+delay))
 	a.Add(at(2*time.Millisecond), y)
 	b.Add(at(time.Millisecond), x)
-	x, ok := a.Confirm(at(way), x)
+	x, ok := a.Confirm(at(delay), x)
 	c.Assert(ok, qt.IsTrue)
 	y, ok = b.Confirm(y.Begin, y)
 	c.Assert(ok, qt.IsFalse)
@@ -94,9 +94,9 @@
 	c.Assert(ok, qt.IsTrue)
 }
 
-// Callers don't all say how long their prompts are, or say something absurd: those
-// count as usual prompts, and nobody gets an endpoint to itself for minutes.
-func TestPromptsWithoutASize(t *testing.T) {
+// Guards against reserving an endpoint for minutes because a caller states an absurd size.
+// Prompts with a missing or impossible size count as prompts of the usual size.
+func TestImpossiblePromptSizeCountsAsUsual(t *testing.T) {
 	t.Parallel()
 	for name, tokens := range map[string]int{"none": 0, "negative": -5, "huge": 1 << 40} {
 		t.Run(name, func(t *testing.T) {
@@ -112,15 +112,15 @@
 	}
 }
 
-// The runners read a token in 25 µs, and one first piece in six came late for another
-// reason. What is learnt is off by a tenth at most.
-func TestReadingSpeedIsLearnt(t *testing.T) {
+// Guards against a prefill speed distorted by outliers: runners take 25 µs per token, and one
+// first piece in six is late for another reason. The estimate may be off by a tenth.
+func TestPrefillSpeedIsLearned(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
 	b.SetService(models, gapAim)
 	ready := func() time.Duration { return b.Expect(at(0), models, runner, 10_000).Ready }
-	c.Assert(ready(), qt.Equals, 500*time.Millisecond, qt.Commentf("before anything was seen"))
+	c.Assert(ready(), qt.Equals, 500*time.Millisecond, qt.Commentf("before any sample"))
 	for i := range 60 {
 		tokens := 200 + 97*i%3000
 		took := 20*time.Millisecond + time.Duration(tokens)*25*time.Microsecond
@@ -132,9 +132,9 @@
 	c.Assert(ready() > 225*time.Millisecond && ready() < 275*time.Millisecond, qt.IsTrue, qt.Commentf("%s", ready()))
 }
 
-// A runner turns slow. Its first pieces show it within some answers, and prompts are
-// expected to wait longer there than at the others.
-func TestSlowEndpointIsNoticed(t *testing.T) {
+// Guards against prompts sent to a slow runner as if it had normal speed. A few first pieces
+// have to show the longer wait there.
+func TestSlowEndpointIsDetected(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := table("vm")
@@ -149,7 +149,8 @@
 	c.Assert(b.Expect(at(now), models, "r2", 1000).Ready, qt.Equals, 50*time.Millisecond)
 }
 
-// Guards against VMs of a large fleet that observe other endpoints than each other, so that nobody knows of all prompts.
+// Guards against VMs of a large fleet that observe different endpoints, so that no VM knows
+// all prompts at an endpoint.
 func TestAllVMsObserveTheSameEndpoints(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -157,7 +158,7 @@
 	for n := range 60 {
 		ids = append(ids, ggscore.EndpointID(fmt.Sprintf("r%02d", n)))
 	}
-	a, b := learner(), learner()
+	a, b := learningTable(), learningTable()
 	a.SetEndpoints(models, ids)
 	slices.Reverse(ids)
 	b.SetEndpoints(models, ids)
@@ -173,7 +174,7 @@
 	}
 	c.Check(announced, qt.Equals, 8)
 
-	// Prompts wait now, and all are announced.
+	// Turns are enforced now, and all are announced.
 	a.LearnTally(at(0), ggscore.TurnTally{Service: models, Streams: 100, Hurt: 50})
 	for _, id := range ids {
 		c.Check(a.Announces(at(time.Second), ggscore.PromptTurn{VM: "vm", Service: models, Endpoint: id, Tokens: 10}), qt.IsTrue)
