--- a/core/ggsthrottle/bucket.go
+++ b/core/ggsthrottle/bucket.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// A bucket is a token bucket.
+// A bucket is a token bucket, one token per request.
 type bucket struct {
 	tokens float64
 	at     time.Time
 }
 
-// fill adds what has come in since, and drops what a lower rate has no room for.
-func (b *bucket) fill(now time.Time, perSecond float64) {
+// refill adds the tokens accrued since the last refill, up to the capacity for the given rate.
+func (b *bucket) refill(now time.Time, perSecond float64) {
 	if d := now.Sub(b.at); d > 0 {
 		b.tokens += perSecond * d.Seconds()
 		b.at = now
@@ -17,12 +17,12 @@
 	b.tokens = min(b.tokens, capacity(perSecond))
 }
 
-// capacity returns the tokens that a bucket of a rate holds.
+// capacity returns the number of tokens that a bucket holds at the given rate.
 func capacity(perSecond float64) float64 {
 	if perSecond == 0 {
 		return 0
 	}
-	return max(perSecond*burst.Seconds(), leastBurst)
+	return max(perSecond*burstWindow.Seconds(), minBurst)
 }
 
 func (b *bucket) take() bool {
@@ -33,7 +33,7 @@
 	return true
 }
 
-// wait returns the time until there is a token.
+// wait returns the time until a token is available.
 func (b *bucket) wait(perSecond float64) time.Duration {
 	return time.Duration(max(1-b.tokens, 0) / perSecond * float64(time.Second))
 }
--- a/core/ggsthrottle/doc.go
+++ b/core/ggsthrottle/doc.go
@@ -1,24 +1,25 @@
-// Package ggsthrottle keeps VMs together within the rate limits that endpoints name in
-// their answers.
+// Package ggsthrottle makes the VMs together observe the rate limits that endpoints announce
+// in their answers.
 //
-// A limit holds for all VMs together, and none of them may be needed to keep it. So each
-// VM knows its part without asking: of the live VMs a few are entitled to send to a
-// limited endpoint, chosen by rendezvous hashing, so few that each has at least a request
-// a second. Each of them keeps to its part with a token bucket. The others learn from
-// their heartbeats whether the limit still stands. An endpoint that no answer has come from for a while
-// gets other VMs, since those that were entitled may have no callers.
+// A limit applies to the sum of all VMs and is observed without a coordinator. Each VM computes
+// its share locally: for each limited endpoint, rendezvous hashing selects a subset of the live
+// VMs, so small that each selected VM may send at least one request per second. A selected VM
+// limits itself to its share with a token bucket. The other VMs learn from heartbeats whether
+// the limit still applies. If no answer of an endpoint arrives for a while, other VMs are
+// selected, since the selected ones may have no callers.
 //
 // # Usage
 //
 //	t := ggsthrottle.NewTable(vm)
-//	t.SetVMs(live)                            // the live VMs, this one included
-//	changed := t.Observe(now, id, limit, asOf) // an answer came
-//	t.Learn(now, limits)                      // what a peer knows
-//	limits := t.Known(now)                    // for the next heartbeat
-//	ok := t.Allows(now, id)                   // may be chosen for a request
-//	ok := t.Take(now, id)                     // right before it is sent
-//	wait := t.Wait(now, id)                   // for Retry-After
-//	t.Remove(id)                              // the endpoint is gone
+//	t.SetVMs(live)                             // the live VMs, this one included
+//	changed := t.Observe(now, id, limit, asOf) // an answer arrived
+//	t.Learn(now, limits)                       // limits from a peer's heartbeat
+//	limits := t.Known(now)                     // limits for the next heartbeat
+//	ok := t.Allows(now, id)                    // whether to choose the endpoint
+//	ok := t.Take(now, id)                      // just before sending
+//	wait := t.Wait(now, id)                    // for Retry-After
+//	t.Remove(id)                               // the endpoint was removed
 //
-// The package holds no clock, no goroutine and no lock.
+// A Table isn't safe for concurrent use. It has no clock and no goroutines: the caller passes
+// the time.
 package ggsthrottle
--- a/core/ggsthrottle/share.go
+++ b/core/ggsthrottle/share.go
@@ -10,29 +10,30 @@
 	ggscore "greengageslip/core"
 )
 
-// A share is this VM's part of an endpoint's limit.
+// A share is this VM's share of an endpoint's limit.
 type share struct {
 	valid bool
-	// round numbers the VMs that are entitled one after the other.
-	round     int64
+	// rotation is the number of times that the selection of VMs has changed since the last
+	// answer.
+	rotation  int64
 	perSecond float64
 }
 
-// shareOf returns this VM's part: an equal one for each of as many VMs as the limit has
-// whole requests a second, and none for the others.
-func (t *Table) shareOf(id ggscore.EndpointID, l ggscore.RateLimit, round int64) share {
-	rate := max(l.RequestsPerSecond, leastRate)
+// shareOf returns this VM's share. One VM is selected per whole request per second of the
+// limit, and the selected VMs have equal shares. The share of other VMs is zero.
+func (t *Table) shareOf(id ggscore.EndpointID, l ggscore.RateLimit, rotation int64) share {
+	rate := max(l.RequestsPerSecond, minRate)
 	n := max(min(len(t.vms), int(rate)), 1)
-	s := share{valid: true, round: round}
-	if n == len(t.vms) || slices.Contains(entitled(t.vms, id, round)[:n], t.self) {
+	s := share{valid: true, rotation: rotation}
+	if n == len(t.vms) || slices.Contains(rankedVMs(t.vms, id, rotation)[:n], t.self) {
 		s.perSecond = rate / float64(n)
 	}
 	return s
 }
 
-// entitled returns the VMs by their rank for an endpoint, which is the same at all VMs.
-func entitled(vms []ggscore.VMID, id ggscore.EndpointID, round int64) []ggscore.VMID {
-	prefix := string(id) + " " + strconv.FormatInt(round, 10) + " "
+// rankedVMs returns the VMs by rank for an endpoint. The ranking is the same on all VMs.
+func rankedVMs(vms []ggscore.VMID, id ggscore.EndpointID, rotation int64) []ggscore.VMID {
+	prefix := string(id) + " " + strconv.FormatInt(rotation, 10) + " "
 	ranks := make(map[ggscore.VMID]uint64, len(vms))
 	for _, vm := range vms {
 		ranks[vm] = xxhash.Sum64String(prefix + string(vm))
--- a/core/ggsthrottle/table.go
+++ b/core/ggsthrottle/table.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// gossipFor is the age up to which heartbeats carry what an endpoint said last. It is
-	// longer than any VM goes without a heartbeat, so that no VM brings back a limit that
-	// the others saw lifted.
-	gossipFor = 10 * time.Second
-	// maxGossiped bounds the limits that a heartbeat carries.
+	// gossipMaxAge is the age up to which heartbeats carry the last announcement of an
+	// endpoint. It exceeds the longest time that a VM goes without a heartbeat, so that no VM
+	// reintroduces a limit that others know to be lifted.
+	gossipMaxAge = 10 * time.Second
+	// maxGossiped bounds the number of limits in a heartbeat.
 	maxGossiped = 64
-	// staleAfter is the age of an endpoint's last answer after which other VMs are
-	// entitled to send to it.
-	staleAfter = 5 * time.Second
-	// leastRate keeps a request going now and then to an endpoint that wants none: only
-	// an answer tells that its limit was lifted.
-	leastRate = 0.2
-	// burst is the time in which an unused part adds up, and leastBurst the requests that
-	// it adds up to at least.
-	burst      = 500 * time.Millisecond
-	leastBurst = 1.0
-	// waitElsewhere is the wait where this VM isn't entitled: callers that come back
-	// may reach a VM that is.
-	waitElsewhere = time.Second
+	// rotateAfter is the age of an endpoint's last answer after which other VMs are selected.
+	rotateAfter = 5 * time.Second
+	// minRate, in requests per second, keeps a few requests going to an endpoint that accepts
+	// none. Only an answer can show that the limit was lifted.
+	minRate = 0.2
+	// burstWindow is the time over which unused tokens accumulate, minBurst the least capacity
+	// of a bucket in requests.
+	burstWindow = 500 * time.Millisecond
+	minBurst    = 1.0
+	// unselectedWait is the retry-after time if this VM isn't selected for the endpoint. On a
+	// retry, the caller may reach a VM that is.
+	unselectedWait = time.Second
 )
 
-// A Table holds the limits of endpoints, and this VM's part of them.
+// A Table holds the rate limits of endpoints and this VM's shares of them.
 type Table struct {
 	self      ggscore.VMID
 	vms       []ggscore.VMID
@@ -40,20 +39,21 @@
 var _ ggscore.EndpointThrottle = (*Table)(nil)
 
 type endpoint struct {
-	// limit is nil once answers no longer name one.
+	// limit is nil after answers have stopped announcing one.
 	limit *ggscore.RateLimit
-	// asOf is when the endpoint last said so.
+	// asOf is the time of the last announcement.
 	asOf   time.Time
 	share  share
 	bucket bucket
 }
 
-// NewTable returns a table without limits of a VM that knows no other.
+// NewTable returns a table without limits. The only live VM is self until SetVMs is called.
 func NewTable(self ggscore.VMID) *Table {
 	return &Table{self: self, vms: []ggscore.VMID{self}, endpoints: map[ggscore.EndpointID]*endpoint{}}
 }
 
-// SetVMs takes the live VMs, this one included, in any order.
+// SetVMs sets the live VMs, including this one, in any order. The table keeps and sorts the
+// slice.
 func (t *Table) SetVMs(vms []ggscore.VMID) {
 	slices.Sort(vms)
 	if slices.Equal(t.vms, vms) {
@@ -65,10 +65,10 @@
 	}
 }
 
-// Observe takes what an answer says of the endpoint's limit, nil for none, and reports
-// whether it was named or lifted by this answer. asOf is when the endpoint said so:
-// for a named limit the answer's arrival, for none the request's sending, so that an
-// answer that was begun before the limit doesn't lift it.
+// Observe records the limit that an answer announces, nil for none, and reports whether the
+// endpoint became limited or unlimited. asOf is the time of the announcement: the arrival of
+// the answer for a limit, the sending of the request for none. An answer to a request that was
+// sent before the limit was announced therefore doesn't lift the limit.
 func (t *Table) Observe(now time.Time, id ggscore.EndpointID, limit *ggscore.RateLimit, asOf time.Time) bool {
 	e := t.endpoints[id]
 	if e == nil {
@@ -86,30 +86,31 @@
 	case changed:
 		e.share = share{}
 	case limit != nil && *limit != *e.limit:
-		// What was unused stays: endpoints may name another limit in each answer.
+		// The bucket keeps its tokens: an endpoint may announce a different limit in each
+		// answer.
 		e.share.valid = false
 	}
 	e.limit, e.asOf = limit, asOf
 	return changed
 }
 
-// Learn takes what a peer knows.
+// Learn records the limits known to a peer.
 func (t *Table) Learn(now time.Time, ls []ggscore.EndpointLimit) {
 	for _, l := range ls {
-		if l.Age <= gossipFor {
+		if l.Age <= gossipMaxAge {
 			t.Observe(now, l.Endpoint, l.Limit, now.Add(-l.Age))
 		}
 	}
 }
 
-// Known returns what heartbeats carry: what endpoints said lately of their limits, the newest
-// first.
+// Known returns the announcements that a heartbeat carries: those younger than gossipMaxAge,
+// most recent first, at most maxGossiped.
 func (t *Table) Known(now time.Time) []ggscore.EndpointLimit {
 	var ls []ggscore.EndpointLimit
 	for id, e := range t.endpoints {
 		age := max(now.Sub(e.asOf), 0)
 		switch {
-		case age <= gossipFor:
+		case age <= gossipMaxAge:
 			ls = append(ls, ggscore.EndpointLimit{Endpoint: id, Limit: e.limit, Age: age})
 		case e.limit == nil:
 			delete(t.endpoints, id)
@@ -121,7 +122,7 @@
 	return ls[:min(len(ls), maxGossiped)]
 }
 
-// Limit returns the limit that an endpoint names, nil for none.
+// Limit returns the limit of an endpoint, nil for none.
 func (t *Table) Limit(id ggscore.EndpointID) *ggscore.RateLimit {
 	if e := t.endpoints[id]; e != nil {
 		return e.limit
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// Limited returns the number of endpoints that name a limit.
+// Limited returns the number of endpoints with a limit.
 func (t *Table) Limited() int {
 	n := 0
 	for _, e := range t.endpoints {
@@ -140,48 +141,48 @@
 	return n
 }
 
-// Remove forgets an endpoint.
+// Remove drops the state of an endpoint.
 func (t *Table) Remove(id ggscore.EndpointID) { delete(t.endpoints, id) }
 
 // Allows implements ggscore.EndpointThrottle.
 func (t *Table) Allows(now time.Time, id ggscore.EndpointID) bool {
-	e := t.limited(now, id)
+	e := t.limitedEndpoint(now, id)
 	return e == nil || e.bucket.tokens >= 1
 }
 
 // Wait implements ggscore.EndpointThrottle.
 func (t *Table) Wait(now time.Time, id ggscore.EndpointID) time.Duration {
-	e := t.limited(now, id)
+	e := t.limitedEndpoint(now, id)
 	switch {
 	case e == nil:
 		return 0
 	case e.share.perSecond == 0:
-		return waitElsewhere
+		return unselectedWait
 	}
 	return e.bucket.wait(e.share.perSecond)
 }
 
-// Take takes a request's part of the endpoint's limit, and reports whether this VM had one
-// left.
+// Take takes a token for a request to the endpoint, and reports whether this VM had one left.
+// It is always true for an endpoint without a limit.
 func (t *Table) Take(now time.Time, id ggscore.EndpointID) bool {
-	e := t.limited(now, id)
+	e := t.limitedEndpoint(now, id)
 	if e == nil {
 		return true
 	}
 	return e.bucket.take()
 }
 
-// limited returns the endpoint with its bucket filled, or nil where it names no limit.
-func (t *Table) limited(now time.Time, id ggscore.EndpointID) *endpoint {
+// limitedEndpoint returns the endpoint with its bucket refilled, or nil if it has no limit.
+func (t *Table) limitedEndpoint(now time.Time, id ggscore.EndpointID) *endpoint {
 	e := t.endpoints[id]
 	if e == nil || e.limit == nil {
 		return nil
 	}
-	if round := int64(now.Sub(e.asOf) / staleAfter); !e.share.valid || e.share.round != round {
-		// What was unused adds up by the rate that held until now.
-		e.bucket.fill(now, e.share.perSecond)
-		e.share = t.shareOf(id, *e.limit, round)
+	if rotation := int64(now.Sub(e.asOf) / rotateAfter); !e.share.valid || e.share.rotation != rotation {
+		// Tokens accrue at the rate that applied until now.
+		e.bucket.refill(now, e.share.perSecond)
+		e.share = t.shareOf(id, *e.limit, rotation)
 	}
-	e.bucket.fill(now, e.share.perSecond)
+	e.bucket.refill(now, e.share.perSecond)
 	return e
 }
--- a/core/ggsthrottle/table_test.go
+++ b/core/ggsthrottle/table_test.go
@@ -18,7 +18,7 @@
 	return &ggscore.RateLimit{RequestsPerSecond: perSecond}
 }
 
-func TestLimitHoldsUntilALaterAnswerNamesNone(t *testing.T) {
+func TestLimitAppliesUntilALaterAnswerLiftsIt(t *testing.T) {
 	t.Parallel()
 	type answer struct {
 		limit *ggscore.RateLimit
@@ -28,11 +28,11 @@
 		answers []answer
 		want    *ggscore.RateLimit
 	}{
-		"none named":             {answers: []answer{{nil, 0}}},
-		"named":                  {answers: []answer{{limit(5), 0}}, want: limit(5)},
-		"changed":                {answers: []answer{{limit(5), 0}, {limit(7), time.Second}}, want: limit(7)},
-		"lifted":                 {answers: []answer{{limit(5), 0}, {nil, time.Second}}},
-		"answer begun before it": {answers: []answer{{limit(5), time.Second}, {nil, 0}}, want: limit(5)},
+		"none announced":                {answers: []answer{{nil, 0}}},
+		"announced":                     {answers: []answer{{limit(5), 0}}, want: limit(5)},
+		"changed":                       {answers: []answer{{limit(5), 0}, {limit(7), time.Second}}, want: limit(7)},
+		"lifted":                        {answers: []answer{{limit(5), 0}, {nil, time.Second}}},
+		"request sent before the limit": {answers: []answer{{limit(5), time.Second}, {nil, 0}}, want: limit(5)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
