--- a/core/ggspopularity/demand.go
+++ b/core/ggspopularity/demand.go
@@ -8,83 +8,83 @@
 )
 
 const (
-	// maxAdapters bounds the adapters whose demand is kept: more than a
-	// deployment of 72 runners is asked for within forgetAfter. It is 2 MB.
+	// maxAdapters bounds the adapters whose demand is kept, using 2 MB. A deployment of 72
+	// runners gets requests for fewer adapters within evictAfter.
 	maxAdapters = 16384
-	// forgetAfter is the silence after which an adapter's demand makes room.
-	forgetAfter = 20 * time.Second
-	// usualConstant is the time in which what was seen loses two thirds of its
-	// weight: it tells apart adapters that are asked for every minute.
-	usualConstant = 5 * time.Minute
-	// leastWatch is the time that a usual rate is told by at least: with less, one
-	// request looks like many a second.
-	leastWatch = 4 * time.Second
+	// evictAfter is the idle time after which the demand of an adapter can be evicted.
+	evictAfter = 20 * time.Second
+	// longTermTimeConstant is the time in which past requests lose two thirds of their weight.
+	// It distinguishes the rates of adapters that are requested every minute.
+	longTermTimeConstant = 5 * time.Minute
+	// minObservation is the least time over which a long-term rate is computed. Over a shorter
+	// time, a single request looks like a high rate.
+	minObservation = 4 * time.Second
 )
 
-// A Demand counts the requests for adapters. Its zero value can't be used.
+// A Demand counts the requests for adapters. Its zero value isn't usable: call NewDemand.
 type Demand struct {
-	asked map[ggscore.ModelAdapter]*asked
+	adapters map[ggscore.ModelAdapter]*adapterDemand
 	// since is when the first request was counted.
 	since time.Time
 }
 
-type asked struct {
+type adapterDemand struct {
 	recent Recent
-	// usual is the sum of requests, decayed to the last one.
-	usual float64
+	// longTerm is the decayed sum of requests at the time of the last one.
+	longTerm float64
 }
 
-// NewDemand returns a Demand that has seen no request.
-func NewDemand() *Demand { return &Demand{asked: map[ggscore.ModelAdapter]*asked{}} }
+// NewDemand returns a Demand without requests.
+func NewDemand() *Demand { return &Demand{adapters: map[ggscore.ModelAdapter]*adapterDemand{}} }
 
 // Add counts n requests for an adapter.
 func (d *Demand) Add(now time.Time, a ggscore.ModelAdapter, n int) {
 	if d.since.IsZero() {
 		d.since = now
 	}
-	s := d.asked[a]
+	s := d.adapters[a]
 	if s == nil {
-		s = &asked{}
-		d.asked[a] = s
+		s = &adapterDemand{}
+		d.adapters[a] = s
 	}
-	s.usual = decayed(s.usual, now.Sub(s.recent.Last()), usualConstant) + float64(n)
+	s.longTerm = decayed(s.longTerm, now.Sub(s.recent.Last()), longTermTimeConstant) + float64(n)
 	s.recent.Add(now, n)
-	if len(d.asked) > maxAdapters {
-		d.forget(now)
+	if len(d.adapters) > maxAdapters {
+		d.evictIdle(now)
 	}
 }
 
-// Recent returns an adapter's requests a second over the last seconds: how many
-// copies of it are of use now.
+// Recent returns an adapter's requests per second over the last seconds. It determines how
+// many copies of the adapter are useful now.
 func (d *Demand) Recent(now time.Time, a ggscore.ModelAdapter) float64 {
-	if s := d.asked[a]; s != nil {
+	if s := d.adapters[a]; s != nil {
 		return s.recent.PerSecond(now)
 	}
 	return 0
 }
 
-// Usual returns an adapter's requests a second over minutes: which of two
-// adapters will be missed more. One that was popular and fell silent counts by
-// its silence.
+// Usual returns an adapter's requests per second over the last minutes. It determines which of
+// two adapters would be missed more if evicted. The time since the last request bounds the
+// rate of an adapter that was popular before.
 func (d *Demand) Usual(now time.Time, a ggscore.ModelAdapter) float64 {
-	s := d.asked[a]
+	s := d.adapters[a]
 	if s == nil {
 		return 0
 	}
-	silence := now.Sub(s.recent.Last())
-	watched := max(now.Sub(d.since), leastWatch)
-	span := usualConstant.Seconds() * -math.Expm1(-float64(watched)/float64(usualConstant))
-	rate := decayed(s.usual, silence, usualConstant) / span
-	if silence > 0 {
-		rate = min(rate, silenceArrivals/silence.Seconds())
+	idle := now.Sub(s.recent.Last())
+	observed := max(now.Sub(d.since), minObservation)
+	span := longTermTimeConstant.Seconds() * -math.Expm1(-float64(observed)/float64(longTermTimeConstant))
+	rate := decayed(s.longTerm, idle, longTermTimeConstant) / span
+	if idle > 0 {
+		rate = min(rate, idleArrivals/idle.Seconds())
 	}
 	return rate
 }
 
-func (d *Demand) forget(now time.Time) {
-	for a, s := range d.asked {
-		if now.Sub(s.recent.Last()) > forgetAfter {
-			delete(d.asked, a)
+func (d *Demand) evictIdle(now time.Time) {
+	for a, s := range d.adapters {
+		if now.Sub(s.recent.Last()) > evictAfter {
+			delete(d.adapters, a)
 		}
 	}
 }
--- a/core/ggspopularity/drift.go
+++ b/core/ggspopularity/drift.go
@@ -3,46 +3,44 @@
 import "time"
 
 const (
-	// driftFast and driftSlow are the numbers of arrivals over which the two
-	// fractions of surprises are averaged.
+	// driftFast and driftSlow are the window lengths, in arrivals, of the two averages of the
+	// fraction of surprises.
 	driftFast = 24
 	driftSlow = 2000
-	// driftRise is a rise of the fraction that chance doesn't explain: it is
-	// four standard deviations of the fast average.
-	driftRise = 0.3
-	// driftPause is the least number of arrivals between two shifts.
-	driftPause = 200
+	// driftThreshold is the rise of the fraction that counts as a shift: four standard
+	// deviations of the fast average.
+	driftThreshold = 0.3
+	// driftMinInterval is the least number of arrivals between two shifts.
+	driftMinInterval = 200
 )
 
-// A Drift notices that popularity has shifted: suddenly many more arrivals than
-// usual are of adapters that were thought to be rare. What was learnt before is
-// then worth nothing, and keeping it would let the new favourites, each with few
-// arrivals yet, be evicted one after the other in favour of the old ones. A
-// restart of a runner is no surprise, since its adapters are known to be
-// popular.
+// A Drift detects a shift of popularity: a sudden rise in the fraction of arrivals for
+// adapters that were considered rare. Rates from before the shift are then misleading. If they
+// were kept, newly popular adapters, which have few arrivals yet, would be evicted one after
+// the other in favour of formerly popular ones. A restart of a runner isn't a shift, because
+// its adapters are already known to be popular.
 type Drift struct {
 	fast, slow float64
-	seen       int
+	arrivals   int
 	since      time.Time
 }
 
-// Observe counts an arrival, a surprise being one of an adapter that was
-// thought to be rarer than those that are evicted. It reports whether
-// popularity has shifted.
+// Observe counts an arrival and reports whether popularity has shifted. A surprise is an
+// arrival for an adapter that was considered rarer than those being evicted.
 func (d *Drift) Observe(now time.Time, surprise bool) bool {
 	x := 0.0
 	if surprise {
 		x = 1
 	}
-	d.seen++
-	d.fast += (x - d.fast) / float64(min(d.seen, driftFast))
-	d.slow += (x - d.slow) / float64(min(d.seen, driftSlow))
-	if d.seen < driftPause || d.fast-d.slow < driftRise {
+	d.arrivals++
+	d.fast += (x - d.fast) / float64(min(d.arrivals, driftFast))
+	d.slow += (x - d.slow) / float64(min(d.arrivals, driftSlow))
+	if d.arrivals < driftMinInterval || d.fast-d.slow < driftThreshold {
 		return false
 	}
 	*d = Drift{since: now}
 	return true
 }
 
-// Since returns when popularity shifted last. Arrivals before say nothing.
+// Since returns the time of the last shift. Arrivals before it have to be ignored.
 func (d *Drift) Since() time.Time { return d.since }
--- a/core/ggspopularity/rate_test.go
+++ b/core/ggspopularity/rate_test.go
@@ -15,7 +15,7 @@
 	for name, tc := range map[string]struct {
 		every      time.Duration
 		n          int
-		silence    time.Duration
+		idle       time.Duration
 		least, max float64
 	}{
 		"never":                     {time.Second, 0, 0, 0, 0},
@@ -23,7 +23,7 @@
 		"two close together":        {time.Millisecond, 2, time.Second, 0.002, 0.005},
 		"ten a second for a minute": {100 * time.Millisecond, 600, 0, 8, 12},
 		"one a minute for an hour":  {time.Minute, 60, 0, 0.012, 0.025},
-		"fell silent":               {100 * time.Millisecond, 600, 5 * time.Minute, 0, 0.011},
+		"idle after high rate":      {100 * time.Millisecond, 600, 5 * time.Minute, 0, 0.011},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -34,16 +34,16 @@
 				now = now.Add(tc.every)
 				m.Add(now, time.Time{})
 			}
-			r := m.PerSecond(now.Add(tc.silence), time.Time{})
-			c.Assert(r >= tc.least && r <= tc.max, qt.IsTrue, qt.Commentf("%v a second", r))
+			r := m.PerSecond(now.Add(tc.idle), time.Time{})
+			c.Assert(r >= tc.least && r <= tc.max, qt.IsTrue, qt.Commentf("%v per second", r))
 		})
 	}
 }
 
-// Popularity shifts without warning: yesterday's rare adapters become tonight's
-// busiest. While the old favourites are still thought to be popular, the new
-// ones are evicted one after the other, and every caller waits for a load.
-func TestShiftForgetsOldFavourites(t *testing.T) {
+// Guards against stale rates after a sudden shift of popularity. While formerly popular
+// adapters keep their rates, newly popular ones are evicted one after the other, and every
+// caller waits for a load.
+func TestShiftDiscardsOldRates(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	var d ggspopularity.Drift
@@ -71,28 +71,28 @@
 	}
 }
 
-// Adapters that are asked for every few seconds looked like those that are asked
-// for once: after four seconds of silence both were forgotten.
-func TestDemandTellsQuietAdaptersApart(t *testing.T) {
+// Guards against rating an adapter that is requested every few seconds like one that was
+// requested once: the rates of both fell to zero after 4 s without a request.
+func TestDemandDistinguishesLowRates(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := ggspopularity.NewDemand()
 	now := time.Unix(1_800_000_000, 0)
-	quiet, once, fallen := ggscore.ModelAdapter{Adapter: "quiet"}, ggscore.ModelAdapter{Adapter: "once"}, ggscore.ModelAdapter{Adapter: "fallen"}
+	frequent, once, formerlyPopular := ggscore.ModelAdapter{Adapter: "frequent"}, ggscore.ModelAdapter{Adapter: "once"}, ggscore.ModelAdapter{Adapter: "formerly popular"}
 	for i := range 60 {
 		now = now.Add(time.Second)
 		if i%6 == 0 {
-			d.Add(now, quiet, 1)
+			d.Add(now, frequent, 1)
 		}
 		if i < 30 {
-			d.Add(now, fallen, 4)
+			d.Add(now, formerlyPopular, 4)
 		}
 	}
 	d.Add(now, once, 1)
 	now = now.Add(5 * time.Second)
-	c.Assert(d.Usual(now, quiet) > 2*d.Usual(now, once), qt.IsTrue)
-	c.Assert(d.Usual(now, quiet) > 0.1 && d.Usual(now, quiet) < 0.2, qt.IsTrue, qt.Commentf("%v", d.Usual(now, quiet)))
-	c.Assert(d.Usual(now, fallen) < 0.1, qt.IsTrue, qt.Commentf("%v", d.Usual(now, fallen)))
-	c.Assert(d.Recent(now, quiet) < 0.2, qt.IsTrue)
+	c.Assert(d.Usual(now, frequent) > 2*d.Usual(now, once), qt.IsTrue)
+	c.Assert(d.Usual(now, frequent) > 0.1 && d.Usual(now, frequent) < 0.2, qt.IsTrue, qt.Commentf("%v", d.Usual(now, frequent)))
+	c.Assert(d.Usual(now, formerlyPopular) < 0.1, qt.IsTrue, qt.Commentf("%v", d.Usual(now, formerlyPopular)))
+	c.Assert(d.Recent(now, frequent) < 0.2, qt.IsTrue)
 	c.Assert(d.Usual(now, ggscore.ModelAdapter{Adapter: "never"}), qt.Equals, 0.0)
 }
