--- a/core/ggsfleet/fleet.go
+++ b/core/ggsfleet/fleet.go
@@ -1,12 +1,12 @@
-// Package ggsfleet tells which endpoints and dispatchers there are, from the
-// platform's lagging list of VMs and the document in force.
+// Package ggsfleet derives the endpoints and dispatchers from the platform's list of VMs and
+// the current configuration document. The list of VMs can lag behind the actual state.
 //
 // # Usage
 //
 //	es := ggsfleet.Endpoints(vms, document, domain)
 //	ds := ggsfleet.Dispatchers(vms)
 //
-// The package is pure: it holds nothing.
+// The functions have no state and no side effects, and are safe for concurrent use.
 package ggsfleet
 
 import (
@@ -16,7 +16,7 @@
 	ggscore "greengageslip/core"
 )
 
-// Dispatchers returns the entry VMs, ordered by id.
+// Dispatchers returns the VMs with the entry role, ordered by ID.
 func Dispatchers(vms []ggscore.VM) []ggscore.VM {
 	ds := make([]ggscore.VM, 0, len(vms))
 	for i := range vms {
@@ -28,8 +28,8 @@
 	return ds
 }
 
-// Endpoints returns the endpoints of one failure domain, ordered by id. An
-// endpoint whose service the document doesn't describe is left out.
+// Endpoints returns the endpoints of one failure domain, ordered by ID. It omits endpoints
+// whose service isn't in the document.
 func Endpoints(vms []ggscore.VM, d *ggscore.Document, domain ggscore.Domain) []ggscore.Endpoint {
 	es := make([]ggscore.Endpoint, 0, len(vms))
 	for i := range vms {
--- a/core/ggsfleet/fleet_test.go
+++ b/core/ggsfleet/fleet_test.go
@@ -24,9 +24,9 @@
 		vms  []ggscore.VM
 		want []ggscore.Endpoint
 	}{
-		"entry VMs serve nothing":    {vms: []ggscore.VM{vm("e", ggscore.RoleEntry, ggscore.VMLive, "a", "")}},
-		"other domains are left out": {vms: []ggscore.VM{vm("x", ggscore.RoleEndpoint, ggscore.VMLive, "b", "assist")}},
-		"an undescribed service":     {vms: []ggscore.VM{vm("x", ggscore.RoleEndpoint, ggscore.VMLive, "a", "none")}},
+		"entry VMs are not endpoints": {vms: []ggscore.VM{vm("e", ggscore.RoleEntry, ggscore.VMLive, "a", "")}},
+		"other domains are omitted":   {vms: []ggscore.VM{vm("x", ggscore.RoleEndpoint, ggscore.VMLive, "b", "assist")}},
+		"unknown service":             {vms: []ggscore.VM{vm("x", ggscore.RoleEndpoint, ggscore.VMLive, "a", "none")}},
 		"ordered, with leaving": {
 			vms: []ggscore.VM{
 				vm("y", ggscore.RoleEndpoint, ggscore.VMLeaving, "a", "assist"),
