--- a/core/ggsplace/load_test.go
+++ b/core/ggsplace/load_test.go
@@ -294,10 +294,10 @@
 	for name, tc := range map[string]struct {
 		load peakLoad
 		// Upper bounds in percent of the requests. Under the highest load 2.0% are late; 4.4% are
-		// late and 2.4% refused if an adapter keeps its slot for 350 ms after each use, and 6.1% are
-		// late if adapters are loaded in the order of their first request. With a store of six loads
-		// at full speed for twelve runners, 21% are refused and 29% loaded if requests are rerouted
-		// after 0.9 s; none and 20% if they wait for LoadWait.
+		// late and 2.4% refused if an adapter keeps its slot for 350 ms after each use, and 6.1%
+		// are late if adapters are loaded in the order of their first request. With a store of
+		// six loads at full speed for twelve runners, 21% are refused and 29% loaded if requests
+		// are rerouted after 0.9 s; none and 20% if they wait for LoadWait.
 		late, refused, loaded, blocked float64
 	}{
 		"260 requests/s":          {peakLoad{perSecond: 260, skew: 1.2, length: long}, 0.4, 0, 15.5, 0.2},
