--- a/core/ggsplace/choose.go
+++ b/core/ggsplace/choose.go
@@ -23,16 +23,16 @@
 	// adapter can't be in the memory of that runner, and loading it evicts another adapter.
 	// The cost equals the delay of about 30 more requests in flight.
 	costNotHome = 400 * time.Millisecond
-	// costQueuedLoad is added for each adapter that is queued for loading before this one. A runner
-	// loads four at once, in 250 ms.
+	// costQueuedLoad is added for each adapter that is queued for loading before this one. A
+	// runner loads four at once, in 250 ms.
 	costQueuedLoad = costLoad / 4
 	// costSlotWait is added for each queued adapter for which no adapter slot is free. A busy
 	// runner's 18 slots are held by streams of 1.1 s on average, some slots by several
 	// streams.
 	costSlotWait = 80 * time.Millisecond
-	// costExtraCopy is added for a load of an adapter that already has enough resident copies. The
-	// load evicts another adapter, whose next request then waits for a load. The cost exceeds
-	// that of crossing regions and of the extra load of a crowded runner.
+	// costExtraCopy is added for a load of an adapter that already has enough resident copies.
+	// The load evicts another adapter, whose next request then waits for a load. The cost exceeds
+	// that of crossing regions plus that of sending to a busier runner.
 	costExtraCopy = 200 * time.Millisecond
 	// costRegion covers a round trip to another region and the price of the bytes transferred.
 	costRegion = 40 * time.Millisecond
@@ -43,14 +43,14 @@
 	// usualFailures is the fraction that fails at healthy endpoints: a twentieth of a ledger's
 	// requests look up records that don't exist.
 	usualFailures = 0.08
-	// failurePriorRate, in requests per second, is added to the rate of ended requests, so that a
-	// single failure after an idle time has little weight.
+	// failurePriorRate, in requests per second, is added to the rate of ended requests, so that
+	// a single failure after an idle time has little weight.
 	failurePriorRate = 0.5
 	// costPlainRequest is the service time of a plain service's request.
 	costPlainRequest = 16 * time.Millisecond
-	// summedQueueDivisor divides the queueing delay at plain endpoints where peers' counts come as
-	// a sum. The sums are older than requests last. VMs that follow the sums closely all
-	// choose the same endpoint until the next summary.
+	// summedQueueDivisor divides the queueing delay at plain endpoints if peers' counts come as
+	// a sum. The age of a sum exceeds the duration of a request. VMs that follow the sums
+	// closely all choose the same endpoint until the next summary.
 	summedQueueDivisor = 10
 	// summedJitter spreads the choices of VMs that read the same summary. It is less than
 	// costRegion.
@@ -205,8 +205,8 @@
 	return c + costInFlight*time.Duration(n)
 }
 
-// untilPrefilled returns the delay until the endpoint has prefilled the request's prompt. Prompts
-// that are queued before it are prefilled during the load.
+// untilPrefilled returns the delay until the endpoint has prefilled the request's prompt. While
+// the adapter is loaded, the endpoint prefills the prompts that are queued before.
 func (t *Table) untilPrefilled(now time.Time, e *endpoint, q *Query, load time.Duration) time.Duration {
 	if q.Engine == nil || t.options.Turns == nil || !t.options.Policy.On(ggscore.MechanismTurns) {
 		return load
@@ -231,8 +231,8 @@
 	return &RefusedError{Ready: ready, RetryAfter: wait}
 }
 
-// untilAccepted returns the time until the first endpoint of the service accepts a request of this
-// VM, by its rate limit and by the pause that it requested.
+// untilAccepted returns the time until the first endpoint of the service accepts a request of
+// this VM, given the rate limits and the pauses that endpoints requested.
 func (t *Table) untilAccepted(now time.Time, q Query) time.Duration {
 	least, found := time.Duration(0), false
 	for _, e := range t.services[q.Service] {
--- a/core/ggsplace/flights.go
+++ b/core/ggsplace/flights.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// dropExpiredPeers drops the reports of peers that are older than peerMaxAge. It scans at most once
-// per peerMaxAge.
+// dropExpiredPeers drops the peers' reports that are older than peerMaxAge. It scans at most
+// once per peerMaxAge.
 func (t *Table) dropExpiredPeers(now time.Time) {
 	if now.Sub(t.lastPeerScan) < peerMaxAge {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// inFlight returns the peers' total of requests in flight at an endpoint.
+// peersInFlight returns the peers' total of requests in flight at an endpoint.
 func (t *Table) peersInFlight(id ggscore.EndpointID) int {
 	n := 0
 	for _, p := range t.peers {
--- a/core/ggsplace/pause.go
+++ b/core/ggsplace/pause.go
@@ -6,8 +6,8 @@
 	ggscore "greengageslip/core"
 )
 
-// maxPause bounds the pause that an endpoint can request. A longer pause is taken for an
-// error, which must not exclude the endpoint for good.
+// maxPause bounds the pause that an endpoint can request. A longer pause is treated
+// as an error and shortened, so that the endpoint is not excluded for good.
 const maxPause = 10 * time.Minute
 
 // Pause records that an endpoint requested a pause in the requests of this VM.
--- a/core/ggsplace/warm.go
+++ b/core/ggsplace/warm.go
@@ -52,7 +52,7 @@
 //
 // A new runner becomes the home of a fraction of the adapters. Loading these there took a
 // third of the weight store's capacity on days with frequent runner changes, although other
-// runners still had them in memory.
+// runners still had them in memory. A warm runner therefore costs less than a home.
 func (t *Table) loadCost(e *endpoint, q *Query, home bool) time.Duration {
 	wait := max(costQueuedLoad*time.Duration(e.waiting), costSlotWait*time.Duration(e.waiting+1-e.freeSlots))
 	switch {
--- a/core/ggsthrottle/share_test.go
+++ b/core/ggsthrottle/share_test.go
@@ -96,7 +96,7 @@
 // maxArrivals returns the highest number of arrivals in any window that begins at or after
 // from.
 func (c *loadSim) maxArrivals(from time.Duration) int {
-	most := 0
+	maxArrivals := 0
 	for i, first := range c.arrivals {
 		n := 0
 		for _, a := range c.arrivals[i:] {
@@ -105,10 +105,10 @@
 			}
 		}
 		if first >= from {
-			most = max(most, n)
+			maxArrivals = max(maxArrivals, n)
 		}
 	}
-	return most
+	return maxArrivals
 }
 
 // arrivalRate returns the arrivals per second between two times.
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -56,16 +56,15 @@
 	// mode, decayed to the time at.
 	streams, degraded float64
 	at                time.Time
-	// enforced reports whether prompts wait for their turns, since the time of the last
-	// change.
+	// enforced reports whether turns are enforced. since is the time of the last change.
 	enforced bool
 	since    time.Time
 	// baseline is the degraded fraction when enforcement began.
 	baseline float64
 	// observeAllUntil is the time until which all endpoints are observed.
 	observeAllUntil time.Time
-	// suspendFor is how long turns aren't enforced after the last failed trial, which ends at
-	// suspendedUntil.
+	// suspendFor is how long turns aren't enforced after the last failed trial. suspendedUntil
+	// is the end of that time.
 	suspendFor     time.Duration
 	suspendedUntil time.Time
 }
--- a/core/ggsturn/samples.go
+++ b/core/ggsturn/samples.go
@@ -12,13 +12,13 @@
 // heartbeats.
 const maxUnreported = 16
 
-// LearnFirst adds a first-piece sample of a peer. A single VM gets a usable sample only every
-// second or two.
+// LearnFirst adds a first-piece sample of this VM or a peer. A single VM gets a usable sample
+// only every second or two.
 func (t *Table) LearnFirst(p ggscore.TurnSample) {
 	t.service(p.Service).speed.add(firstPiece{tokens: p.Tokens, took: p.Took})
 }
 
-// LearnTally adds stream counts of a peer.
+// LearnTally adds stream counts of this VM or a peer.
 func (t *Table) LearnTally(now time.Time, n ggscore.TurnTally) {
 	p := &t.service(n.Service).mode
 	p.addTally(now, n.Streams, n.Hurt)
--- a/core/ggsturn/speed.go
+++ b/core/ggsturn/speed.go
@@ -11,8 +11,9 @@
 
 const (
 	// defaultPerToken is the prefill time per token before any sample: 20 tokens per ms,
-	// typical of large models on two accelerators. With half of it, streams have gaps for the
-	// first second. With twice of it, callers wait for turns although the endpoint is idle.
+	// typical of large models on two accelerators. With half this time, streams have gaps for
+	// the first second. With twice this time, callers wait for turns although the endpoint is
+	// idle.
 	defaultPerToken = time.Second / 20000
 	// minPerToken and maxPerToken bound the learned prefill time per token.
 	minPerToken = time.Second / 400000
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -32,8 +32,8 @@
 //
 // There is no central scheduler. A VM takes the next turn that is free in its own view and
 // announces the turn to its peers at once. Two VMs can take the same turn within the
-// propagation delay of a datagram. Their prompts then run together, for which the bound leaves
-// room. A VM that receives nothing from its peers continues with its own view.
+// propagation delay of a datagram. Their prompts are then prefilled together, for which the
+// bound leaves room. A VM that receives nothing from its peers continues with its own view.
 //
 // A Table isn't safe for concurrent use. It has no clock and no goroutines: the caller passes
 // the time.
@@ -79,7 +79,7 @@
 	observed map[ggscore.EndpointID]bool
 }
 
-// A queue holds an endpoint's turns, ordered by their begin.
+// A queue holds an endpoint's turns, ordered by start time.
 type queue struct {
 	turns []ggscore.PromptTurn
 	// idleAt is when the endpoint is expected to have prefilled all prompts.
@@ -88,7 +88,7 @@
 	slowness float64
 }
 
-// turnRetention is how long a turn is kept after its begin. The slowest engines, at 10 tokens
+// turnRetention is how long a turn is kept after its start. The slowest engines, at 10 tokens
 // per ms, prefill a prompt of 10,000 tokens in less.
 const turnRetention = 2 * time.Second
 
@@ -206,7 +206,7 @@
 	}
 }
 
-// earliestBegin returns the earliest begin of a turn with the given prefill time. Turns begin
+// earliestBegin returns the earliest start of a turn with the given prefill time. Turns begin
 // in the order in which they were taken. Otherwise a long prompt would starve, overtaken by
 // short ones.
 func (t *Table) earliestBegin(now time.Time, v *service, q *queue, prefill time.Duration) time.Time {
