--- a/core/ggsrelay/node.go
+++ b/core/ggsrelay/node.go
@@ -8,69 +8,72 @@
 )
 
 const (
-	// largeFleet is the number of VMs from which heartbeats go through relays. Below it
-	// they go to each VM, which takes no longer than the way of a datagram.
-	largeFleet = 25
+	// relayThresholdVMs is the least number of VMs at which heartbeats go through relays. In a
+	// smaller deployment each heartbeat goes directly to every VM, with the delay of one
+	// datagram.
+	relayThresholdVMs = 25
 	// ReportInterval is the time between heartbeats to relays.
 	ReportInterval = 100 * time.Millisecond
 	// RelayInterval is the time between summaries of a relay.
 	RelayInterval = 150 * time.Millisecond
-	// NewsDelay is the time that what VMs tell takes through relays beyond that of a
+	// NewsDelay is the time that a state takes through relays, beyond the delay of a
 	// heartbeat that is sent directly.
 	NewsDelay = 300 * time.Millisecond
-	// liveEvery is the number of summaries after which the live VMs are told.
-	liveEvery = 2
-	// ownSettle is the time from which a relay's sum of its domain is whole, since it became
-	// one or was suspended: its VMs have found the one before silent. The other domains'
-	// relays have done so after fleetSettle.
-	ownSettle   = 500 * time.Millisecond
-	fleetSettle = farSilence + 4*RelayInterval
-	// settledAge is the age of the last whole counts from which others are better than none.
-	settledAge = 700 * time.Millisecond
-	// keptReports is the number of own heartbeats that are kept: those that a summary in
-	// use may count.
-	keptReports = 24
+	// liveListPeriod is the number of summaries of which one lists the live VMs.
+	liveListPeriod = 2
+	// domainSettleTime is the time after which a relay's sum of its domain is complete,
+	// counted from when the VM became a relay or resumed: by then the VMs of the domain have
+	// detected that the previous relay failed. fleetSettleTime is the time after which the
+	// relays of the other domains have detected that failure too.
+	domainSettleTime = 500 * time.Millisecond
+	fleetSettleTime  = remoteRelayTimeout + 4*RelayInterval
+	// maxSettledAge is the age of the last complete counts beyond which incomplete counts
+	// are used.
+	maxSettledAge = 700 * time.Millisecond
+	// sentHistory is the number of this VM's last heartbeats that are kept, which are those
+	// that a current summary may include.
+	sentHistory = 24
 )
 
-// An Options sets a Node.
+// Options configures a Node.
 type Options struct {
 	Self Member
-	// Started is the start of the process.
+	// Started is the start time of the process. A later process of a VM has a greater one.
 	Started int64
 }
 
-// A Node is a VM in the exchange of heartbeats and summaries.
+// A Node is one VM's state in the exchange of heartbeats and summaries.
 type Node struct {
-	options  Options
-	members  map[ggscore.VMID]Member
-	hashes   map[ggscore.VMHash]ggscore.VMID
-	choosers map[ggscore.Domain]*chooser
-	table    *table
-	sequence uint64
-	// relays are the last sequences of the relays whose summaries arrived.
-	relays map[ggscore.VMID]sequence
-	// ticked is when this relay sent summaries last, since when it has done so without a
-	// pause.
-	ticked time.Time
-	since  time.Time
-	// settled is when whole counts arrived last.
-	settled time.Time
-	// sent are the own heartbeats by sequence, modulo keptReports.
-	sent [keptReports]ggscore.Heartbeat
+	options   Options
+	members   map[ggscore.VMID]Member
+	hashes    map[ggscore.VMHash]ggscore.VMID
+	selectors map[ggscore.Domain]*relaySelector
+	table     *table
+	sequence  uint64
+	// lastSequences holds the sequence of the last summary from each relay of the domain.
+	lastSequences map[ggscore.VMID]sequence
+	// lastTick is when this relay last sent summaries. activeSince is when it began to send
+	// them without a pause.
+	lastTick    time.Time
+	activeSince time.Time
+	// lastSettled is when complete counts last arrived.
+	lastSettled time.Time
+	// sent holds this VM's last heartbeats, indexed by sequence modulo sentHistory.
+	sent [sentHistory]ggscore.Heartbeat
 }
 
-// A Message is a summary to be sent.
+// A Message is a summary and the VMs to send it to.
 type Message struct {
 	To      []ggscore.VMID
 	Summary ggscore.Summary
 }
 
-// A View is what a VM is to go by.
+// A View is the state of the deployment that a VM applies.
 type View struct {
 	ggscore.Summary
-	// VMs are the other VMs that were told to be live.
+	// VMs are the other VMs that the summary lists as live.
 	VMs []ggscore.VMID
-	// Counts says that the requests in flight are to be taken.
+	// Counts reports whether the counts of requests in flight may be used.
 	Counts bool
 }
 
@@ -78,13 +81,13 @@
 func NewNode(o Options) *Node {
 	n := &Node{
 		options: o, members: map[ggscore.VMID]Member{}, hashes: map[ggscore.VMHash]ggscore.VMID{},
-		choosers: map[ggscore.Domain]*chooser{}, table: newTable(), relays: map[ggscore.VMID]sequence{},
+		selectors: map[ggscore.Domain]*relaySelector{}, table: newTable(), lastSequences: map[ggscore.VMID]sequence{},
 	}
 	n.SetMembers(nil)
 	return n
 }
 
-// SetMembers takes the other VMs.
+// SetMembers replaces the set of other VMs.
 func (n *Node) SetMembers(ms []Member) {
 	n.members = map[ggscore.VMID]Member{n.options.Self.VM: n.options.Self}
 	for _, m := range ms {
@@ -97,35 +100,35 @@
 		domains[m.Domain] = append(domains[m.Domain], m)
 	}
 	for d, ms := range domains {
-		if n.choosers[d] == nil {
-			silence := farSilence
+		if n.selectors[d] == nil {
+			timeout := remoteRelayTimeout
 			if d == n.options.Self.Domain {
-				silence = relaySilence
+				timeout = localRelayTimeout
 			}
-			n.choosers[d] = newChooser(n.options.Self.VM, silence)
+			n.selectors[d] = newRelaySelector(n.options.Self.VM, timeout)
 		}
-		n.choosers[d].ranked = rank(ms)
+		n.selectors[d].candidates = rank(ms)
 	}
-	for d := range n.choosers {
+	for d := range n.selectors {
 		if domains[d] == nil {
-			delete(n.choosers, d)
+			delete(n.selectors, d)
 		}
 	}
 }
 
 // Large reports whether heartbeats go through relays.
-func (n *Node) Large() bool { return len(n.members) >= largeFleet }
+func (n *Node) Large() bool { return len(n.members) >= relayThresholdVMs }
 
-// Relays returns the relays of the own domain.
+// Relays returns the relays of this VM's domain.
 func (n *Node) Relays(now time.Time) []ggscore.VMID {
-	return n.choosers[n.options.Self.Domain].relays(now)
+	return n.selectors[n.options.Self.Domain].relays(now)
 }
 
 // AllRelays returns the relays of all domains.
 func (n *Node) AllRelays(now time.Time) []ggscore.VMID {
 	var vms []ggscore.VMID
-	for _, c := range n.choosers {
-		vms = append(vms, c.relays(now)...)
+	for _, r := range n.selectors {
+		vms = append(vms, r.relays(now)...)
 	}
 	return vms
 }
@@ -133,20 +136,20 @@
 // Relay reports whether this VM is a relay.
 func (n *Node) Relay(now time.Time) bool { return slices.Contains(n.Relays(now), n.options.Self.VM) }
 
-// Report takes this VM's next heartbeat and returns the relay that carries what it tells
-// once, and the VMs that it is sent to.
+// Report records this VM's next heartbeat. It returns the relay that forwards the increments
+// in the heartbeat, and the VMs to send the heartbeat to.
 func (n *Node) Report(now time.Time, h ggscore.Heartbeat) (carrier ggscore.VMID, to []ggscore.VMID) {
 	vms := n.Relays(now)
 	if len(vms) == 0 {
 		return "", nil
 	}
 	h.Carrier = vms[h.Sequence%uint64(len(vms))]
-	n.sent[h.Sequence%keptReports] = h
+	n.sent[h.Sequence%sentHistory] = h
 	n.table.heartbeat(now, n.options.Self.VM, h)
 	return h.Carrier, slices.DeleteFunc(vms, func(vm ggscore.VMID) bool { return vm == n.options.Self.VM })
 }
 
-// Heartbeat takes the heartbeat of another VM of the domain.
+// Heartbeat records the heartbeat of another VM of this VM's domain.
 func (n *Node) Heartbeat(now time.Time, h ggscore.Heartbeat) {
 	m, ok := n.members[h.VM]
 	if !ok || m.Domain != n.options.Self.Domain || h.VM == n.options.Self.VM {
@@ -155,8 +158,8 @@
 	n.table.heartbeat(now, n.options.Self.VM, h)
 }
 
-// Summary takes a relay's summary. It returns what is to be applied by this VM: the sum
-// over all domains without this VM's own requests.
+// Summary processes a relay's summary. It returns the view for this VM to apply, which is
+// the sum over all domains without this VM's own requests, and false if there is none.
 func (n *Node) Summary(now time.Time, s ggscore.Summary) (View, bool) {
 	m, ok := n.members[s.From]
 	if !ok || m.Domain != s.Domain || s.From == n.options.Self.VM {
@@ -168,23 +171,24 @@
 	}
 	if !own {
 		if n.table.summary(now, s) {
-			n.choosers[s.Domain].observe(now, s.From)
+			n.selectors[s.Domain].recordSummary(now, s.From)
 		}
 		return View{}, false
 	}
 	q := sequence{s.Started, s.Sequence}
-	if !q.after(n.relays[s.From]) {
+	if !q.after(n.lastSequences[s.From]) {
 		return View{}, false
 	}
-	n.relays[s.From] = q
-	n.choosers[s.Domain].observe(now, s.From)
+	n.lastSequences[s.From] = q
+	n.selectors[s.Domain].recordSummary(now, s.From)
 	return n.view(now, s)
 }
 
-// view takes this VM's own requests off a summary. One that doesn't count them is of a
-// relay that doesn't receive this VM's heartbeats, and whose counts aren't whole.
+// view subtracts this VM's own requests from a summary. A summary that doesn't include this
+// VM comes from a relay that doesn't receive its heartbeats, so the counts are incomplete and
+// the summary is rejected.
 func (n *Node) view(now time.Time, s ggscore.Summary) (View, bool) {
-	v := View{Summary: s, Counts: !s.Settling || now.Sub(n.settled) > settledAge}
+	v := View{Summary: s, Counts: !s.Settling || now.Sub(n.lastSettled) > maxSettledAge}
 	self := Hash(n.options.Self.VM)
 	i := slices.IndexFunc(s.Included, func(h ggscore.IncludedHeartbeat) bool { return h.VM == self })
 	if i < 0 {
@@ -196,9 +200,9 @@
 		}
 	}
 	if !s.Settling {
-		n.settled = now
+		n.lastSettled = now
 	}
-	own := n.sent[s.Included[i].Sequence%keptReports]
+	own := n.sent[s.Included[i].Sequence%sentHistory]
 	if own.Sequence != s.Included[i].Sequence {
 		return v, true
 	}
@@ -213,23 +217,23 @@
 	return v, true
 }
 
-// Tick returns the summaries that a relay sends now, and the one that it applies itself.
-// The function returns the domain of the VM that controls an endpoint: only there it is
-// wanted who uses its adapters.
+// Tick returns the summaries that a relay sends now, and the view that the relay applies
+// itself; ok is false if there is no such view. controller returns the domain of the VM that
+// controls an endpoint: uses of the endpoint's adapters are sent only to that domain.
 func (n *Node) Tick(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) (ms []Message, own View, ok bool) {
 	if !n.Relay(now) {
 		return nil, View{}, false
 	}
-	if now.Sub(n.ticked) > 2*RelayInterval {
-		n.since = now
+	if now.Sub(n.lastTick) > 2*RelayInterval {
+		n.activeSince = now
 	}
-	n.ticked = now
-	n.table.forget(now)
+	n.lastTick = now
+	n.table.expire(now)
 	n.sequence++
-	if now.Sub(n.since) >= ownSettle {
-		ms = n.exchange(now, controller)
+	if now.Sub(n.activeSince) >= domainSettleTime {
+		ms = n.domainSummaries(now, controller)
 	}
-	s := n.fleet(now, controller)
+	s := n.fleetSummary(now, controller)
 	var to []ggscore.VMID
 	for vm, m := range n.members {
 		if m.Domain == n.options.Self.Domain && vm != n.options.Self.VM {
@@ -242,26 +246,26 @@
 	return ms, own, ok
 }
 
-// exchange returns the summaries of the own domain for the others, each for one of the
-// other domain's relays in turn.
-func (n *Node) exchange(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) []Message {
-	s := n.table.head(now)
-	n.seal(&s)
-	sortHead(&s)
-	sum := n.table.ownSum()
-	n.table.own.take(&s, sum.counts, sum.active)
+// domainSummaries returns the summaries of this VM's domain for the other domains. Each goes
+// to one relay of the other domain, and the relays alternate.
+func (n *Node) domainSummaries(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) []Message {
+	s := n.table.stateSummary(now)
+	n.setHeader(&s)
+	sortState(&s)
+	totals := n.table.domainTotals()
+	n.table.domainPending.drain(&s, totals.counts, totals.active)
 	var ms []Message
-	for d, c := range n.choosers {
+	for d, r := range n.selectors {
 		if d == n.options.Self.Domain {
 			continue
 		}
-		vms := c.relays(now)
+		vms := r.relays(now)
 		if len(vms) == 0 {
 			continue
 		}
 		to := []ggscore.VMID{vms[n.sequence%uint64(len(vms))]}
-		if n.sequence%probeEvery == 0 {
-			if vm := c.probe(n.sequence / probeEvery); vm != "" {
+		if n.sequence%probePeriod == 0 {
+			if vm := r.probe(n.sequence / probePeriod); vm != "" {
 				to = append(to, vm)
 			}
 		}
@@ -274,29 +278,29 @@
 	return ms
 }
 
-// fleet returns the sum over all domains for the VMs of the own.
-func (n *Node) fleet(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) ggscore.Summary {
-	s := n.table.head(now)
-	n.table.addHeads(now, &s)
-	n.seal(&s)
-	sortHead(&s)
-	s.Fleet, s.Settling = true, now.Sub(n.since) < fleetSettle
-	sum := n.table.ownSum()
-	n.table.addDomains(sum)
-	n.table.fleet.take(&s, sum.counts, sum.active)
+// fleetSummary returns the sum over all domains for the VMs of this VM's domain.
+func (n *Node) fleetSummary(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) ggscore.Summary {
+	s := n.table.stateSummary(now)
+	n.table.addRemoteState(now, &s)
+	n.setHeader(&s)
+	sortState(&s)
+	s.Fleet, s.Settling = true, now.Sub(n.activeSince) < fleetSettleTime
+	totals := n.table.domainTotals()
+	n.table.addRemoteTotals(totals)
+	n.table.fleetPending.drain(&s, totals.counts, totals.active)
 	s.Uses = usesIn(s.Uses, n.options.Self.Domain, controller)
 	return s
 }
 
-func (n *Node) seal(s *ggscore.Summary) {
+func (n *Node) setHeader(s *ggscore.Summary) {
 	s.From, s.Domain = n.options.Self.VM, n.options.Self.Domain
 	s.Sequence, s.Started = n.sequence, n.options.Started
-	if s.LiveWhole = n.sequence%liveEvery == 0; !s.LiveWhole {
+	if s.LiveWhole = n.sequence%liveListPeriod == 0; !s.LiveWhole {
 		s.Live = nil
 	}
 }
 
-// usesIn returns the uses of endpoints that a VM of the domain controls.
+// usesIn returns the uses of endpoints that are controlled by a VM of the domain.
 func usesIn(us []ggscore.Use, d ggscore.Domain, controller func(ggscore.EndpointID) ggscore.Domain) []ggscore.Use {
 	var in []ggscore.Use
 	for _, u := range us {
--- a/core/ggsrelay/pending.go
+++ b/core/ggsrelay/pending.go
@@ -7,74 +7,74 @@
 	ggscore "greengageslip/core"
 )
 
-// maxSamples bounds the samples and tallies that wait for the next summary.
-const maxSamples = 64
+// maxPendingSamples bounds the samples, and the tallies, that wait for the next summary.
+const maxPendingSamples = 64
 
-// A use is an adapter at an endpoint.
-type use struct {
+// An adapterUse identifies an adapter at an endpoint.
+type adapterUse struct {
 	endpoint ggscore.EndpointID
 	target   ggscore.ModelAdapter
 }
 
-// A pending holds what the next summary tells once.
-type pending struct {
-	ends     map[ggscore.EndpointID]ggscore.InFlight
+// A pendingUpdates accumulates what the next summary sends once: increments and changes.
+type pendingUpdates struct {
+	ended    map[ggscore.EndpointID]ggscore.InFlight
 	demand   map[ggscore.ModelAdapter]int
 	holdings map[ggscore.EndpointID]ggscore.Holding
-	// used are adapters whose requests ended since, active those that were told to be
-	// in use.
-	used    map[use]bool
-	active  map[use]bool
-	samples []ggscore.TurnSample
-	tallies []ggscore.TurnTally
+	// inactive holds the adapters whose requests have ended since the last summary.
+	// reportedActive holds those that the last summary reported as in use.
+	inactive       map[adapterUse]bool
+	reportedActive map[adapterUse]bool
+	samples        []ggscore.TurnSample
+	tallies        []ggscore.TurnTally
 }
 
-func newPending() *pending {
-	return &pending{
-		ends: map[ggscore.EndpointID]ggscore.InFlight{}, demand: map[ggscore.ModelAdapter]int{},
-		holdings: map[ggscore.EndpointID]ggscore.Holding{}, used: map[use]bool{}, active: map[use]bool{},
+func newPendingUpdates() *pendingUpdates {
+	return &pendingUpdates{
+		ended: map[ggscore.EndpointID]ggscore.InFlight{}, demand: map[ggscore.ModelAdapter]int{},
+		holdings: map[ggscore.EndpointID]ggscore.Holding{}, inactive: map[adapterUse]bool{}, reportedActive: map[adapterUse]bool{},
 	}
 }
 
-func (p *pending) addEnds(fs []ggscore.InFlight) {
+func (p *pendingUpdates) addEnded(fs []ggscore.InFlight) {
 	for _, f := range fs {
 		if f.Ended == 0 && f.Failed == 0 {
 			continue
 		}
-		n := p.ends[f.Endpoint]
+		n := p.ended[f.Endpoint]
 		n.Ended += f.Ended
 		n.Failed += f.Failed
-		p.ends[f.Endpoint] = n
+		p.ended[f.Endpoint] = n
 	}
 }
 
-func (p *pending) addTurns(xs []ggscore.TurnSample, ys []ggscore.TurnTally) {
-	p.samples = append(p.samples, xs[:min(len(xs), maxSamples-len(p.samples))]...)
-	p.tallies = append(p.tallies, ys[:min(len(ys), maxSamples-len(p.tallies))]...)
+func (p *pendingUpdates) addTurns(xs []ggscore.TurnSample, ys []ggscore.TurnTally) {
+	p.samples = append(p.samples, xs[:min(len(xs), maxPendingSamples-len(p.samples))]...)
+	p.tallies = append(p.tallies, ys[:min(len(ys), maxPendingSamples-len(p.tallies))]...)
 }
 
-func (p *pending) addHoldings(hs []ggscore.Holding) {
+func (p *pendingUpdates) addHoldings(hs []ggscore.Holding) {
 	for _, h := range hs {
-		if before, ok := p.holdings[h.Endpoint]; ok && before.Whole && !h.Whole {
-			h.Held, h.Whole = before.Held, true
+		if old, ok := p.holdings[h.Endpoint]; ok && old.Whole && !h.Whole {
+			h.Held, h.Whole = old.Held, true
 		}
 		p.holdings[h.Endpoint] = h
 	}
 }
 
-func (p *pending) addUses(us []ggscore.Use) {
+func (p *pendingUpdates) addUses(us []ggscore.Use) {
 	for _, u := range us {
 		if !u.Active {
-			p.used[use{u.Endpoint, u.Target}] = true
+			p.inactive[adapterUse{u.Endpoint, u.Target}] = true
 		}
 	}
 }
 
-// take moves what is pending into a summary whose counts of requests in flight and
-// adapters in use are given.
-func (p *pending) take(s *ggscore.Summary, counts map[ggscore.EndpointID]int, active map[use]bool) {
-	s.InFlight = p.takeInFlight(counts)
-	s.Uses = p.takeUses(active)
+// drain moves the pending updates into a summary. counts are the requests in flight by
+// endpoint, and active the adapters in use.
+func (p *pendingUpdates) drain(s *ggscore.Summary, counts map[ggscore.EndpointID]int, active map[adapterUse]bool) {
+	s.InFlight = p.drainInFlight(counts)
+	s.Uses = p.drainUses(active)
 	for _, h := range p.holdings {
 		s.Holdings = append(s.Holdings, h)
 	}
@@ -89,38 +89,38 @@
 	clear(p.demand)
 }
 
-func (p *pending) takeInFlight(counts map[ggscore.EndpointID]int) []ggscore.InFlight {
-	fs := make([]ggscore.InFlight, 0, len(counts)+len(p.ends))
+func (p *pendingUpdates) drainInFlight(counts map[ggscore.EndpointID]int) []ggscore.InFlight {
+	fs := make([]ggscore.InFlight, 0, len(counts)+len(p.ended))
 	for id, n := range counts {
-		f := p.ends[id]
-		delete(p.ends, id)
+		f := p.ended[id]
+		delete(p.ended, id)
 		f.Endpoint, f.Count = id, n
 		fs = append(fs, f)
 	}
-	for id, f := range p.ends {
+	for id, f := range p.ended {
 		f.Endpoint = id
 		fs = append(fs, f)
 	}
-	clear(p.ends)
+	clear(p.ended)
 	slices.SortFunc(fs, func(a, b ggscore.InFlight) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return fs
 }
 
-// takeUses tells the adapters in use, and once those that no longer are.
-func (p *pending) takeUses(active map[use]bool) []ggscore.Use {
-	for u := range p.active {
-		p.used[u] = true
+// drainUses returns the adapters in use, and once each adapter that no longer is.
+func (p *pendingUpdates) drainUses(active map[adapterUse]bool) []ggscore.Use {
+	for u := range p.reportedActive {
+		p.inactive[u] = true
 	}
-	us := make([]ggscore.Use, 0, len(active)+len(p.used))
+	us := make([]ggscore.Use, 0, len(active)+len(p.inactive))
 	for u := range active {
-		delete(p.used, u)
+		delete(p.inactive, u)
 		us = append(us, ggscore.Use{Endpoint: u.endpoint, Target: u.target, Active: true})
 	}
-	for u := range p.used {
+	for u := range p.inactive {
 		us = append(us, ggscore.Use{Endpoint: u.endpoint, Target: u.target})
 	}
-	clear(p.used)
-	p.active = active
+	clear(p.inactive)
+	p.reportedActive = active
 	slices.SortFunc(us, func(a, b ggscore.Use) int {
 		return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), compareTargets(a.Target, b.Target))
 	})
--- a/core/ggsrelay/pick.go
+++ b/core/ggsrelay/pick.go
@@ -12,37 +12,38 @@
 )
 
 const (
-	// relays is the number of relays of a failure domain.
-	relays = 2
-	// relaySilence is the silence from which a relay of the own domain counts as lost, and
-	// farSilence that of another's: three of its summaries.
-	relaySilence = 500 * time.Millisecond
-	farSilence   = 1000 * time.Millisecond
-	// relayGrace is the time that a VM has from its choice to its first summary: it
-	// learns of the others a reading of the store later than they do.
-	relayGrace = 1500 * time.Millisecond
-	// probed is the number of VMs of a domain that are probed in turn, and probeEvery that
-	// of summaries from one probe to the next.
-	probed     = 4
-	probeEvery = 3
+	// relaysPerDomain is the number of relays of a failure domain.
+	relaysPerDomain = 2
+	// localRelayTimeout is the time without a summary after which a relay of this VM's domain
+	// counts as unreachable. remoteRelayTimeout is that for a relay of another domain: three
+	// of its summaries.
+	localRelayTimeout  = 500 * time.Millisecond
+	remoteRelayTimeout = 1000 * time.Millisecond
+	// firstSummaryTimeout is the time that a VM has from its selection to its first summary.
+	// The new relay may learn of the other VMs one read of the store later than they do.
+	firstSummaryTimeout = 1500 * time.Millisecond
+	// maxProbed is the number of VMs of a domain that are probed in turn, and probePeriod is
+	// the number of summaries from one probe to the next.
+	maxProbed   = 4
+	probePeriod = 3
 )
 
-// A Member is a VM, and where it stands.
+// A Member is a VM with its location and capacity.
 type Member struct {
 	VM     ggscore.VMID
 	Domain ggscore.Domain
 	Region ggscore.Region
-	// Capacity compares VMs by processor and link: the widest are relays.
+	// Capacity compares VMs by processor and network link; those with the most become relays.
 	Capacity uint64
 }
 
-// Hash returns what stands for a VM in summaries.
+// Hash returns the short form of a VM's ID that summaries use.
 func Hash(vm ggscore.VMID) ggscore.VMHash {
-	return ggscore.VMHash(xxhash.Sum64String(string(vm)) & (1<<32 - 1)) //nolint:gosec // the low half is wanted
+	return ggscore.VMHash(xxhash.Sum64String(string(vm)) & (1<<32 - 1)) //nolint:gosec // low 32 bits
 }
 
-// rank orders the VMs of a domain by how soon they are chosen as relays. Capacities of the
-// same magnitude count as the same, so that the choice doesn't hang on small differences.
+// rank orders the VMs of a domain by preference as relays. Capacities with the same number
+// of bits count as equal, so that small differences don't affect the selection.
 func rank(ms []Member) []ggscore.VMID {
 	ranked := slices.Clone(ms)
 	slices.SortFunc(ranked, func(a, b Member) int {
@@ -59,91 +60,93 @@
 	return vms
 }
 
-// A chooser keeps the relays of a domain by their summaries.
-type chooser struct {
-	self    ggscore.VMID
-	silence time.Duration
-	ranked  []ggscore.VMID
-	// chosen is when a relay was chosen, lastSummary when its last summary came, lost whether it
-	// was found silent.
-	chosen      map[ggscore.VMID]time.Time
+// A relaySelector selects the relays of a domain by rank and by the summaries received.
+type relaySelector struct {
+	self       ggscore.VMID
+	timeout    time.Duration
+	candidates []ggscore.VMID
+	// selectedAt is when a current relay was selected, lastSummary when its last summary
+	// arrived, and unreachable whether it timed out.
+	selectedAt  map[ggscore.VMID]time.Time
 	lastSummary map[ggscore.VMID]time.Time
-	lost        map[ggscore.VMID]bool
+	unreachable map[ggscore.VMID]bool
 }
 
-func newChooser(self ggscore.VMID, silence time.Duration) *chooser {
-	return &chooser{
-		self: self, silence: silence, chosen: map[ggscore.VMID]time.Time{}, lastSummary: map[ggscore.VMID]time.Time{}, lost: map[ggscore.VMID]bool{},
+func newRelaySelector(self ggscore.VMID, timeout time.Duration) *relaySelector {
+	return &relaySelector{
+		self: self, timeout: timeout, selectedAt: map[ggscore.VMID]time.Time{}, lastSummary: map[ggscore.VMID]time.Time{},
+		unreachable: map[ggscore.VMID]bool{},
 	}
 }
 
-// observe notes a summary of a relay.
-func (c *chooser) observe(now time.Time, vm ggscore.VMID) {
-	c.lastSummary[vm] = now
-	delete(c.lost, vm)
+// recordSummary records that a summary of a relay has arrived.
+func (s *relaySelector) recordSummary(now time.Time, vm ggscore.VMID) {
+	s.lastSummary[vm] = now
+	delete(s.unreachable, vm)
 }
 
-// relays returns the relays of the domain. A lost one comes back with its summaries, since
-// a VM never counts itself as lost; where all are lost, none is known to be better.
-func (c *chooser) relays(now time.Time) []ggscore.VMID {
-	vms := c.choose(now)
-	if len(vms) == 0 && len(c.lost) > 0 {
-		clear(c.lost)
-		vms = c.choose(now)
+// relays returns the relays of the domain. An unreachable VM is eligible again once a summary
+// of it arrives: a VM never counts itself as unreachable, so it keeps sending summaries. If
+// all VMs are unreachable, all become eligible again, since none is known to be better.
+func (s *relaySelector) relays(now time.Time) []ggscore.VMID {
+	vms := s.selectRelays(now)
+	if len(vms) == 0 && len(s.unreachable) > 0 {
+		clear(s.unreachable)
+		vms = s.selectRelays(now)
 	}
 	return vms
 }
 
-// probe returns a lost VM that comes before the relays, empty for none: it may be one again.
-// Two domains that were cut off from each other hear of each other only by it: each sends
-// to VMs that the other doesn't take for relays.
-func (c *chooser) probe(turn uint64) ggscore.VMID {
-	var lost []ggscore.VMID
+// probe returns an unreachable VM that ranks above a current relay, or an empty ID. That VM
+// may be reachable again. After a network partition between two domains, only probes restore
+// their exchange: each domain sends to VMs that the other domain no longer uses as relays.
+func (s *relaySelector) probe(turn uint64) ggscore.VMID {
+	var targets []ggscore.VMID
 	found := 0
-	for _, vm := range c.ranked {
-		if _, ok := c.chosen[vm]; ok {
+	for _, vm := range s.candidates {
+		if _, ok := s.selectedAt[vm]; ok {
 			found++
-		} else if c.lost[vm] && len(lost) < probed {
-			lost = append(lost, vm)
+		} else if s.unreachable[vm] && len(targets) < maxProbed {
+			targets = append(targets, vm)
 		}
-		if found == relays {
+		if found == relaysPerDomain {
 			break
 		}
 	}
-	if len(lost) == 0 {
+	if len(targets) == 0 {
 		return ""
 	}
-	return lost[turn%uint64(len(lost))]
+	return targets[turn%uint64(len(targets))]
 }
 
-func (c *chooser) choose(now time.Time) []ggscore.VMID {
-	vms := make([]ggscore.VMID, 0, relays)
-	chosen := make(map[ggscore.VMID]time.Time, relays)
-	for _, vm := range c.ranked {
-		if len(vms) == relays {
+func (s *relaySelector) selectRelays(now time.Time) []ggscore.VMID {
+	vms := make([]ggscore.VMID, 0, relaysPerDomain)
+	selected := make(map[ggscore.VMID]time.Time, relaysPerDomain)
+	for _, vm := range s.candidates {
+		if len(vms) == relaysPerDomain {
 			break
 		}
-		if c.lost[vm] {
+		if s.unreachable[vm] {
 			continue
 		}
-		since, ok := c.chosen[vm]
+		since, ok := s.selectedAt[vm]
 		if !ok {
 			since = now
 		}
-		if vm != c.self && c.silent(now, vm, since) {
-			c.lost[vm] = true
+		if vm != s.self && s.timedOut(now, vm, since) {
+			s.unreachable[vm] = true
 			continue
 		}
-		chosen[vm] = since
+		selected[vm] = since
 		vms = append(vms, vm)
 	}
-	c.chosen = chosen
+	s.selectedAt = selected
 	return vms
 }
 
-func (c *chooser) silent(now time.Time, vm ggscore.VMID, since time.Time) bool {
-	if last := c.lastSummary[vm]; last.After(since) {
-		return now.Sub(last) > c.silence
+func (s *relaySelector) timedOut(now time.Time, vm ggscore.VMID, since time.Time) bool {
+	if last := s.lastSummary[vm]; last.After(since) {
+		return now.Sub(last) > s.timeout
 	}
-	return now.Sub(since) > relayGrace
+	return now.Sub(since) > firstSummaryTimeout
 }
--- a/core/ggsrelay/sim_test.go
+++ b/core/ggsrelay/sim_test.go
@@ -11,9 +11,9 @@
 	"greengageslip/core/ggsrelay"
 )
 
-// A sim plays VMs that exchange heartbeats and summaries on a virtual clock. Each VM has
-// requests at an endpoint of its own, whose number is the time in milliseconds, so that
-// the age of what others believe shows.
+// A sim simulates VMs that exchange heartbeats and summaries, on a virtual clock. Each VM
+// reports the time in milliseconds as its number of requests at an endpoint of its own, so
+// that the age of the counts at other VMs can be computed.
 type sim struct {
 	rng     *rand.Rand
 	now     time.Duration
@@ -21,13 +21,13 @@
 	nodes   map[ggscore.VMID]*simNode
 	members []ggsrelay.Member
 	loss    float64
-	// cut says which domains don't reach each other.
-	cut func(a, b ggscore.Domain) bool
-	// limits are what a VM knows of endpoints' rate limits.
+	// partitioned reports whether two domains can't reach each other.
+	partitioned func(a, b ggscore.Domain) bool
+	// limits returns the rate limits of endpoints that a VM knows.
 	limits func(ggscore.VMID) []ggscore.EndpointLimit
-	// departures are the endpoints that a VM saw leave.
+	// departures returns the endpoints that a VM saw leave.
 	departures func(ggscore.VMID) []ggscore.Departure
-	// received counts datagrams by VM since the last reset.
+	// received counts datagrams by receiver since the last reset.
 	received map[ggscore.VMID]int
 }
 
@@ -36,18 +36,18 @@
 	member   ggsrelay.Member
 	sequence uint64
 	down     bool
-	// up is when it came up.
-	up time.Duration
-	// believed is what the VM believes of the others' requests, live when it last heard
-	// that they are live, counted the requests that it was told of.
-	believed map[ggscore.EndpointID]int
-	at       time.Duration
-	live     map[ggscore.VMID]time.Duration
-	demand   int
-	holds    map[ggscore.EndpointID]time.Duration
-	limits   map[ggscore.EndpointID]ggscore.EndpointLimit
-	departed map[ggscore.EndpointID]time.Time
-	// epoch is the store's that the VM knows.
+	// resumedAt is when the VM last resumed, zero if it never did.
+	resumedAt time.Duration
+	// inFlight holds the applied counts of requests, appliedAt the time of the last view,
+	// liveAt when each VM was last listed as live, and demand the sum of demand received.
+	inFlight   map[ggscore.EndpointID]int
+	appliedAt  time.Duration
+	liveAt     map[ggscore.VMID]time.Duration
+	demand     int
+	holdingsAt map[ggscore.EndpointID]time.Duration
+	limits     map[ggscore.EndpointID]ggscore.EndpointLimit
+	departures map[ggscore.EndpointID]time.Time
+	// epoch is the store epoch that the VM knows.
 	epoch ggscore.StoreEpoch
 }
 
@@ -69,27 +69,27 @@
 }
 
 const (
-	thin = 4
-	wide = 160
+	lowCapacity  = 4
+	highCapacity = 160
 )
 
-// newSim returns so many VMs over domains, two of each region, of which three of a domain
-// are wide.
+// newSim returns a simulation of vms VMs that are spread over the domains. A region has two
+// domains, and the first three VMs of a domain have high capacity.
 func newSim(seed uint64, vms, domains int) *sim {
 	s := &sim{
 		rng: rand.New(rand.NewPCG(seed, 0)), nodes: map[ggscore.VMID]*simNode{}, received: map[ggscore.VMID]int{},
-		cut:        func(ggscore.Domain, ggscore.Domain) bool { return false },
-		limits:     func(ggscore.VMID) []ggscore.EndpointLimit { return nil },
-		departures: func(ggscore.VMID) []ggscore.Departure { return nil },
+		partitioned: func(ggscore.Domain, ggscore.Domain) bool { return false },
+		limits:      func(ggscore.VMID) []ggscore.EndpointLimit { return nil },
+		departures:  func(ggscore.VMID) []ggscore.Departure { return nil },
 	}
 	for i := range vms {
 		m := ggsrelay.Member{
 			VM:     ggscore.VMID(fmt.Sprintf("vm-%03d", i)),
 			Domain: ggscore.Domain(fmt.Sprintf("domain-%d", i%domains)), Region: ggscore.Region(fmt.Sprintf("region-%d", i%domains/2)),
-			Capacity: thin,
+			Capacity: lowCapacity,
 		}
 		if i/domains < 3 {
-			m.Capacity = wide
+			m.Capacity = highCapacity
 		}
 		s.members = append(s.members, m)
 	}
@@ -101,12 +101,12 @@
 
 func clock(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 
-// start starts a VM that knows the others at once, at a random phase.
+// start starts a VM at a random phase. The VM knows the others at once.
 func (s *sim) start(m ggsrelay.Member) *simNode {
 	n := &simNode{
 		Node: ggsrelay.NewNode(ggsrelay.Options{Self: m, Started: int64(s.now) + 1}), member: m,
-		believed: map[ggscore.EndpointID]int{}, live: map[ggscore.VMID]time.Duration{}, holds: map[ggscore.EndpointID]time.Duration{},
-		limits: map[ggscore.EndpointID]ggscore.EndpointLimit{}, departed: map[ggscore.EndpointID]time.Time{},
+		inFlight: map[ggscore.EndpointID]int{}, liveAt: map[ggscore.VMID]time.Duration{}, holdingsAt: map[ggscore.EndpointID]time.Duration{},
+		limits: map[ggscore.EndpointID]ggscore.EndpointLimit{}, departures: map[ggscore.EndpointID]time.Time{},
 	}
 	n.SetMembers(slices.DeleteFunc(slices.Clone(s.members), func(o ggsrelay.Member) bool { return o.VM == m.VM }))
 	s.nodes[m.VM] = n
@@ -115,10 +115,10 @@
 	return n
 }
 
-// resume has a VM go on that was down.
+// resume makes a VM that was down continue with its state.
 func (s *sim) resume(vm ggscore.VMID) {
 	n := s.nodes[vm]
-	n.down, n.up = false, s.now
+	n.down, n.resumedAt = false, s.now
 }
 
 func (s *sim) after(d time.Duration, run func()) { heap.Push(&s.queue, event{at: s.now + d, run: run}) }
@@ -186,7 +186,7 @@
 
 func (s *sim) send(from *simNode, to ggscore.VMID, arrive func(*simNode)) {
 	o := s.nodes[to]
-	if o == nil || s.rng.Float64() < s.loss || s.cut(from.member.Domain, o.member.Domain) {
+	if o == nil || s.rng.Float64() < s.loss || s.partitioned(from.member.Domain, o.member.Domain) {
 		return
 	}
 	d := time.Millisecond
@@ -203,44 +203,46 @@
 }
 
 func (s *sim) apply(n *simNode, v ggsrelay.View) {
-	n.at = s.now
+	n.appliedAt = s.now
 	n.epoch = max(n.epoch, v.News.Epoch)
 	if v.Counts {
-		clear(n.believed)
+		clear(n.inFlight)
 		for _, f := range v.InFlight {
-			n.believed[f.Endpoint] = f.Count
+			n.inFlight[f.Endpoint] = f.Count
 		}
 	}
 	for _, vm := range v.VMs {
-		n.live[vm] = s.now
+		n.liveAt[vm] = s.now
 	}
 	for _, d := range v.Demand {
 		n.demand += d.Count
 	}
 	for _, d := range v.Departures {
-		n.departed[d.Endpoint] = d.Born
+		n.departures[d.Endpoint] = d.Born
 	}
 	for _, l := range v.Limits {
 		n.limits[l.Endpoint] = l
 	}
 	for _, h := range v.Holdings {
-		n.holds[h.Endpoint] = s.now
+		n.holdingsAt[h.Endpoint] = s.now
 	}
 }
 
-// upTime is the time that a VM that comes up and others have to learn of each other.
-const upTime = 700 * time.Millisecond
+// resumeTime is the time that a resumed VM and the others have to exchange their state.
+const resumeTime = 700 * time.Millisecond
 
-func (s *sim) settled(n *simNode) bool { return !n.down && (n.up == 0 || s.now-n.up > upTime) }
+func (s *sim) settled(n *simNode) bool {
+	return !n.down && (n.resumedAt == 0 || s.now-n.resumedAt > resumeTime)
+}
 
-// ages returns the age of what each VM that is up believes of each other's requests; what
-// it knows nothing of is as old as the clock.
+// ages returns, for each pair of VMs that are up, the age of the count that one has of the
+// other's requests. A count that never arrived is as old as the clock.
 func (s *sim) ages() []time.Duration {
 	var as []time.Duration
 	for vm, n := range s.nodes {
 		for other, o := range s.nodes {
 			if vm != other && s.settled(n) && s.settled(o) {
-				as = append(as, s.now-time.Duration(n.believed[endpointOf(other)])*time.Millisecond)
+				as = append(as, s.now-time.Duration(n.inFlight[endpointOf(other)])*time.Millisecond)
 			}
 		}
 	}
@@ -248,8 +250,8 @@
 	return as
 }
 
-// worst samples ages for a time and returns the 99th in 100 and the greatest.
-func (s *sim) worst(d time.Duration) (p99, most time.Duration) {
+// ageStats samples ages for a duration and returns the 99th percentile and the greatest.
+func (s *sim) ageStats(d time.Duration) (p99, most time.Duration) {
 	var as []time.Duration
 	for end := s.now + d; s.now < end; {
 		s.run(170 * time.Millisecond)
@@ -259,7 +261,7 @@
 	return as[len(as)*99/100], as[len(as)-1]
 }
 
-// busiest returns the datagrams a second that the busiest VM received, and those of all VMs.
+// busiest returns the datagrams per second received by the busiest VM and by all VMs.
 func (s *sim) busiest(d time.Duration) (busiest, all float64) {
 	clear(s.received)
 	s.run(d)
@@ -270,10 +272,10 @@
 	return float64(most) / d.Seconds(), float64(sum) / d.Seconds()
 }
 
-// relays returns the relays of a domain as most of its VMs choose them.
+// relays returns the relays of a domain as its first low-capacity VM that is up selects them.
 func (s *sim) relays(d ggscore.Domain) []ggscore.VMID {
 	for _, m := range s.members {
-		if n := s.nodes[m.VM]; m.Domain == d && n != nil && !n.down && m.Capacity == thin {
+		if n := s.nodes[m.VM]; m.Domain == d && n != nil && !n.down && m.Capacity == lowCapacity {
 			return n.Relays(clock(s.now))
 		}
 	}
--- a/core/ggsrelay/table.go
+++ b/core/ggsrelay/table.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// stateAge is the age from which a heartbeat or a summary no longer counts.
-	stateAge = 1500 * time.Millisecond
-	// liveAge is the age of the last heartbeat from which a VM isn't told to be live.
-	liveAge = 4 * ReportInterval
+	// maxStateAge is the age beyond which a heartbeat or a summary is discarded.
+	maxStateAge = 1500 * time.Millisecond
+	// maxLiveAge is the age of the last heartbeat beyond which a VM isn't reported as live.
+	maxLiveAge = 4 * ReportInterval
 )
 
-// A table sums up heartbeats of the own domain and summaries of the others.
+// A table aggregates the heartbeats of this VM's domain and the summaries of the others.
 type table struct {
 	heartbeats map[ggscore.VMID]*heartbeat
-	domains    map[ggscore.Domain]*domain
-	// rooms are the last words on endpoints' places, by which changes are told.
-	rooms map[ggscore.EndpointID]room
-	// own is pending for the other domains, fleet for the VMs of this one.
-	own   *pending
-	fleet *pending
+	domains    map[ggscore.Domain]*remoteDomain
+	// loadStates holds the last load state of each endpoint, to detect changes.
+	loadStates map[ggscore.EndpointID]loadState
+	// domainPending is pending for the other domains, fleetPending for the VMs of this one.
+	domainPending *pendingUpdates
+	fleetPending  *pendingUpdates
 }
 
 type heartbeat struct {
 	ggscore.Heartbeat
-	at time.Time
+	receivedAt time.Time
 }
 
-// A domain is the newest summary of another domain.
-type domain struct {
+// A remoteDomain is the newest summary of another domain.
+type remoteDomain struct {
 	ggscore.Summary
-	at time.Time
-	// live are the VMs that the summary before told.
+	receivedAt time.Time
+	// live holds the VMs of the last summary that listed the live ones.
 	live []ggscore.VMHash
-	// relays are the last sequences by relay.
-	relays map[ggscore.VMID]sequence
+	// lastSequences holds the sequence of the last summary from each relay.
+	lastSequences map[ggscore.VMID]sequence
 }
 
-// A sequence orders the datagrams of a VM. A process that starts anew counts from 1.
+// A sequence orders the datagrams of a VM. Numbers restart at 1 with each process.
 type sequence struct {
 	started int64
 	number  uint64
@@ -51,29 +51,29 @@
 	return s.started > o.started || s.started == o.started && s.number > o.number
 }
 
-type room struct{ waiting, room int }
+type loadState struct{ waiting, free int }
 
 func newTable() *table {
 	return &table{
-		heartbeats: map[ggscore.VMID]*heartbeat{}, domains: map[ggscore.Domain]*domain{},
-		rooms: map[ggscore.EndpointID]room{}, own: newPending(), fleet: newPending(),
+		heartbeats: map[ggscore.VMID]*heartbeat{}, domains: map[ggscore.Domain]*remoteDomain{},
+		loadStates: map[ggscore.EndpointID]loadState{}, domainPending: newPendingUpdates(), fleetPending: newPendingUpdates(),
 	}
 }
 
-// heartbeat takes a VM's heartbeat. One that a later one overtook changes nothing.
+// heartbeat records a VM's heartbeat. It ignores a heartbeat that arrives after a later one.
 func (t *table) heartbeat(now time.Time, self ggscore.VMID, h ggscore.Heartbeat) {
 	if b := t.heartbeats[h.VM]; b != nil && !(sequence{h.Started, h.Sequence}).after(sequence{b.Started, b.Sequence}) {
 		return
 	}
-	t.heartbeats[h.VM] = &heartbeat{Heartbeat: h, at: now}
+	t.heartbeats[h.VM] = &heartbeat{Heartbeat: h, receivedAt: now}
 	hs := t.changed(h.Holdings)
-	for _, p := range []*pending{t.own, t.fleet} {
+	for _, p := range []*pendingUpdates{t.domainPending, t.fleetPending} {
 		p.addHoldings(hs)
 		p.addUses(h.Uses)
 		if h.Carrier != "" && h.Carrier != self {
 			continue
 		}
-		p.addEnds(h.InFlight)
+		p.addEnded(h.InFlight)
 		p.addTurns(h.Samples, h.Tallies)
 		for _, u := range h.Uses {
 			if u.Count > 0 {
@@ -83,69 +83,69 @@
 	}
 }
 
-// changed returns the holdings that tell something new.
+// changed returns the holdings that are whole or whose load state has changed.
 func (t *table) changed(hs []ggscore.Holding) []ggscore.Holding {
 	var c []ggscore.Holding
 	for _, h := range hs {
-		r := room{h.Waiting, h.Room}
-		if h.Whole || t.rooms[h.Endpoint] != r {
+		r := loadState{h.Waiting, h.Room}
+		if h.Whole || t.loadStates[h.Endpoint] != r {
 			c = append(c, h)
 		}
-		t.rooms[h.Endpoint] = r
+		t.loadStates[h.Endpoint] = r
 	}
 	return c
 }
 
-// summary takes another domain's summary, and reports whether it is newer than those of
-// the same relay.
+// summary records another domain's summary. It reports whether the summary is newer than
+// the previous ones of the same relay; an older one is ignored.
 func (t *table) summary(now time.Time, s ggscore.Summary) bool {
 	d := t.domains[s.Domain]
 	if d == nil {
-		d = &domain{relays: map[ggscore.VMID]sequence{}}
+		d = &remoteDomain{lastSequences: map[ggscore.VMID]sequence{}}
 		t.domains[s.Domain] = d
 	}
 	q := sequence{s.Started, s.Sequence}
-	if !q.after(d.relays[s.From]) {
+	if !q.after(d.lastSequences[s.From]) {
 		return false
 	}
-	d.relays[s.From] = q
-	d.Summary, d.at = s, now
+	d.lastSequences[s.From] = q
+	d.Summary, d.receivedAt = s, now
 	if s.LiveWhole {
 		d.live = s.Live
 	}
-	t.fleet.addEnds(s.InFlight)
-	t.fleet.addHoldings(s.Holdings)
-	t.fleet.addUses(s.Uses)
-	t.fleet.addTurns(s.Samples, s.Tallies)
+	t.fleetPending.addEnded(s.InFlight)
+	t.fleetPending.addHoldings(s.Holdings)
+	t.fleetPending.addUses(s.Uses)
+	t.fleetPending.addTurns(s.Samples, s.Tallies)
 	for _, n := range s.Demand {
-		t.fleet.demand[n.Target] += n.Count
+		t.fleetPending.demand[n.Target] += n.Count
 	}
 	return true
 }
 
-// forget drops what is too old to count.
-func (t *table) forget(now time.Time) {
+// expire removes heartbeats and summaries older than maxStateAge.
+func (t *table) expire(now time.Time) {
 	for vm, h := range t.heartbeats {
-		if now.Sub(h.at) > stateAge {
+		if now.Sub(h.receivedAt) > maxStateAge {
 			delete(t.heartbeats, vm)
 		}
 	}
 	for n, d := range t.domains {
-		if now.Sub(d.at) > stateAge {
+		if now.Sub(d.receivedAt) > maxStateAge {
 			delete(t.domains, n)
 		}
 	}
 }
 
-// A sum is the state of a domain, or of all.
-type sum struct {
+// A totals holds the requests in flight and the adapters in use of one domain or of all.
+type totals struct {
 	counts map[ggscore.EndpointID]int
-	active map[use]bool
+	active map[adapterUse]bool
 }
 
-// ownSum adds up the heartbeats of the own domain.
-func (t *table) ownSum() sum {
-	s := sum{counts: map[ggscore.EndpointID]int{}, active: map[use]bool{}}
+// domainTotals adds up the heartbeats of this VM's domain.
+func (t *table) domainTotals() totals {
+	s := totals{counts: map[ggscore.EndpointID]int{}, active: map[adapterUse]bool{}}
 	for _, h := range t.heartbeats {
 		for _, f := range h.InFlight {
 			if f.Count > 0 {
@@ -157,16 +157,16 @@
 	return s
 }
 
-func (s *sum) addUses(us []ggscore.Use) {
+func (s *totals) addUses(us []ggscore.Use) {
 	for _, u := range us {
 		if u.Active {
-			s.active[use{u.Endpoint, u.Target}] = true
+			s.active[adapterUse{u.Endpoint, u.Target}] = true
 		}
 	}
 }
 
-// addDomains adds the summaries of the other domains.
-func (t *table) addDomains(s sum) {
+// addRemoteTotals adds the summaries of the other domains to s.
+func (t *table) addRemoteTotals(s totals) {
 	for _, d := range t.domains {
 		for _, f := range d.InFlight {
 			if f.Count > 0 {
@@ -177,16 +177,16 @@
 	}
 }
 
-// head returns a summary of the own domain with all that isn't told once.
-func (t *table) head(now time.Time) ggscore.Summary {
+// stateSummary returns a summary of this VM's domain with the states that are sent each time.
+func (t *table) stateSummary(now time.Time) ggscore.Summary {
 	s := ggscore.Summary{News: unknownNews()}
 	for vm, h := range t.heartbeats {
 		s.Included = append(s.Included, ggscore.IncludedHeartbeat{VM: Hash(vm), Sequence: h.Sequence})
-		if now.Sub(h.at) <= liveAge {
+		if now.Sub(h.receivedAt) <= maxLiveAge {
 			s.Live = append(s.Live, Hash(vm))
 		}
-		s.News = s.News.Merge(h.News.Aged(now.Sub(h.at)))
-		s.Limits = mergeLimits(s.Limits, h.Limits, now.Sub(h.at))
+		s.News = s.News.Merge(h.News.Aged(now.Sub(h.receivedAt)))
+		s.Limits = mergeLimits(s.Limits, h.Limits, now.Sub(h.receivedAt))
 		s.Departures = mergeDepartures(s.Departures, h.Departures)
 		if s.Decider == "" || vm < s.Decider {
 			s.Decider, s.Modes = vm, h.Modes
@@ -195,12 +195,12 @@
 	return s
 }
 
-// addHeads adds what the summaries of the other domains say beside their sums.
-func (t *table) addHeads(now time.Time, s *ggscore.Summary) {
+// addRemoteState adds the states of the other domains' summaries, except their totals.
+func (t *table) addRemoteState(now time.Time, s *ggscore.Summary) {
 	for _, d := range t.domains {
 		s.Live = append(s.Live, d.live...)
-		s.News = s.News.Merge(d.News.Aged(now.Sub(d.at)))
-		s.Limits = mergeLimits(s.Limits, d.Limits, now.Sub(d.at))
+		s.News = s.News.Merge(d.News.Aged(now.Sub(d.receivedAt)))
+		s.Limits = mergeLimits(s.Limits, d.Limits, now.Sub(d.receivedAt))
 		s.Departures = mergeDepartures(s.Departures, d.Departures)
 		if d.Decider != "" && (s.Decider == "" || d.Decider < s.Decider) {
 			s.Decider, s.Modes = d.Decider, d.Modes
@@ -208,18 +208,18 @@
 	}
 }
 
-// unknownAge is the age of what was never read.
+// unknownAge is the age that stands for a list that was never read.
 const unknownAge = time.Hour
 
 func unknownNews() ggscore.News { return ggscore.News{ListAge: unknownAge, OperatorsAge: unknownAge} }
 
-func sortHead(s *ggscore.Summary) {
+func sortState(s *ggscore.Summary) {
 	slices.SortFunc(s.Included, func(a, b ggscore.IncludedHeartbeat) int { return cmp.Compare(a.VM, b.VM) })
 	slices.Sort(s.Live)
 }
 
-// mergeLimits adds limits of a heartbeat or summary of some time ago to a list. Of each
-// endpoint's the newest stays.
+// mergeLimits merges the limits of a heartbeat or summary that arrived the passed time ago
+// into a list. The newest limit of each endpoint is kept.
 func mergeLimits(ls, others []ggscore.EndpointLimit, passed time.Duration) []ggscore.EndpointLimit {
 	for _, l := range others {
 		l.Age += passed
