--- a/core/ggsmember/member.go
+++ b/core/ggsmember/member.go
@@ -7,28 +7,29 @@
 	ggscore "greengageslip/core"
 )
 
-// A Member is a dispatcher as it was last heard of.
+// A Member is the last known state of a dispatcher.
 type Member struct {
 	VM   ggscore.VMID
 	Addr netip.AddrPort
-	// Incarnation names one life of the process. It is the text of a version
-	// 7 UUID, so that a later life sorts after an earlier one. It is empty for
-	// a member that only the platform's list told of.
+	// Incarnation identifies one run of the process. It is the text of a version 7 UUID,
+	// so that a later run sorts after an earlier one. It is empty for a member that is
+	// known only from the platform's list.
 	Incarnation string
 	Sequence    uint64
 	Leaving     bool
-	// Gone stands in heartbeats only: its sender missed the member's own. The
-	// member refutes it by a greater sequence number.
+	// Gone is set in heartbeats only. It says that the sender marked the member as gone,
+	// for lack of heartbeats or by an update. The member refutes it by a greater sequence
+	// number.
 	Gone bool
-	// Revision is that of the document it has in force.
+	// Revision is the revision of the document that the member has in force.
 	Revision ggscore.Revision
 }
 
-// A Heartbeat says what its sender is and what it learnt of others lately.
+// A Heartbeat carries the state of its sender and recent updates about other members.
 type Heartbeat struct {
 	Sender Member
-	// Watch asks its receiver to miss the sender when heartbeats stay away.
-	// Only the sender knows where it sends, so that nobody guesses.
+	// Watch requests that the receiver monitors the sender, and marks it as gone when its
+	// heartbeats stop. The sender sets it, since only the sender knows where it sends.
 	Watch bool
 	News  []Member
 }
@@ -36,30 +37,30 @@
 // A Target is where a heartbeat is to be sent.
 type Target struct {
 	Addr netip.AddrPort
-	// Watch is for the heartbeat's field of that name.
+	// Watch is the value for the heartbeat's field of the same name.
 	Watch bool
 }
 
-// Limits set the times and the fan-out of heartbeats.
+// Limits configures the timing and the fan-out of heartbeats.
 type Limits struct {
 	// Every is the time between heartbeats.
 	Every time.Duration
-	// Silence is how long a member lives on without a sign of life.
+	// Silence is the time without heartbeats after which a member counts as gone.
 	Silence time.Duration
-	// UnlistedSilence is the same where the platform's list lacks it.
+	// UnlistedSilence is the same for a member that the platform's list doesn't contain.
 	UnlistedSilence time.Duration
-	// AllToAll is the largest number of members that each sends to all.
+	// AllToAll is the largest number of members at which each sends to all others.
 	AllToAll int
-	// Monitors is the number of members to send to in a larger domain.
+	// Monitors is the number of members that each sends to in a larger domain.
 	Monitors int
-	// News bounds the members that ride on a heartbeat, NewsSends how often
-	// each does.
+	// News bounds the updates in one heartbeat. NewsSends is the number of heartbeats that
+	// carry an urgent update.
 	News      int
 	NewsSends int
 }
 
-// DefaultLimits returns limits that carry a change through a domain of 100
-// members within 3 s and take less than 2 KB a second of each.
+// DefaultLimits returns limits with which a change reaches all of 100 members within 3 s,
+// for less than 2 KB a second at each member.
 func DefaultLimits() Limits {
 	return Limits{
 		Every:           time.Second,
@@ -73,14 +74,14 @@
 }
 
 const (
-	uuidBytes     = 36
-	uuidVersionAt = 14
+	uuidLength       = 36
+	uuidVersionIndex = 14
 )
 
-// Supersedes reports whether incarnation a is a later life than b. Texts that
-// are no version 7 UUIDs say nothing about time, so that none is later.
+// Supersedes reports whether incarnation a is later than b. A text that is no version 7 UUID
+// has no known time, and is neither later nor earlier than another.
 func Supersedes(a, b string) bool {
-	return timed(a) && timed(b) && a > b
+	return hasTimestamp(a) && hasTimestamp(b) && a > b
 }
 
-func timed(s string) bool { return len(s) == uuidBytes && s[uuidVersionAt] == '7' }
+func hasTimestamp(s string) bool { return len(s) == uuidLength && s[uuidVersionIndex] == '7' }
--- a/core/ggsmember/table.go
+++ b/core/ggsmember/table.go
@@ -12,55 +12,56 @@
 	ggscore "greengageslip/core"
 )
 
-// entry is what is known of a member.
+// An entry is the local state of another member.
 type entry struct {
 	member Member
-	// heard is the last sign of life, and direct the last heartbeat that came
-	// from the member itself.
-	heard  time.Time
-	direct time.Time
-	// watched says that the member asked to be missed here.
-	watched bool
-	// target is how often it still gets heartbeats as a monitor of this
-	// member: without end while it is one, a few times more to take leave.
-	target int
-	listed bool
-	// listedLeaving is the list's word, which holds for later lives as well.
+	// lastSeen is when current state of the member last arrived from any sender. lastDirect
+	// is when the last heartbeat arrived from the member itself.
+	lastSeen   time.Time
+	lastDirect time.Time
+	// monitored says that the member requested to be monitored by this one.
+	monitored bool
+	// sendsAsMonitor is the number of heartbeats that the member still gets as a monitor of
+	// this one. It is renewed while the member is a monitor. Afterwards a few more heartbeats
+	// withdraw the request to monitor this member.
+	sendsAsMonitor int
+	listed         bool
+	// listedLeaving is the leaving state in the list, which applies to later incarnations too.
 	listedLeaving bool
 	gone          bool
-	// sends is how often its news is still to be sent, and urgent says that it
-	// can't wait for the next heartbeat.
+	// sends is the number of heartbeats that still carry the member's update. urgent says
+	// that the update must be sent before the next regular heartbeat.
 	sends  int
 	urgent bool
 }
 
-// A Table is the membership as one dispatcher knows it.
+// A Table is one dispatcher's view of the membership.
 type Table struct {
 	self    Member
 	limits  Limits
 	entries map[ggscore.VMID]*entry
-	// order lists the entries by name, so that equal events give equal orders.
+	// order lists the entries by VM ID, so that iteration is deterministic.
 	order []ggscore.VMID
-	// next is the place in order of the member that is passed on by turns.
+	// next is the index in order of the member whose state was last sent round-robin.
 	next int
-	// farewells is how many heartbeats still go to all members.
-	farewells int
-	selfNews  bool
-	listKnown bool
+	// broadcasts is the number of heartbeats that still go to all members.
+	broadcasts int
+	selfUrgent bool
+	listKnown  bool
 }
 
-// NewTable returns a table of the member itself alone.
+// NewTable returns a table that contains only self.
 func NewTable(self Member, l Limits) *Table {
 	return &Table{self: self, limits: l, entries: make(map[ggscore.VMID]*entry)}
 }
 
-// Beat returns the next heartbeat.
+// Beat returns the next heartbeat. It is called once for each heartbeat, after Targets.
 func (t *Table) Beat(now time.Time) Heartbeat {
 	t.expire(now)
 	t.self.Sequence++
-	t.selfNews = false
-	if t.farewells > 0 {
-		t.farewells--
+	t.selfUrgent = false
+	if t.broadcasts > 0 {
+		t.broadcasts--
 	}
 	h := Heartbeat{Sender: t.self}
 	for _, id := range t.order {
@@ -70,15 +71,15 @@
 		}
 		e.sends--
 		e.urgent = false
-		h.News = append(h.News, e.news())
+		h.News = append(h.News, e.update())
 	}
 	if len(h.News) == 0 && t.large() {
-		h.News = t.byTurns()
+		h.News = t.roundRobin()
 	}
 	return h
 }
 
-// Members returns those that live, itself among them, in the order of names.
+// Members returns the members that aren't gone, self included, ordered by VM ID.
 func (t *Table) Members(now time.Time) []Member {
 	t.expire(now)
 	members := []Member{t.self}
@@ -91,7 +92,7 @@
 	return members
 }
 
-// Receive takes a heartbeat that came from an address.
+// Receive processes a heartbeat that arrived from an address.
 func (t *Table) Receive(now time.Time, from netip.AddrPort, h Heartbeat) {
 	s := h.Sender
 	s.Addr, s.Gone = from, false
@@ -99,7 +100,7 @@
 		return
 	}
 	if e := t.merge(now, s); e != nil {
-		e.heard, e.direct, e.watched = now, now, h.Watch
+		e.lastSeen, e.lastDirect, e.monitored = now, now, h.Watch
 	}
 	for _, m := range h.News {
 		if m.VM == t.self.VM {
@@ -110,9 +111,9 @@
 	}
 }
 
-// SetListed takes a reading of the platform's list: the live and leaving
-// entry VMs of the own domain. It lags, so that it never takes back what a
-// heartbeat said.
+// SetListed processes a reading of the platform's list, which contains the live and leaving
+// entry VMs of this domain. The list lags, so it never overrides the leaving state from a
+// heartbeat.
 func (t *Table) SetListed(now time.Time, vms []ggscore.VM) {
 	t.listKnown = true
 	for _, e := range t.entries {
@@ -131,7 +132,7 @@
 		e.listed, e.listedLeaving = true, leaving
 		if leaving && !e.member.Leaving {
 			e.member.Leaving = true
-			t.hurry(e)
+			t.markUrgent(e)
 		}
 		if e.member.Incarnation == "" {
 			e.member.Leaving, e.member.Addr = leaving, v.Addr
@@ -139,19 +140,18 @@
 	}
 }
 
-// SetSelf says what the member itself is. Leaving is never taken back.
+// SetSelf sets this member's leaving state and revision. Once set, leaving stays set.
 func (t *Table) SetSelf(leaving bool, r ggscore.Revision) {
 	if leaving && !t.self.Leaving {
 		t.self.Leaving = true
-		t.selfNews = true
-		// The members that may send new work here are all members: a few
-		// heartbeats go to each of them at once.
-		t.farewells = t.limits.NewsSends
+		t.selfUrgent = true
+		// Any member may send new work here, so the next few heartbeats go to all of them.
+		t.broadcasts = t.limits.NewsSends
 	}
 	t.self.Revision = max(t.self.Revision, r)
 }
 
-// Targets returns where to send the next heartbeat. It is called once for each.
+// Targets returns where to send the next heartbeat. It is called once for each heartbeat.
 func (t *Table) Targets(now time.Time) []Target {
 	t.expire(now)
 	monitors := t.order
@@ -159,25 +159,25 @@
 		monitors = t.monitors()
 	}
 	for _, id := range monitors {
-		t.entries[id].target = t.limits.NewsSends + 1
+		t.entries[id].sendsAsMonitor = t.limits.NewsSends + 1
 	}
 	var to []Target
 	for _, id := range t.order {
 		e := t.entries[id]
-		watch := e.target > t.limits.NewsSends
-		// A member that is gone but listed is asked on, since it may have been
-		// cut off only.
-		if (e.target > 0 || t.farewells > 0) && (!e.gone || e.listed) && e.member.Addr.IsValid() {
+		watch := e.sendsAsMonitor > t.limits.NewsSends
+		// A member that is gone but still listed stays a target, since it may only be
+		// unreachable for a while.
+		if (e.sendsAsMonitor > 0 || t.broadcasts > 0) && (!e.gone || e.listed) && e.member.Addr.IsValid() {
 			to = append(to, Target{Addr: e.member.Addr, Watch: watch})
 		}
-		e.target = max(0, e.target-1)
+		e.sendsAsMonitor = max(0, e.sendsAsMonitor-1)
 	}
 	return to
 }
 
-// Urgent reports whether there is news that has not been sent yet.
+// Urgent reports whether an urgent update hasn't been sent yet, so that a heartbeat is due now.
 func (t *Table) Urgent() bool {
-	if t.selfNews {
+	if t.selfUrgent {
 		return true
 	}
 	for _, e := range t.entries {
@@ -189,81 +189,81 @@
 }
 
 func (t *Table) add(m Member, now time.Time) *entry {
-	e := &entry{member: m, heard: now}
+	e := &entry{member: m, lastSeen: now}
 	t.entries[m.VM] = e
 	t.order = slices.Sorted(maps.Keys(t.entries))
 	return e
 }
 
-// byTurns passes one known member on, so that a member that starts while the
-// platform is away comes to know all.
-func (t *Table) byTurns() []Member {
+// roundRobin returns the state of one known member, a different one each time. A member that
+// starts while the platform is unreachable learns of all members this way.
+func (t *Table) roundRobin() []Member {
 	for range t.order {
 		t.next = (t.next + 1) % len(t.order)
 		e := t.entries[t.order[t.next]]
 		if !e.gone && e.member.Incarnation != "" {
-			return []Member{e.news()}
+			return []Member{e.update()}
 		}
 	}
 	return nil
 }
 
-// expire marks as gone those of whom no sign of life came in time, and forgets
-// those that the list lacks as well.
+// expire marks members as gone after their timeout. It removes those that have been gone for
+// the retention time and aren't listed.
 func (t *Table) expire(now time.Time) {
-	forgot := false
+	removed := false
 	for _, id := range t.order {
 		e := t.entries[id]
-		long := t.long()
+		retention := t.retention()
 		switch {
 		case e.gone:
-		case e.watched && now.Sub(e.direct) > t.silence(e):
+		case e.monitored && now.Sub(e.lastDirect) > t.timeout(e):
 			e.gone = true
-			t.hurry(e)
-		// Those whose heartbeats go to others are told of in turns; where
-		// that ends, all that heard of them are cut off or gone with them.
-		case now.Sub(e.heard) > long:
+			t.markUrgent(e)
+		// The state of a member that others monitor arrives round-robin. When it stops
+		// arriving, all members with newer state of it are gone or unreachable too.
+		case now.Sub(e.lastSeen) > retention:
 			e.gone = true
 		}
-		if e.gone && !e.listed && now.Sub(e.heard) > long {
+		if e.gone && !e.listed && now.Sub(e.lastSeen) > retention {
 			delete(t.entries, id)
-			forgot = true
+			removed = true
 		}
 	}
-	if forgot {
+	if removed {
 		t.order = slices.Sorted(maps.Keys(t.entries))
 	}
 }
 
-func (t *Table) silence(e *entry) time.Duration {
+func (t *Table) timeout(e *entry) time.Duration {
 	if t.listKnown && !e.listed {
 		return t.limits.UnlistedSilence
 	}
 	return t.limits.Silence
 }
 
-// long is how long a member is remembered without a sign of life, so that late
-// heartbeats of one that is gone aren't taken for a new one. Turns come round
-// once in as many heartbeats as there are members.
-func (t *Table) long() time.Duration {
-	return max(forgetAfter*t.limits.Silence, forgetTurns*time.Duration(len(t.order))*t.limits.Every)
+// retention is how long a member is kept without newer state, so that late heartbeats of one
+// that is gone don't add it as a new member. A round of the round-robin updates takes as many
+// heartbeats as there are members.
+func (t *Table) retention() time.Duration {
+	return max(retentionTimeouts*t.limits.Silence, retentionRounds*time.Duration(len(t.order))*t.limits.Every)
 }
 
 const (
-	forgetAfter = 12
-	forgetTurns = 2
+	retentionTimeouts = 12
+	retentionRounds   = 2
 )
 
-// hurry has news of a member sent at once and more than once.
-func (t *Table) hurry(e *entry) {
+// markUrgent schedules an update about a member to be sent immediately and repeatedly.
+func (t *Table) markUrgent(e *entry) {
 	e.sends = t.limits.NewsSends
 	e.urgent = true
 }
 
 func (t *Table) large() bool { return len(t.entries)+1 > t.limits.AllToAll }
 
-// merge takes what was said of a member and returns its entry, or nil where it
-// was out of date.
+// merge applies a received state of a member and returns its entry, or nil if the state was
+// out of date or says that the member is gone.
 func (t *Table) merge(now time.Time, m Member) *entry {
 	e := t.entries[m.VM]
 	if e == nil {
@@ -275,52 +275,52 @@
 		return e
 	}
 	if e.member.Incarnation != m.Incarnation {
-		return t.mergeLife(now, e, m)
+		return t.mergeIncarnation(now, e, m)
 	}
 	if m.Gone {
 		if m.Sequence >= e.member.Sequence && !e.gone {
 			e.gone = true
-			t.hurry(e)
+			t.markUrgent(e)
 		}
-		// News of the member that is older than the word that it is gone must
-		// not bring it back, though it is newer than what was known here.
+		// A state of the member from before it was marked as gone must not make it live
+		// again, though that state may be newer than the one known here.
 		e.member.Sequence = max(e.member.Sequence, m.Sequence)
 		return nil
 	}
 	changed := m.Leaving && !e.member.Leaving
 	if m.Sequence > e.member.Sequence {
-		// A member that is heard of again may be sending to others by now.
-		e.watched = e.watched && !e.gone
+		// A member that was gone may send its heartbeats to other monitors now.
+		e.monitored = e.monitored && !e.gone
 		changed = changed || e.gone
 		e.gone = false
-		e.heard = now
+		e.lastSeen = now
 		e.member.Sequence, e.member.Addr = m.Sequence, m.Addr
 	}
 	e.member.Leaving = e.member.Leaving || m.Leaving
 	e.member.Revision = max(e.member.Revision, m.Revision)
 	if changed {
-		t.hurry(e)
+		t.markUrgent(e)
 	}
 	return e
 }
 
-// mergeLife takes another life of a member. An earlier one is out of date: a
-// late heartbeat of a process that has ended would bring it back.
-func (t *Table) mergeLife(now time.Time, e *entry, m Member) *entry {
-	unknown := e.member.Incarnation == ""
-	if m.Gone || m.Incarnation == "" || (!unknown && !Supersedes(m.Incarnation, e.member.Incarnation)) {
+// mergeIncarnation applies the state of another incarnation of a member. An earlier
+// incarnation is out of date and ignored: a late heartbeat of a process that has ended would
+// otherwise make that process live again.
+func (t *Table) mergeIncarnation(now time.Time, e *entry, m Member) *entry {
+	listedOnly := e.member.Incarnation == ""
+	if m.Gone || m.Incarnation == "" || (!listedOnly && !Supersedes(m.Incarnation, e.member.Incarnation)) {
 		return nil
 	}
 	m.Leaving = m.Leaving || e.listedLeaving
-	e.member, e.gone, e.heard, e.watched = m, false, now, false
-	// Nothing goes wrong while a new life is not known everywhere. One sending
-	// from each that learns of it is enough, and a restart of all together
-	// stays cheap.
+	e.member, e.gone, e.lastSeen, e.monitored = m, false, now, false
+	// Members that don't know a new incarnation yet cause no harm. One send from each member
+	// that learns of it is enough, and keeps a restart of all members at once cheap.
 	e.sends = 1
 	return e
 }
 
-// monitors returns those that this member's heartbeats go to.
+// monitors returns the members that are to monitor this one, by rendezvous hashing.
 func (t *Table) monitors() []ggscore.VMID {
 	var live []ggscore.VMID
 	for _, id := range t.order {
@@ -338,17 +338,17 @@
 	return xxhash.Sum64String(string(of) + "\x00" + string(monitor))
 }
 
-// refute answers a word that this member is gone.
+// refute handles an update which says that this member is gone.
 func (t *Table) refute(m Member) {
 	if m.Gone && m.Incarnation == t.self.Incarnation {
 		t.self.Sequence = max(t.self.Sequence, m.Sequence)
-		t.selfNews = true
-		t.farewells = max(t.farewells, 1)
+		t.selfUrgent = true
+		t.broadcasts = max(t.broadcasts, 1)
 	}
 }
 
-// news returns what is told of a member.
-func (e *entry) news() Member {
+// update returns the state of a member to send in heartbeats.
+func (e *entry) update() Member {
 	m := e.member
 	m.Gone = e.gone
 	return m
--- a/core/ggsmember/table_test.go
+++ b/core/ggsmember/table_test.go
@@ -13,27 +13,27 @@
 	ggscore "greengageslip/core"
 )
 
-// domain is a failure domain's members and the heartbeats between them.
+// A domain simulates the members of a failure domain and the heartbeats between them.
 type domain struct {
 	now    time.Time
 	tables []*Table
-	// cut says which members can't reach others.
-	cut map[int]bool
-	// lost draws whether a heartbeat is lost.
+	// isolated holds the members that can't reach others.
+	isolated map[int]bool
+	// lost returns whether to drop the next heartbeat.
 	lost func() bool
 	sent int
 }
 
-func member(i, life int) Member {
+func member(i, incarnation int) Member {
 	return Member{
 		VM:          ggscore.VMID(fmt.Sprintf("vm%03d", i)),
 		Addr:        netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 1, byte(i)}), 7000),
-		Incarnation: fmt.Sprintf("00000000-%04d-7000-8000-%012d", life, i),
+		Incarnation: fmt.Sprintf("00000000-%04d-7000-8000-%012d", incarnation, i),
 	}
 }
 
 func newDomain(n int) *domain {
-	d := &domain{now: time.Unix(1_800_000_000, 0), cut: map[int]bool{}, lost: func() bool { return false }}
+	d := &domain{now: time.Unix(1_800_000_000, 0), isolated: map[int]bool{}, lost: func() bool { return false }}
 	var vms []ggscore.VM
 	for i := range n {
 		m := member(i, 0)
@@ -54,14 +54,14 @@
 		j := int(a.Addr.Addr().As4()[3])
 		h.Watch = a.Watch
 		d.sent++
-		if !d.cut[i] && !d.cut[j] && !d.lost() {
+		if !d.isolated[i] && !d.isolated[j] && !d.lost() {
 			d.tables[j].Receive(d.now, t.self.Addr, h)
 		}
 	}
 }
 
-// pass lets time pass, in steps of a quarter of a heartbeat's time, in which
-// members with news send at once.
+// pass advances the time in steps of a quarter of the heartbeat interval. Members with an
+// urgent update send a heartbeat in each step.
 func (d *domain) pass(span time.Duration) {
 	const steps = 4
 	for range steps * int(span/time.Second) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// see returns what a member knows of the second, or nil.
-func (d *domain) see(i int) *Member {
+// view returns what member i knows of member 1, or nil.
+func (d *domain) view(i int) *Member {
 	for _, m := range d.tables[i].Members(d.now) {
 		if m.VM == member(1, 0).VM {
 			return &m
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// An agency's requests are still sent to a VM that is about to go: the
-// platform's list lags, or the platform is away. Every member knows within 3 s
-// from heartbeats alone, at all sizes, also when a fifth of them is lost.
+// Guards against requests that are sent to a leaving VM because the platform's list lags or the
+// platform is unreachable. All members know it within 3 s from heartbeats alone, at each size of
+// the domain and with 20% of the heartbeats lost.
 func TestLeavingIsKnownWithin3s(t *testing.T) {
 	t.Parallel()
 	for name, n := range map[string]int{"3 members": 3, "9 members": 9, "10 members": 10, "100 members": 100} {
@@ -100,7 +100,7 @@
 			d.tables[1].SetSelf(true, 0)
 			d.pass(3 * time.Second)
 			for i := range d.tables {
-				m := d.see(i)
+				m := d.view(i)
 				c.Assert(m, qt.IsNotNil, qt.Commentf("seen by %d", i))
 				c.Assert(m.Leaving, qt.IsTrue, qt.Commentf("seen by %d", i))
 			}
@@ -108,9 +108,9 @@
 	}
 }
 
-// A VM dies and its requests go on being sent to it. All others know it after
-// the silence and the time that news takes, and nobody else is lost.
-func TestDeadMemberIsGone(t *testing.T) {
+// Guards against requests that are sent to a failed VM. All others mark it as gone after the
+// timeout and the time that updates take to spread, and mark no other member as gone.
+func TestFailedMemberIsGone(t *testing.T) {
 	t.Parallel()
 	for name, n := range map[string]int{"3 members": 3, "100 members": 100} {
 		t.Run(name, func(t *testing.T) {
@@ -118,39 +118,39 @@
 			c := qt.New(t)
 			d := newDomain(n)
 			d.pass(5 * time.Second)
-			d.cut[1] = true
+			d.isolated[1] = true
 			d.pass(9 * time.Second)
 			for i := range d.tables {
 				if i == 1 {
 					continue
 				}
-				c.Assert(d.see(i), qt.IsNil, qt.Commentf("seen by %d", i))
+				c.Assert(d.view(i), qt.IsNil, qt.Commentf("seen by %d", i))
 				c.Assert(d.tables[i].Members(d.now), qt.HasLen, n-1)
 			}
-			d.cut[1] = false
+			d.isolated[1] = false
 			d.pass(9 * time.Second)
 			for i := range d.tables {
-				c.Assert(d.see(i), qt.IsNotNil, qt.Commentf("seen by %d", i))
+				c.Assert(d.view(i), qt.IsNotNil, qt.Commentf("seen by %d", i))
 			}
 		})
 	}
 }
 
-// A leaving VM gets new work again: a reading of the list from before it was
-// leaving came later than its heartbeat, or an old heartbeat was late.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+// Guards against new work for a leaving VM because a stale list, a late heartbeat or an older
+// incarnation arrives after the heartbeat with the leaving state.
+func TestLeavingIsFinal(t *testing.T) {
 	t.Parallel()
 	for name, undo := range map[string]func(*Table, time.Time, Heartbeat){
 		"lagging list": func(t *Table, now time.Time, _ Heartbeat) {
 			t.SetListed(now, []ggscore.VM{{ID: member(1, 0).VM, State: ggscore.VMLive}})
 		},
 		"late heartbeat": func(t *Table, now time.Time, old Heartbeat) { t.Receive(now, member(1, 0).Addr, old) },
-		"older life": func(t *Table, now time.Time, old Heartbeat) {
+		"older incarnation": func(t *Table, now time.Time, old Heartbeat) {
 			old.Sender.Incarnation = "00000000-0000-7000-7000-000000000000"
 			old.Sender.Sequence = 1 << 40
 			t.Receive(now, member(1, 0).Addr, old)
 		},
-		"news": func(t *Table, now time.Time, old Heartbeat) {
+		"update from another member": func(t *Table, now time.Time, old Heartbeat) {
 			t.Receive(now, member(2, 0).Addr, Heartbeat{Sender: member(2, 0), News: []Member{old.Sender}})
 		},
 	} {
@@ -161,18 +161,18 @@
 			old := d.tables[1].Beat(d.now)
 			d.tables[1].SetSelf(true, 0)
 			d.beat(1)
-			c.Assert(d.see(0).Leaving, qt.IsTrue)
+			c.Assert(d.view(0).Leaving, qt.IsTrue)
 			undo(d.tables[0], d.now, old)
-			c.Assert(d.see(0).Leaving, qt.IsTrue)
+			c.Assert(d.view(0).Leaving, qt.IsTrue)
 			d.tables[0].Receive(d.now, member(1, 1).Addr, Heartbeat{Sender: member(1, 1)})
-			c.Assert(d.see(0).Leaving, qt.IsFalse)
+			c.Assert(d.view(0).Leaving, qt.IsFalse)
 		})
 	}
 }
 
-// A VM that the platform is about to take away gets new work, since its own
-// process doesn't know yet. The list says so, and heartbeats carry it on.
-func TestListedLeavingWins(t *testing.T) {
+// Guards against new work for a VM that is leaving according to the platform's list, but whose own
+// process doesn't know it yet. Members that read the list pass the state on in heartbeats.
+func TestListedLeavingOverridesHeartbeats(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(3)
@@ -181,14 +181,14 @@
 		{ID: member(1, 0).VM, Addr: member(1, 0).Addr, State: ggscore.VMLeaving},
 		{ID: member(2, 0).VM, Addr: member(2, 0).Addr},
 	})
-	c.Assert(d.see(0).Leaving, qt.IsTrue)
+	c.Assert(d.view(0).Leaving, qt.IsTrue)
 	d.pass(2 * time.Second)
-	c.Assert(d.see(2).Leaving, qt.IsTrue)
+	c.Assert(d.view(2).Leaving, qt.IsTrue)
 }
 
-// A member that starts while the platform is away sees few others, and the
-// work of the rest goes to the wrong VMs: it knows all from two of them.
-func TestStartWithoutTheList(t *testing.T) {
+// Guards against an incomplete view, and so work for the wrong VMs, at a member that starts while
+// the platform is unreachable. It learns of all members from heartbeats of two of them.
+func TestStartWithoutPlatformList(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(40)
@@ -201,9 +201,9 @@
 	c.Assert(d.tables[39].Members(d.now), qt.HasLen, 40)
 }
 
-// A VM gets new work for a second after it said that it is leaving, since that
-// went to its few monitors only. The next heartbeat goes to all.
-func TestLeavingIsToldToAll(t *testing.T) {
+// Guards against new work for a leaving VM in the second after its heartbeat, if that heartbeat
+// went only to its few monitors. The next heartbeat goes to all members.
+func TestLeavingHeartbeatGoesToAll(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(100)
@@ -212,33 +212,33 @@
 	d.tables[1].SetSelf(true, 0)
 	d.beat(1)
 	for i := range d.tables {
-		c.Assert(d.see(i).Leaving, qt.IsTrue)
+		c.Assert(d.view(i).Leaving, qt.IsTrue)
 	}
 }
 
-// A live VM stays out of the membership, since one member missed a few of its
-// heartbeats. Told that it is gone, it says at once that it isn't.
+// Guards against a live VM that stays out of the membership because one member missed a few of its
+// heartbeats. It refutes the update which says that it is gone immediately.
 func TestLiveMemberRefutes(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(100)
 	d.pass(2 * time.Second)
-	word := *d.see(0)
-	word.Gone = true
+	update := *d.view(0)
+	update.Gone = true
 	for _, t := range d.tables {
-		t.Receive(d.now, member(0, 0).Addr, Heartbeat{Sender: member(0, 0), News: []Member{word}})
+		t.Receive(d.now, member(0, 0).Addr, Heartbeat{Sender: member(0, 0), News: []Member{update}})
 	}
-	c.Assert(d.see(2), qt.IsNil)
+	c.Assert(d.view(2), qt.IsNil)
 	c.Assert(d.tables[1].Urgent(), qt.IsTrue)
 	d.beat(1)
 	for i := range d.tables {
-		c.Assert(d.see(i), qt.IsNotNil)
+		c.Assert(d.view(i), qt.IsNotNil)
 	}
 }
 
-// A dead VM gets work again: news of it from before its death came later than
-// the word that it is gone, to a member that knew less of it.
-func TestOldNewsDoesNotRevive(t *testing.T) {
+// Guards against work for a failed VM: an older state of it arrives after the update which says
+// that it is gone, at a member whose state of it was older still.
+func TestOldUpdateDoesNotRevive(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(20)
@@ -248,22 +248,21 @@
 	for _, m := range []Member{gone, old} {
 		d.tables[0].Receive(d.now, member(2, 0).Addr, Heartbeat{Sender: member(2, 0), News: []Member{m}})
 	}
-	c.Assert(d.see(0), qt.IsNil)
+	c.Assert(d.view(0), qt.IsNil)
 }
 
-// Live VMs drop out of the membership again and again for a minute after two
-// others had been cut off for a moment: each worked out whose monitor it was
-// from its own view, and missed members that sent elsewhere. Found by
-// TestMembershipUnderFaults, seed 2478101328009285172.
-func TestViewsSettleAfterACut(t *testing.T) {
+// Guards against live VMs that repeatedly count as gone for a minute after a brief partition of two
+// others: each member computed from its own view whom it monitors, and marked members as gone that
+// sent elsewhere. Found by TestMembershipUnderFaults, seed 2478101328009285172.
+func TestViewsConvergeAfterPartition(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(18)
-	d.cut[6] = true
+	d.isolated[6] = true
 	d.pass(4 * time.Second)
-	d.cut[12] = true
+	d.isolated[12] = true
 	d.pass(5 * time.Second)
-	d.cut = map[int]bool{}
+	d.isolated = map[int]bool{}
 	d.pass(5 * time.Second)
 	for range 30 {
 		d.pass(time.Second)
@@ -273,8 +272,8 @@
 	}
 }
 
-// A VM is given up though it lives, or a dead one comes back for good: events
-// arrive in any order, more than once, late or never.
+// Guards against views that still mark live members as gone, or miss leaving members, 40 s after
+// random sequences of partitions, departures and list readings.
 func TestMembershipUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -285,9 +284,9 @@
 			i := rapid.IntRange(0, n-1).Draw(t, "member")
 			switch rapid.SampledFrom([]string{"cut", "heal", "leave", "pass", "list"}).Draw(t, "action") {
 			case "cut":
-				d.cut[i] = true
+				d.isolated[i] = true
 			case "heal":
-				delete(d.cut, i)
+				delete(d.isolated, i)
 			case "leave":
 				d.tables[i].SetSelf(true, 0)
 				leaving[i] = true
@@ -298,7 +297,7 @@
 				d.pass(time.Duration(rapid.IntRange(1, 8).Draw(t, "s")) * time.Second)
 			}
 		}
-		d.cut = map[int]bool{}
+		d.isolated = map[int]bool{}
 		d.pass(40 * time.Second)
 		for i := range d.tables {
 			members := d.tables[i].Members(d.now)
