--- a/core/ggsretry/breaker.go
+++ b/core/ggsretry/breaker.go
@@ -15,61 +15,61 @@
 	DefaultProbe    = 5 * time.Second
 )
 
-// maxExcludedShare bounds the part of the targets that breakers exclude.
+// maxExcludedShare bounds the share of targets that Exclude returns.
 const maxExcludedShare = 0.5
 
-// breakerStream separates the breakers' random numbers from others of one
-// seed.
+// breakerStream selects a random stream for breakers that is independent of others with the
+// same seed.
 const breakerStream = 0x627265616b
 
-// A BreakerOptions sets circuit breakers. Zero fields take their defaults.
+// BreakerOptions configures circuit breakers. Zero fields take their defaults.
 type BreakerOptions struct {
 	Seed uint64
-	// Failures in a row open a breaker.
+	// Failures is the number of consecutive failures that open a breaker.
 	Failures int
-	// Open is how long a breaker is first open; it doubles with each probe
-	// that fails, up to MaxOpen.
+	// Open is how long a breaker stays open at first. The time doubles with each failed probe,
+	// up to MaxOpen. Up to half of the time is added at random.
 	Open    time.Duration
 	MaxOpen time.Duration
-	// Probe is how long a probe may take before another is let through.
+	// Probe is how long a probe may take before another one is allowed.
 	Probe time.Duration
 }
 
-// A Result is how a call of a target ended.
+// A Result is the outcome of a call, as evidence for or against its target.
 type Result int
 
 // The results of calls.
 const (
 	ResultOK Result = iota
-	// ResultFailed speaks against the target.
+	// ResultFailed counts as a failure of the target.
 	ResultFailed
-	// ResultNeutral says nothing of it: a caller went away, or a limit of the
-	// caller's was met.
+	// ResultNeutral counts neither as a success nor as a failure of the target: the caller
+	// disconnected, or a limit of the caller was reached.
 	ResultNeutral
 )
 
-// A Breakers holds the circuit breakers of many targets.
+// Breakers holds the circuit breakers of many targets.
 type Breakers[K comparable] struct {
 	options  BreakerOptions
 	rng      *rand.Rand
 	breakers map[K]*breaker
-	// tripped lists the targets that are not closed, in the order in which
-	// they opened.
+	// tripped lists the targets whose breakers aren't closed, in the order in which the
+	// breakers opened.
 	tripped []K
 }
 
-// A breaker is closed while it isn't tripped; tripped, it is open until
-// openUntil, then lets one probe through at a time.
+// A breaker is closed while it isn't tripped. A tripped breaker is open until openUntil, and
+// then allows one probe at a time.
 type breaker struct {
-	failures  int
-	tripped   bool
-	open      time.Duration
-	openUntil time.Time
-	probing   bool
-	probeEnds time.Time
+	failures      int
+	tripped       bool
+	open          time.Duration
+	openUntil     time.Time
+	probing       bool
+	probeDeadline time.Time
 }
 
-// NewBreakers returns breakers that are all closed.
+// NewBreakers returns a set in which the breaker of each target is closed.
 func NewBreakers[K comparable](o BreakerOptions) *Breakers[K] {
 	o.Failures = cmp.Or(o.Failures, DefaultFailures)
 	o.Open = cmp.Or(o.Open, DefaultOpen)
@@ -82,13 +82,13 @@
 	}
 }
 
-// Allow reports whether a call of the target may start now.
+// Allow reports whether a call to the target may start now.
 func (b *Breakers[K]) Allow(now time.Time, k K) bool {
 	t, ok := b.breakers[k]
 	return !ok || !t.tripped || t.mayProbe(now)
 }
 
-// Ended takes the result of a call.
+// Ended records the result of a call to the target.
 func (b *Breakers[K]) Ended(now time.Time, k K, r Result) {
 	t := b.target(k)
 	t.probing = false
@@ -101,12 +101,12 @@
 	}
 }
 
-// Exclude appends the targets that may not be called now to list.
+// Exclude appends to list the targets that must not be called now. At most half of the known
+// targets are excluded: those whose breakers opened first.
 //
-// A gateway that is itself cut off sees all its targets fail. If it excluded
-// all, it would refuse every request until the last breaker's time was over,
-// long after the link was back. At most half of the known targets are
-// excluded, those that opened first.
+// A gateway that is itself disconnected sees all its targets fail. If it excluded all of them,
+// it would refuse every request until the last breaker's open time ends, long after its link
+// is restored.
 func (b *Breakers[K]) Exclude(now time.Time, list []K) []K {
 	limit := int(maxExcludedShare * float64(len(b.breakers)))
 	for _, k := range b.tripped {
@@ -121,7 +121,7 @@
 	return list
 }
 
-// Remove forgets a target.
+// Remove deletes a target and its breaker.
 func (b *Breakers[K]) Remove(k K) {
 	if t, ok := b.breakers[k]; ok {
 		b.reset(k, t)
@@ -129,19 +129,19 @@
 	}
 }
 
-// Started notes that a call of the target has started.
+// Started records that a call to the target has started.
 func (b *Breakers[K]) Started(now time.Time, k K) {
 	t := b.target(k)
 	if t.tripped && t.mayProbe(now) {
 		t.probing = true
-		t.probeEnds = now.Add(b.options.Probe)
+		t.probeDeadline = now.Add(b.options.Probe)
 	}
 }
 
-// fail counts a failure, and opens the breaker or opens it for longer.
+// fail counts a failure, and opens the breaker or extends its open time.
 //
-// Calls that started before the breaker opened go on failing afterwards. They
-// say nothing new, so only a failure after the open time lengthens it.
+// Calls that started before the breaker opened may fail afterwards. These failures are no new
+// evidence, so only a failure after the open time extends that time.
 func (b *Breakers[K]) fail(now time.Time, k K, t *breaker) {
 	t.failures++
 	if t.failures < b.options.Failures || t.tripped && now.Before(t.openUntil) {
@@ -166,7 +166,7 @@
 	*t = breaker{}
 }
 
-// target returns the breaker of a target, closed where there was none.
+// target returns the breaker of a target. It adds a closed one if there is none.
 func (b *Breakers[K]) target(k K) *breaker {
 	t, ok := b.breakers[k]
 	if !ok {
@@ -176,10 +176,10 @@
 	return t
 }
 
-// mayProbe reports whether a tripped breaker lets a call through.
+// mayProbe reports whether a tripped breaker allows a call.
 func (t *breaker) mayProbe(now time.Time) bool {
 	if now.Before(t.openUntil) {
 		return false
 	}
-	return !t.probing || !now.Before(t.probeEnds)
+	return !t.probing || !now.Before(t.probeDeadline)
 }
--- a/core/ggsretry/budget.go
+++ b/core/ggsretry/budget.go
@@ -1,5 +1,5 @@
-// Package ggsretry decides whether a failed request is tried again, when, and
-// which dispatchers or endpoints are left alone for a while.
+// Package ggsretry provides a retry policy with a retry budget for each market, and circuit
+// breakers for dispatchers or endpoints.
 //
 // # Usage
 //
@@ -14,10 +14,11 @@
 //	b.Started(now, vm)
 //	b.Ended(now, vm, ggsretry.ResultFailed)
 //
-// Only work that is proved not to have run is tried again. Each market earns
-// its retries by its requests, so that an outage multiplies nobody's traffic.
-// The package holds no clock, no goroutine and no lock, and its random numbers
-// come from a seed.
+// A request is retried only if it is known not to have run. The requests of a market add to
+// its retry budget, so that retries during an outage can't multiply the traffic.
+//
+// The package has no clock, goroutine or lock. Callers pass the time and serialize access.
+// Random numbers come from a seed.
 package ggsretry
 
 import (
@@ -37,49 +38,51 @@
 	DefaultMaxWait     = time.Second
 )
 
-// idleRefill is the time in which an idle market's empty budget fills up, so
-// that a rare request may be tried again.
+// idleRefill is the time in which an idle market's empty budget becomes full, so that a market
+// with few requests can retry too.
 const idleRefill = 100 * time.Second
 
-// seedStream separates the policy's random numbers from others of one seed.
-const seedStream = 0x7265747279
+// policyStream selects a random stream for policies that is independent of others with the same
+// seed.
+const policyStream = 0x7265747279
 
-// An Options sets a retry policy. Zero fields take their defaults.
+// Options configures a retry policy. Zero fields take their defaults.
 type Options struct {
 	Seed uint64
-	// Ratio is the number of retries that each request earns its market.
+	// Ratio is the number of retries that each request adds to its market's budget.
 	Ratio float64
-	// Depth is the number of retries that a market can save up.
+	// Depth is the greatest number of retries in a market's budget.
 	Depth float64
-	// MaxAttempts is the number of times that a request is tried in all.
+	// MaxAttempts is the greatest number of attempts of a request, the first included.
 	MaxAttempts int
-	// Base is the mean wait before the first retry. It doubles with each, up
-	// to MaxWait.
+	// Base is the mean wait before the first retry. Waits are drawn from zero to twice the
+	// mean, which doubles with each retry. MaxWait bounds the range of the draw. A failure's
+	// RetryAfter is added to the wait.
 	Base    time.Duration
 	MaxWait time.Duration
 }
 
-// An Attempt is one that failed.
+// An Attempt is a failed attempt of a request.
 type Attempt struct {
 	Market ggscore.Market
-	// Number counts from one.
+	// Number is 1 for the first attempt.
 	Number  int
 	Failure *ggscore.Failure
-	// Left is the time that is left for the request.
+	// Left is the time until the request's deadline.
 	Left time.Duration
 }
 
-// A Policy decides on retries.
+// A Policy decides whether and when failed requests are retried.
 type Policy struct {
 	options Options
 	rng     *rand.Rand
 	budgets map[ggscore.Market]*budget
 }
 
-// A budget is the number of retries that a market has earned.
+// A budget is a token bucket with one token for each retry that a market may make.
 type budget struct {
-	tokens float64
-	at     time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
 // NewPolicy returns a policy in which each market has a full budget.
@@ -91,13 +94,13 @@
 	o.MaxWait = cmp.Or(o.MaxWait, DefaultMaxWait)
 	return &Policy{
 		options: o,
-		rng:     rand.New(rand.NewPCG(o.Seed, seedStream)),
+		rng:     rand.New(rand.NewPCG(o.Seed, policyStream)),
 		budgets: map[ggscore.Market]*budget{},
 	}
 }
 
-// SetDepth changes the number of retries that a market can save up. What it had
-// saved beyond that is lost.
+// SetDepth changes the greatest number of retries in a market's budget. Tokens beyond it are
+// discarded.
 func (p *Policy) SetDepth(depth float64) {
 	p.options.Depth = depth
 	for _, b := range p.budgets {
@@ -105,7 +108,7 @@
 	}
 }
 
-// Keep forgets the budgets of markets that the document no longer names.
+// Keep removes the budgets of markets that aren't in markets, which are those of the document.
 func (p *Policy) Keep(markets map[ggscore.Market]ggscore.MarketSpec) {
 	for m := range p.budgets {
 		if _, ok := markets[m]; !ok {
@@ -114,8 +117,8 @@
 	}
 }
 
-// Request earns the market its part of a retry. It is called once for each
-// request, not for its retries.
+// Request adds Ratio to the market's budget. It is called once for each request, and not for
+// retries.
 func (p *Policy) Request(now time.Time, m ggscore.Market) {
 	b := p.budget(now, m)
 	b.tokens = min(b.tokens+p.options.Ratio, p.options.Depth)
@@ -123,11 +126,11 @@
 
 // Retry returns the wait before the next attempt, or a *NoRetryError.
 //
-// While an endpoint is away every request fails; if each were tried again
-// three times, the rest would get four times the traffic just when there are
-// fewer of them, and would fail in turn. The market's budget bounds the added
-// part to Ratio. The waits are drawn at random from their whole range, so that
-// requests that failed together don't come back together.
+// While an endpoint is down, all its requests fail. If each were retried three times, the
+// remaining endpoints would get four times the traffic while there are fewer of them, and
+// would fail too. The market's budget bounds the added traffic to Ratio. Waits are drawn
+// at random from their full range, so that requests that failed at the same time aren't
+// retried at the same time.
 func (p *Policy) Retry(now time.Time, a Attempt) (time.Duration, error) {
 	if !retryable(a.Failure) {
 		return 0, &NoRetryError{Market: a.Market, Cause: CauseNotRetryable}
@@ -147,17 +150,17 @@
 	return wait, nil
 }
 
-// budget returns the market's budget, brought to now.
+// budget returns the market's budget, refilled up to now.
 func (p *Policy) budget(now time.Time, m ggscore.Market) *budget {
 	b, ok := p.budgets[m]
 	if !ok {
-		b = &budget{tokens: p.options.Depth, at: now}
+		b = &budget{tokens: p.options.Depth, updatedAt: now}
 		p.budgets[m] = b
 	}
-	if age := now.Sub(b.at); age > 0 {
-		earned := p.options.Depth * age.Seconds() / idleRefill.Seconds()
-		b.tokens = min(b.tokens+earned, p.options.Depth)
-		b.at = now
+	if age := now.Sub(b.updatedAt); age > 0 {
+		refill := p.options.Depth * age.Seconds() / idleRefill.Seconds()
+		b.tokens = min(b.tokens+refill, p.options.Depth)
+		b.updatedAt = now
 	}
 	return b
 }
@@ -171,8 +174,8 @@
 	return a.Failure.RetryAfter + time.Duration(p.rng.Int64N(int64(top)))
 }
 
-// retryable reports whether a failed attempt may be tried again elsewhere: it
-// is proved not to have run, and another dispatcher may answer otherwise.
+// retryable reports whether a failed attempt may be retried elsewhere: the request is known
+// not to have run, and another dispatcher may succeed.
 func retryable(f *ggscore.Failure) bool {
 	if f == nil || f.Outcome != ggscore.OutcomeNotRun {
 		return false
--- a/core/ggsretry/errors.go
+++ b/core/ggsretry/errors.go
@@ -6,20 +6,22 @@
 	ggscore "greengageslip/core"
 )
 
-// A Cause says why a request isn't tried again.
+// A Cause says why a request isn't retried.
 type Cause string
 
-// The causes.
+// Causes of a NoRetryError.
 const (
-	// CauseNotRetryable means that it may have run, or would fail again.
+	// CauseNotRetryable means that the request may have run, or would fail again.
 	CauseNotRetryable Cause = "notRetryable"
-	CauseAttempts     Cause = "attempts"
-	CauseTime         Cause = "time"
-	// CauseBudget means that the market has used up its retries.
+	// CauseAttempts means that the request has used all its attempts.
+	CauseAttempts Cause = "attempts"
+	// CauseTime means that the wait wouldn't end before the request's deadline.
+	CauseTime Cause = "time"
+	// CauseBudget means that the market's retry budget is used up.
 	CauseBudget Cause = "budget"
 )
 
-// A NoRetryError says that a failed request isn't tried again.
+// A NoRetryError says that a failed request isn't retried.
 type NoRetryError struct {
 	Market ggscore.Market
 	Cause  Cause
--- a/core/ggsretry/retry_test.go
+++ b/core/ggsretry/retry_test.go
@@ -18,8 +18,9 @@
 	return &ggscore.Failure{Kind: k, Outcome: ggscore.OutcomeNotRun}
 }
 
-// VMs come, and share with the others what they may send more than once together.
-func TestDepthFollowsTheDeployment(t *testing.T) {
+// Guards against too many retries after the deployment grows: VMs share the total budget, so the
+// depth of each shrinks, and tokens beyond the new depth must be discarded.
+func TestSetDepthDiscardsTokens(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	p := ggsretry.NewPolicy(ggsretry.Options{Seed: 1, Depth: 4, Ratio: 0.1, MaxAttempts: 9})
@@ -40,9 +41,9 @@
 	c.Assert(granted(), qt.Equals, 2)
 }
 
-// A deposit release is cut off after its first byte was sent. The gateway
-// tries it again on another dispatcher, and the landlord is paid twice.
-func TestOnlyWorkProvedNotRunIsRetried(t *testing.T) {
+// Guards against running a request twice, such as a payment: its connection breaks after the first
+// byte was sent, and the gateway retries it on another dispatcher although it may have run.
+func TestOnlyRequestsNotRunAreRetried(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		failure *ggscore.Failure
@@ -68,9 +69,8 @@
 	}
 }
 
-// A third of the runners restart on opening night. Each refused request is
-// tried again at once and again, the rest get several times the traffic, fail
-// in turn, and the outage goes on after the runners are back.
+// Guards against a retry storm: a third of the runners restart at peak load, immediate retries
+// multiply the traffic of the others until they fail too, and the outage outlasts the restart.
 func TestOutageCausesNoRetryStorm(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -102,26 +102,26 @@
 	_, err := p.Retry(at(10*time.Second), ggsretry.Attempt{
 		Market: "cr", Number: 1, Left: time.Minute, Failure: notRun(ggscore.FailureNoCapacity),
 	})
-	c.Check(err, qt.IsNil, qt.Commentf("one market's storm uses up another's budget"))
+	c.Check(err, qt.IsNil, qt.Commentf("the retries of one market use up the budget of another"))
 }
 
-func TestRetryKeepsToTimeAndAttempts(t *testing.T) {
+func TestRetryRespectsTimeAndAttempts(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		attempt ggsretry.Attempt
 		want    ggsretry.Cause
 	}{
-		"no time left":  {attempt: ggsretry.Attempt{Number: 1}, want: ggsretry.CauseTime},
-		"last attempt":  {attempt: ggsretry.Attempt{Number: 3, Left: time.Minute}, want: ggsretry.CauseAttempts},
-		"told to wait":  {attempt: ggsretry.Attempt{Number: 1, Left: time.Second}, want: ggsretry.CauseTime},
-		"many attempts": {attempt: ggsretry.Attempt{Number: 1 << 40, Left: time.Second}, want: ggsretry.CauseAttempts},
+		"no time left":        {attempt: ggsretry.Attempt{Number: 1}, want: ggsretry.CauseTime},
+		"last attempt":        {attempt: ggsretry.Attempt{Number: 3, Left: time.Minute}, want: ggsretry.CauseAttempts},
+		"RetryAfter too long": {attempt: ggsretry.Attempt{Number: 1, Left: time.Second}, want: ggsretry.CauseTime},
+		"many attempts":       {attempt: ggsretry.Attempt{Number: 1 << 40, Left: time.Second}, want: ggsretry.CauseAttempts},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			p := ggsretry.NewPolicy(ggsretry.Options{Seed: 1})
 			tc.attempt.Failure = notRun(ggscore.FailureStopping)
-			if name == "told to wait" {
+			if name == "RetryAfter too long" {
 				tc.attempt.Failure.RetryAfter = time.Second
 			}
 			_, err := p.Retry(at(0), tc.attempt)
@@ -132,7 +132,7 @@
 	}
 }
 
-// call makes one call of a target, if its breaker lets it.
+// call makes one call to a target unless the target is excluded, and reports whether it did.
 func call(b *ggsretry.Breakers[string], now time.Time, k string, r ggsretry.Result) bool {
 	if slices.Contains(b.Exclude(now, nil), k) {
 		return false
@@ -142,32 +142,32 @@
 	return true
 }
 
-// A dispatcher hangs after a fault. Every gateway sends it one request in four,
-// and as many callers wait in vain until it is taken off the list.
-func TestBreakerLeavesSickTargetAlone(t *testing.T) {
+// Guards against callers that wait in vain for a dispatcher that hangs after a fault: each gateway
+// would keep sending it one request in four until the dispatcher is removed from the list.
+func TestBreakerLimitsCallsToFailingTarget(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := ggsretry.NewBreakers[string](ggsretry.BreakerOptions{Seed: 1})
 	call(b, at(0), "healthy", ggsretry.ResultOK)
 	calls := 0
 	for ms := range 60_000 {
-		if call(b, at(time.Duration(ms)*time.Millisecond), "sick", ggsretry.ResultFailed) {
+		if call(b, at(time.Duration(ms)*time.Millisecond), "failing", ggsretry.ResultFailed) {
 			calls++
 		}
 	}
 	c.Check(calls > 5 && calls < 20, qt.IsTrue, qt.Commentf("%d calls", calls))
 
-	back := at(100 * time.Second)
-	c.Assert(b.Allow(back, "sick"), qt.IsTrue)
-	b.Started(back, "sick")
-	c.Check(b.Allow(back, "sick"), qt.IsFalse, qt.Commentf("a second probe beside the first"))
-	c.Check(b.Allow(back.Add(ggsretry.DefaultProbe), "sick"), qt.IsTrue, qt.Commentf("a lost probe"))
-	b.Ended(back, "sick", ggsretry.ResultOK)
-	c.Check(b.Exclude(back, nil), qt.HasLen, 0)
+	restored := at(100 * time.Second)
+	c.Assert(b.Allow(restored, "failing"), qt.IsTrue)
+	b.Started(restored, "failing")
+	c.Check(b.Allow(restored, "failing"), qt.IsFalse, qt.Commentf("a second probe beside the first"))
+	c.Check(b.Allow(restored.Add(ggsretry.DefaultProbe), "failing"), qt.IsTrue, qt.Commentf("a probe without a result"))
+	b.Ended(restored, "failing", ggsretry.ResultOK)
+	c.Check(b.Exclude(restored, nil), qt.HasLen, 0)
 }
 
-// A gateway's own link is cut for a moment. All its breakers open, and it
-// refuses every request for seconds after the link is back.
+// Guards against a gateway that refuses all requests for seconds after its own link was down for a
+// moment, since all its breakers opened.
 func TestBreakersNeverExcludeAll(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -183,10 +183,9 @@
 	c.Check(b.Exclude(at(0), nil), qt.DeepEquals, []string{"b"})
 }
 
-// A dispatcher restarts in a second with a hundred calls in progress. Each of
-// them fails, each failure doubles the breaker's time, and the dispatcher gets
-// no work for a quarter of a minute though it is back.
-func TestCallsInProgressDoNotLengthenTheOpenTime(t *testing.T) {
+// Guards against a breaker that stays open for 15 s after a dispatcher restarts within a second
+// with a hundred calls in flight: each call fails, and each failure would double the open time.
+func TestCallsInFlightDoNotExtendOpenTime(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := ggsretry.NewBreakers[string](ggsretry.BreakerOptions{Seed: 1})
