--- a/core/ggsshare/borrow.go
+++ b/core/ggsshare/borrow.go
@@ -7,125 +7,125 @@
 	ggscore "greengageslip/core"
 )
 
-// A unit is what the borrower knows of one borrowed unit.
-type unit struct {
-	// held is the revision of the own record, zero where it has none.
-	held  ggscore.StoreRevision
-	since time.Time
-	// givenUp is the greatest revision that the borrower has given up.
-	givenUp ggscore.StoreRevision
-	// busy is set while a call on the record is under way.
-	busy bool
-}
-
-// adopt counts a record as held, if it is the own one of the lease held now.
+// A unitState is the borrower's state of one borrowed unit.
+type unitState struct {
+	// heldRevision is the revision of this borrower's record, zero if it holds none.
+	heldRevision ggscore.StoreRevision
+	// turnStart is when the current turn with the unit began.
+	turnStart time.Time
+	// releasedRevision is the greatest revision that the borrower has released.
+	releasedRevision ggscore.StoreRevision
+	// inFlight is set while a call on the record is in flight.
+	inFlight bool
+}
+
+// adopt marks a record's unit as held if the record belongs to the current lease.
 //
-// A delete whose answer was lost may take effect much later, and a list may
-// show the record as it was before the delete. Used again, the unit would have
-// two holders once another borrows it. A revision that was given up is
-// therefore never adopted; a later put gives the record a new one, for which
-// the late delete no longer holds.
+// A delete whose answer was lost may take effect much later, and a list may still contain the
+// record from before the delete. If the borrower used the unit again, the unit would have two
+// holders as soon as another borrows it. A released revision is therefore never adopted. A
+// later put gives the record a new revision, which the late delete doesn't match.
 func (s *State) adopt(now time.Time, r Record) {
-	x := s.unit(r.Unit)
-	if r.Lease != s.lease.ID || r.Lease == 0 || r.Revision <= x.givenUp {
+	x := s.unitState(r.Unit)
+	if r.Lease != s.lease.ID || r.Lease == 0 || r.Revision <= x.releasedRevision {
 		return
 	}
-	if x.held != r.Revision {
-		x.held = r.Revision
-		x.since = now
+	if x.heldRevision != r.Revision {
+		x.heldRevision = r.Revision
+		x.turnStart = now
 	}
 }
 
-// backOff sets the time of the next attempt to borrow.
+// backOff sets the time of the next attempt to borrow, with exponential backoff and jitter.
 func (s *State) backOff(now time.Time) {
-	wait := s.askWait/2 + time.Duration(s.rng.Int64N(int64(s.askWait)))
-	s.askNext = now.Add(wait)
-	s.askWait = min(2*s.askWait, maxAsk)
+	wait := s.attemptWait/2 + time.Duration(s.rng.Int64N(int64(s.attemptWait)))
+	s.nextAttempt = now.Add(wait)
+	s.attemptWait = min(2*s.attemptWait, maxAttemptWait)
 }
 
-// borrow orders as many of the free units as are wanted, from a random one on,
-// so that borrowers don't all ask for the same.
+// borrow returns puts for as many free units as the demand needs. It starts at a random unit,
+// so that borrowers don't contend for the same ones.
 func (s *State) borrow(now time.Time, taken map[Unit]bool) []Order {
 	orders := []Order{}
-	want := s.wants(now)
+	needed := s.shortfall(now)
 	n := s.borrowable()
-	if n <= 0 || want <= 0 {
+	if n <= 0 || needed <= 0 {
 		return nil
 	}
 	start := s.rng.IntN(n)
 	for i := range n {
 		u := Unit((start + i) % n)
-		x := s.unit(u)
-		if len(orders) == want {
+		x := s.unitState(u)
+		if len(orders) == needed {
 			break
 		}
-		if taken[u] || x.held != 0 || x.busy {
+		if taken[u] || x.heldRevision != 0 || x.inFlight {
 			continue
 		}
-		x.busy = true
-		orders = append(orders, s.put(u))
+		x.inFlight = true
+		orders = append(orders, s.putOrder(u))
 	}
 	return orders
 }
 
-// borrowable returns the number of units that may be borrowed by the old plan
-// and by the new one.
+// borrowable returns the number of units that may be borrowed. During a change of plan it is
+// the smaller number of the two plans.
 func (s *State) borrowable() int {
-	if s.grows.IsZero() {
+	if s.growsAt.IsZero() {
 		return s.plan.Borrowed()
 	}
-	return min(s.plan.Borrowed(), s.next.Borrowed())
+	return min(s.plan.Borrowed(), s.nextPlan.Borrowed())
 }
 
-// call asks for a turn, where the borrower has less than an equal part and
-// nobody else asks.
-func (s *State) call(taken map[Unit]bool, holders int) []Order {
-	x := s.unit(Wanted)
-	if taken[Wanted] || x.held != 0 || x.busy {
+// requestTurn returns a put of the Wanted record, if the borrower holds less than an equal
+// share of the units and no borrower has put that record yet.
+func (s *State) requestTurn(taken map[Unit]bool, holders int) []Order {
+	x := s.unitState(Wanted)
+	if taken[Wanted] || x.heldRevision != 0 || x.inFlight {
 		return nil
 	}
 	if len(s.heldUnits()) >= max(s.borrowable()/holders, 1) {
 		return nil
 	}
-	x.busy = true
-	return []Order{s.put(Wanted)}
+	x.inFlight = true
+	return []Order{s.putOrder(Wanted)}
 }
 
-// clean deletes an own record that is still there although it was given up,
-// since the delete got lost. Nobody could borrow the unit until the lease ends.
-func (s *State) clean(r Record) []Order {
-	x := s.unit(r.Unit)
-	if r.Lease != s.lease.ID || r.Lease == 0 || r.Revision != x.givenUp || x.busy {
+// deleteReleased deletes a released record that still exists because its delete was lost.
+// Otherwise no borrower could use the unit until the lease ends.
+func (s *State) deleteReleased(r Record) []Order {
+	x := s.unitState(r.Unit)
+	if r.Lease != s.lease.ID || r.Lease == 0 || r.Revision != x.releasedRevision || x.inFlight {
 		return nil
 	}
-	x.busy = true
+	x.inFlight = true
 	return []Order{{Kind: OrderDelete, Unit: r.Unit, Prev: r.Revision}}
 }
 
-// giveUp stops using units, and orders the deletes of their records.
-func (s *State) giveUp(now time.Time, units []Unit) []Order {
+// release stops using units and returns the deletes of their records.
+func (s *State) release(now time.Time, units []Unit) []Order {
 	orders := []Order{}
 	for _, u := range units {
-		x := s.unit(u)
-		if x.busy || x.held == 0 {
+		x := s.unitState(u)
+		if x.inFlight || x.heldRevision == 0 {
 			continue
 		}
-		orders = append(orders, Order{Kind: OrderDelete, Unit: u, Prev: x.held})
-		x.busy = true
-		x.givenUp = x.held
-		x.held = 0
+		orders = append(orders, Order{Kind: OrderDelete, Unit: u, Prev: x.heldRevision})
+		x.inFlight = true
+		x.releasedRevision = x.heldRevision
+		x.heldRevision = 0
 	}
 	if len(orders) > 0 {
-		s.askNext = now.Add(minAsk)
+		s.nextAttempt = now.Add(minAttemptWait)
 	}
 	return orders
 }
 
-// heldUnits returns the held units in order, the mark apart.
+// heldUnits returns the held units in ascending order, without Wanted.
 func (s *State) heldUnits() []Unit {
 	list := []Unit{}
 	for u, x := range s.units {
-		if u != Wanted && x.held != 0 {
+		if u != Wanted && x.heldRevision != 0 {
 			list = append(list, u)
 		}
 	}
@@ -133,17 +133,17 @@
 	return list
 }
 
-// needsList reports whether the records are to be read.
+// needsList reports whether the records must be read.
 func (s *State) needsList(now time.Time) bool {
 	if s.lease.ID == 0 || !now.Before(s.lease.Expires) {
 		return false
 	}
-	ends := s.turnEnds()
-	return s.unclear || s.wants(now) > 0 || !ends.IsZero() && !now.Before(ends)
+	ends := s.nextTurnEnd()
+	return s.mayHaveUnknownRecord || s.shortfall(now) > 0 || !ends.IsZero() && !now.Before(ends)
 }
 
-// put returns the order to write a unit's record.
-func (s *State) put(u Unit) Order {
+// putOrder returns the order to write a unit's record.
+func (s *State) putOrder(u Unit) Order {
 	return Order{
 		Kind:   OrderPut,
 		Unit:   u,
@@ -152,74 +152,74 @@
 	}
 }
 
-// turnEnds returns when the oldest held unit has had its turn.
-func (s *State) turnEnds() time.Time {
+// nextTurnEnd returns when the first turn of a held unit ends, or the zero time.
+func (s *State) nextTurnEnd() time.Time {
 	ends := time.Time{}
 	for u, x := range s.units {
-		end := x.since.Add(turnTime)
-		if u != Wanted && x.held != 0 && (ends.IsZero() || end.Before(ends)) {
+		end := x.turnStart.Add(turnDuration)
+		if u != Wanted && x.heldRevision != 0 && (ends.IsZero() || end.Before(ends)) {
 			ends = end
 		}
 	}
 	return ends
 }
 
-// unit returns what is known of a unit.
-func (s *State) unit(u Unit) *unit {
+// unitState returns the state of a unit, and adds it if there is none.
+func (s *State) unitState(u Unit) *unitState {
 	x, ok := s.units[u]
 	if !ok {
-		x = &unit{}
+		x = &unitState{}
 		s.units[u] = x
 	}
 	return x
 }
 
-// unmark gives up the mark once the borrower has what it wants, or an equal
-// part.
-func (s *State) unmark(now time.Time, holders int) []Order {
-	if s.wants(now) > 0 && len(s.heldUnits()) < max(s.borrowable()/holders, 1) {
+// releaseWanted releases the Wanted record once the borrower has as many units as its demand
+// needs, or an equal share.
+func (s *State) releaseWanted(now time.Time, holders int) []Order {
+	if s.shortfall(now) > 0 && len(s.heldUnits()) < max(s.borrowable()/holders, 1) {
 		return nil
 	}
-	return s.giveUp(now, []Unit{Wanted})
+	return s.release(now, []Unit{Wanted})
 }
 
-// wants returns how many units more the demand asks for.
-func (s *State) wants(now time.Time) int {
+// shortfall returns how many more units the demand needs than are held or being borrowed.
+func (s *State) shortfall(now time.Time) int {
 	if !s.owner || !now.Before(s.lease.Expires) {
 		return 0
 	}
-	want := s.demand - s.static()
+	n := s.demand - s.staticUnits()
 	for u, x := range s.units {
-		if u != Wanted && (x.held != 0 || x.busy) {
-			want--
+		if u != Wanted && (x.heldRevision != 0 || x.inFlight) {
+			n--
 		}
 	}
-	return want
+	return n
 }
 
-// yield gives up units that have had their turn, if another borrower has asked
-// for one and this one has more than an equal part; else their next turn
-// begins. It then waits until the other has asked again.
+// yield releases units whose turn has ended, if another borrower has put the Wanted record and
+// this one holds more than an equal share; otherwise their next turn begins. After a release
+// it delays the next attempt to borrow, so that the other borrower attempts first.
 func (s *State) yield(now time.Time, wanted bool, holders int) []Order {
-	if mark := s.unit(Wanted); mark.held != 0 {
-		return s.unmark(now, holders)
+	if x := s.unitState(Wanted); x.heldRevision != 0 {
+		return s.releaseWanted(now, holders)
 	}
 	ended := []Unit{}
 	held := s.heldUnits()
 	for _, u := range held {
-		if now.Sub(s.units[u].since) < turnTime {
+		if now.Sub(s.units[u].turnStart) < turnDuration {
 			continue
 		}
-		s.units[u].since = now
+		s.units[u].turnStart = now
 		ended = append(ended, u)
 	}
 	spare := len(held) - s.borrowable()/(holders+1)
 	if !wanted || spare <= 0 {
 		return nil
 	}
-	orders := s.giveUp(now, ended[:min((spare+1)/2, len(ended))])
+	orders := s.release(now, ended[:min((spare+1)/2, len(ended))])
 	if len(orders) > 0 {
-		s.askNext = now.Add(2 * maxAsk)
+		s.nextAttempt = now.Add(2 * maxAttemptWait)
 	}
 	return orders
 }
--- a/core/ggsshare/order.go
+++ b/core/ggsshare/order.go
@@ -2,44 +2,44 @@
 
 import ggscore "greengageslip/core"
 
-// An OrderKind says what an Order asks for.
+// An OrderKind says which call an Order requests.
 type OrderKind int
 
-// The kinds of orders.
+// Kinds of orders.
 const (
 	// OrderList reads all units' records.
 	OrderList OrderKind = iota
-	// OrderPut writes a unit's record under Lease, if it has revision Prev.
+	// OrderPut writes a unit's record under Lease if its revision is Prev; zero means no record.
 	OrderPut
-	// OrderDelete deletes a unit's record, if it has revision Prev.
+	// OrderDelete deletes a unit's record if its revision is Prev.
 	OrderDelete
 )
 
-// An Order is one call of the platform's service.
+// An Order is one call to the platform's service that the caller of this package makes.
 type Order struct {
 	Kind  OrderKind
 	Unit  Unit
 	Prev  ggscore.StoreRevision
 	Lease ggscore.LeaseID
-	// Holder is the record's value.
+	// Holder is the value of the record.
 	Holder ggscore.VMID
 }
 
-// A Record is a unit's record as it was read.
+// A Record is a unit's record as read from the platform.
 type Record struct {
 	Unit     Unit
 	Revision ggscore.StoreRevision
 	Lease    ggscore.LeaseID
 }
 
-// A Result is how a call ended.
+// A Result is the outcome of a call.
 type Result int
 
-// The results of calls.
+// Results of calls.
 const (
 	ResultDone Result = iota
 	// ResultRefused means that the call had no effect.
 	ResultRefused
-	// ResultUnknown means that it may have had, or may yet have.
+	// ResultUnknown means that the call may have had an effect, or may still have one.
 	ResultUnknown
 )
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -1,54 +1,56 @@
-// Package ggsshare keeps the loads of a whole deployment within the weight
-// store's limits, although its groups decide on their loads apart.
+// Package ggsshare keeps the loads of a whole deployment within the limits of the weight
+// store, although the groups of the deployment schedule their loads independently.
 //
 // # Usage
 //
 //	plan := ggsshare.NewPlan(ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 24}, groups)
 //	s := ggsshare.New(ggsshare.Options{Self: vm, Group: 2, Seed: 1})
 //	s.SetPlan(now, plan)
-//	s.SetLease(lease)           // whenever the VM's lease is granted or renewed
+//	s.SetLease(lease)           // when the VM's lease is granted or renewed
 //	s.SetOwner(true)            // while the VM owns its group's endpoints
 //	for _, o := range s.SetDemand(now, waitingLoads) {
-//		// list, put or delete as o says, then report with Listed,
-//		// PutEnded or DeleteEnded, which return the next orders
+//		// execute the list, put or delete, then report its result with
+//		// Listed, ListFailed, PutEnded or DeleteEnded; execute the orders
+//		// that these return
 //	}
 //	scheduler.SetLoadShare(now, s.Share(now)) // also at s.Next()
 //
-// The limits are cut into units: each allows one load in transit and its part
-// of the loads a second. A few units are static: they belong to the groups by
-// their number and may be used by whoever owns the group, also when the
-// platform is away. The others are borrowed: a unit is a record in the
-// platform's service under the borrower's lease, and counts only while that
-// lease is held by the borrower's monotonic clock, less its margin. A record
-// that was given up, or may have been, is never used again.
+// The limits are divided into units. Each unit allows one load in transit and an equal share
+// of the loads per second. Some units are static: they are assigned to the groups by the
+// group's number, and the owner of a group may use them even when the platform is unreachable.
+// The other units are borrowed. A borrowed unit is a record in the platform's service under
+// the borrower's lease. The unit counts only until the lease expires by the borrower's
+// monotonic clock, less a margin. A record that was released, or may have been, is never
+// used again.
 //
-// The package holds no clock, no goroutine and no lock.
+// The package has no clock, goroutine or lock. Callers pass the time and serialize access.
 package ggsshare
 
 import ggscore "greengageslip/core"
 
-// staticPart is small, since a static unit lies idle while its group loads
-// nothing; without any, a group that is cut off could load nothing at all.
-const staticPart = 0.25
+// staticShare is the share of units that are static. It is small, since a static unit is idle
+// while its group loads nothing. It isn't zero, since a group that can't reach the platform
+// could then load nothing at all.
+const staticShare = 0.25
 
-// A Unit numbers a borrowed unit.
+// A Unit is the number of a borrowed unit.
 type Unit int
 
-// Wanted stands for no unit: its record says that a borrower found none free.
+// Wanted isn't a unit. Its record marks that a borrower is waiting, since it found no free unit.
 const Wanted Unit = -1
 
-// A Plan cuts the limits into units. The zero Plan has none.
+// A Plan divides the limits into units. The zero Plan has no units.
 type Plan struct {
 	limit  ggscore.LoadShare
 	groups int
 }
 
-// NewPlan returns the plan for a number of groups.
+// NewPlan returns the plan that divides limit between a number of groups.
 func NewPlan(limit ggscore.LoadShare, groups int) Plan {
 	return Plan{limit: limit, groups: max(groups, 0)}
 }
 
-// Borrowed returns the number of units that are borrowed.
+// Borrowed returns the number of units that aren't static.
 func (p Plan) Borrowed() int {
 	n := max(p.limit.InTransit, 0)
 	for g := range min(p.groups, n) {
@@ -57,23 +59,23 @@
 	return n
 }
 
-// Share returns what a number of units allows.
+// Share returns the loads that a number of units allows.
 func (p Plan) Share(units int) ggscore.LoadShare {
 	if p.limit.InTransit <= 0 {
 		return ggscore.LoadShare{}
 	}
-	part := float64(units) / float64(p.limit.InTransit)
-	return ggscore.LoadShare{LoadsPerSecond: p.limit.LoadsPerSecond * part, InTransit: units}
+	fraction := float64(units) / float64(p.limit.InTransit)
+	return ggscore.LoadShare{LoadsPerSecond: p.limit.LoadsPerSecond * fraction, InTransit: units}
 }
 
-// Static returns the number of units that belong to a group. Where there are
-// more groups than static units, the first groups have one and the rest none;
-// groups are numbered across the domains in turn, so that each domain has some.
+// Static returns the number of static units of a group. If there are more groups than static
+// units, the first groups have one each and the others none. Consecutive groups are in
+// different domains, so that each domain has some static units.
 func (p Plan) Static(group int) int {
 	if group < 0 || group >= p.groups {
 		return 0
 	}
-	units := int(staticPart * float64(max(p.limit.InTransit, 0)))
+	units := int(staticShare * float64(max(p.limit.InTransit, 0)))
 	if units < p.groups {
 		if group < units {
 			return 1
--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -8,89 +8,90 @@
 )
 
 const (
-	// settleTime is how long a larger share waits after a change of plan, so
-	// that the groups whose shares shrink have heard of it.
-	settleTime = 15 * time.Second
-	// idleTime is how long a unit is kept without demand.
-	idleTime = 2 * time.Second
-	// turnTime is how long a unit is kept while others find none free.
-	turnTime = 10 * time.Second
-	// minAsk and maxAsk bound the waits between two attempts to borrow.
-	minAsk = 250 * time.Millisecond
-	maxAsk = 4 * time.Second
-	// askTimeout is how long an answer to an order is awaited.
-	askTimeout = 5 * time.Second
+	// growDelay is the time from a change of plan until shares grow, so that the groups whose
+	// shares shrink have received the change before.
+	growDelay = 15 * time.Second
+	// idleTimeout is how long borrowed units are kept without demand.
+	idleTimeout = 2 * time.Second
+	// turnDuration is how long a unit is kept while another borrower waits for one.
+	turnDuration = 10 * time.Second
+	// minAttemptWait and maxAttemptWait bound the backoff between attempts to borrow, before
+	// jitter.
+	minAttemptWait = 250 * time.Millisecond
+	maxAttemptWait = 4 * time.Second
+	// listTimeout is how long to wait for the answer to an OrderList.
+	listTimeout = 5 * time.Second
 )
 
-// seedStream separates this package's random numbers from others of one seed.
-const seedStream = 0x7368617265
+// shareStream selects a random stream for borrowers that is independent of others with the same
+// seed.
+const shareStream = 0x7368617265
 
-// A Lease is the VM's lease of the platform's service. Expires is on the own
-// monotonic clock: counted from before the call that granted or renewed it was
-// sent, and less the margin and the longest time that a load may take.
+// A Lease is the VM's lease in the platform's service. Expires is a time on the VM's own
+// monotonic clock. It is the lease's duration after the call that granted or renewed the lease
+// was sent, less a margin and the longest time that a load may take.
 type Lease struct {
 	ID      ggscore.LeaseID
 	Expires time.Time
 }
 
-// An Options describes one borrower.
+// Options configures one borrower.
 type Options struct {
 	Self ggscore.VMID
-	// Group is the number of its group.
+	// Group is the number of the borrower's group.
 	Group int
 	Seed  uint64
 }
 
-// A State is one borrower's share.
+// A State is the state of one borrower.
 type State struct {
 	options Options
 	rng     *rand.Rand
 	plan    Plan
-	// next is a plan that waits to grow into.
-	next    Plan
-	grows   time.Time
-	lease   Lease
-	owner   bool
-	demand  int
-	idleAt  time.Time
-	units   map[Unit]*unit
-	asked   time.Time
-	asking  bool
-	askNext time.Time
-	askWait time.Duration
-	// unclear is set while a record may exist that the state doesn't know of.
-	unclear bool
-}
-
-// New returns a state without a plan, a lease and ownership: its share is
-// nothing.
+	// nextPlan is a plan that takes full effect at growsAt.
+	nextPlan     Plan
+	growsAt      time.Time
+	lease        Lease
+	owner        bool
+	demand       int
+	idleAt       time.Time
+	units        map[Unit]*unitState
+	listSentAt   time.Time
+	listInFlight bool
+	nextAttempt  time.Time
+	attemptWait  time.Duration
+	// mayHaveUnknownRecord is set while a record of this borrower may exist that isn't in units.
+	mayHaveUnknownRecord bool
+}
+
+// New returns a state without a plan, a lease or ownership. Its share is zero.
 func New(o Options) *State {
 	return &State{
-		options: o,
-		rng:     rand.New(rand.NewPCG(o.Seed, seedStream)),
-		units:   map[Unit]*unit{},
-		askWait: minAsk,
+		options:     o,
+		rng:         rand.New(rand.NewPCG(o.Seed, shareStream)),
+		units:       map[Unit]*unitState{},
+		attemptWait: minAttemptWait,
 	}
 }
 
-// DeleteEnded reports the end of an OrderDelete. The unit was given up before
-// the order went out, whatever became of it.
+// DeleteEnded processes the result of an OrderDelete. The unit stays released whatever the
+// result is, since it was released before the order was returned.
 func (s *State) DeleteEnded(now time.Time, u Unit, res Result) []Order {
-	s.unit(u).busy = false
-	s.unclear = s.unclear || res == ResultUnknown
+	s.unitState(u).inFlight = false
+	s.mayHaveUnknownRecord = s.mayHaveUnknownRecord || res == ResultUnknown
 	return s.Tick(now)
 }
 
-// ListFailed reports that an OrderList had no answer.
+// ListFailed processes the failure of an OrderList.
 func (s *State) ListFailed(now time.Time) {
-	s.asking = false
+	s.listInFlight = false
 	s.backOff(now)
 }
 
-// Listed takes the answer to an OrderList.
+// Listed processes the answer to an OrderList.
 func (s *State) Listed(now time.Time, records []Record) []Order {
-	s.asking = false
-	s.unclear = false
+	s.listInFlight = false
+	s.mayHaveUnknownRecord = false
 	taken := map[Unit]bool{}
 	holders := map[ggscore.LeaseID]bool{s.lease.ID: true}
 	orders := []Order{}
@@ -98,24 +99,24 @@
 		taken[r.Unit] = true
 		holders[r.Lease] = holders[r.Lease] || r.Unit != Wanted
 		s.adopt(now, r)
-		orders = append(orders, s.clean(r)...)
+		orders = append(orders, s.deleteReleased(r)...)
 	}
 	orders = append(orders, s.borrow(now, taken)...)
-	if s.wants(now) > 0 {
+	if s.shortfall(now) > 0 {
 		s.backOff(now)
-		orders = append(orders, s.call(taken, len(holders))...)
+		orders = append(orders, s.requestTurn(taken, len(holders))...)
 	}
 	orders = append(orders, s.yield(now, taken[Wanted], len(holders))...)
-	if s.demand <= s.static() && s.idleAt.IsZero() && len(s.heldUnits()) > 0 {
-		s.idleAt = now.Add(idleTime)
+	if s.demand <= s.staticUnits() && s.idleAt.IsZero() && len(s.heldUnits()) > 0 {
+		s.idleAt = now.Add(idleTimeout)
 	}
 	return orders
 }
 
-// Next returns when Tick is wanted next, or the zero time.
+// Next returns when to call Tick next, or the zero time if no call is needed.
 func (s *State) Next() time.Time {
 	next := time.Time{}
-	for _, t := range []time.Time{s.grows, s.idleAt, s.askNext, s.turnEnds(), s.lease.Expires} {
+	for _, t := range []time.Time{s.growsAt, s.idleAt, s.nextAttempt, s.nextTurnEnd(), s.lease.Expires} {
 		if !t.IsZero() && (next.IsZero() || t.Before(next)) {
 			next = t
 		}
@@ -123,124 +124,123 @@
 	return next
 }
 
-// PutEnded reports the end of an OrderPut, with the record's revision where it
-// was done.
+// PutEnded processes the result of an OrderPut. rev is the record's revision if res is
+// ResultDone.
 //
-// The answer may come after the lease under which the record was put has
-// lapsed and another is held: the record has then vanished, and another
-// borrower may have the unit. Only a record of the lease held now counts.
+// The answer may arrive when the lease of the record has expired and the VM holds another one.
+// The record is then deleted, and another borrower may hold the unit. Only a record of the
+// current lease counts.
 func (s *State) PutEnded(now time.Time, u Unit, l ggscore.LeaseID, rev ggscore.StoreRevision, res Result) []Order {
-	x := s.unit(u)
-	x.busy = false
+	x := s.unitState(u)
+	x.inFlight = false
 	if res == ResultDone {
 		s.adopt(now, Record{Unit: u, Revision: rev, Lease: l})
-		s.askWait = minAsk
+		s.attemptWait = minAttemptWait
 		return s.Tick(now)
 	}
-	s.unclear = s.unclear || res == ResultUnknown
+	s.mayHaveUnknownRecord = s.mayHaveUnknownRecord || res == ResultUnknown
 	s.backOff(now)
 	return nil
 }
 
-// SetDemand sets the number of loads that the group could start now.
+// SetDemand sets the number of loads that the group could start now. It returns orders to execute.
 func (s *State) SetDemand(now time.Time, loads int) []Order {
 	s.demand = loads
-	if loads > s.static() {
+	if loads > s.staticUnits() {
 		s.idleAt = time.Time{}
 	} else if s.idleAt.IsZero() {
-		s.idleAt = now.Add(idleTime)
+		s.idleAt = now.Add(idleTimeout)
 	}
 	return s.Tick(now)
 }
 
-// SetLease takes the VM's lease, new or renewed. Records of an earlier lease
-// are lost with it.
+// SetLease sets the VM's new or renewed lease. Units held under an earlier lease are dropped,
+// since their records expire with that lease.
 func (s *State) SetLease(l Lease) {
 	if l.ID != s.lease.ID {
 		for _, x := range s.units {
-			x.held = 0
+			x.heldRevision = 0
 		}
 	}
 	s.lease = l
 }
 
-// SetOwner says whether the VM owns its group's endpoints.
+// SetOwner sets whether the VM owns its group's endpoints.
 func (s *State) SetOwner(owner bool) { s.owner = owner }
 
-// SetPlan changes the plan; the first is in force at once. What a change takes
-// away is taken away now; what it adds comes after the settling time.
+// SetPlan changes the plan. The first plan takes effect immediately. A later change reduces
+// shares immediately, and increases them after growDelay.
 //
-// The groups hear of a change one after the other. A group that grew at once
-// would use what another, which hasn't heard yet, still uses.
+// The groups receive a change at different times. A group that grew immediately would use units
+// that another group still uses, because that group hasn't received the change yet.
 func (s *State) SetPlan(now time.Time, p Plan) {
 	if s.plan == (Plan{}) {
 		s.plan = p
 	}
 	if s.plan == p {
-		s.next, s.grows = Plan{}, time.Time{}
+		s.nextPlan, s.growsAt = Plan{}, time.Time{}
 		return
 	}
-	s.next = p
-	s.grows = now.Add(settleTime)
+	s.nextPlan = p
+	s.growsAt = now.Add(growDelay)
 }
 
-// Share returns what the group may use now. It is to be asked immediately
-// before each load, and not kept.
+// Share returns the loads that the group may use now. It must be called immediately before
+// each load, and its result must not be cached.
 //
-// A VM that was paused, or cut off from the platform, still believes that it
-// borrows its units when others have them, and the store would get both VMs'
-// loads. The lease's end is compared on the VM's own monotonic clock at each
-// call; it was counted from before the renewal was sent, so the platform's
-// comes later.
+// A VM that was paused or disconnected from the platform still has its borrowed units in its
+// state when other VMs hold them, and the store would get the loads of both. Share therefore
+// compares the lease's expiry with the VM's own monotonic clock at each call. The expiry is
+// counted from before the renewal was sent, so the lease expires later on the platform.
 func (s *State) Share(now time.Time) ggscore.LoadShare {
-	units := s.static()
+	units := s.staticUnits()
 	if now.Before(s.lease.Expires) {
 		for u, x := range s.units {
-			if u != Wanted && x.held != 0 && int(u) < s.borrowable() {
+			if u != Wanted && x.heldRevision != 0 && int(u) < s.borrowable() {
 				units++
 			}
 		}
 	}
-	return s.smallerPlan().Share(units)
+	return s.lowerRatePlan().Share(units)
 }
 
-// Tick does what is due at now.
+// Tick handles the timeouts that are due at now, and returns orders to execute.
 func (s *State) Tick(now time.Time) []Order {
-	if !s.grows.IsZero() && !now.Before(s.grows) {
-		s.plan, s.next, s.grows = s.next, Plan{}, time.Time{}
+	if !s.growsAt.IsZero() && !now.Before(s.growsAt) {
+		s.plan, s.nextPlan, s.growsAt = s.nextPlan, Plan{}, time.Time{}
 	}
-	if s.asking && now.Sub(s.asked) > askTimeout {
+	if s.listInFlight && now.Sub(s.listSentAt) > listTimeout {
 		s.ListFailed(now)
 	}
 	if !s.idleAt.IsZero() && !now.Before(s.idleAt) {
 		s.idleAt = time.Time{}
-		return s.giveUp(now, append(s.heldUnits(), Wanted))
+		return s.release(now, append(s.heldUnits(), Wanted))
 	}
-	if s.asking || now.Before(s.askNext) || !s.needsList(now) {
+	if s.listInFlight || now.Before(s.nextAttempt) || !s.needsList(now) {
 		return nil
 	}
-	s.asking = true
-	s.asked = now
+	s.listInFlight = true
+	s.listSentAt = now
 	return []Order{{Kind: OrderList}}
 }
 
-// smallerPlan returns the plan whose units allow fewer loads a second, while
-// two are in question.
-func (s *State) smallerPlan() Plan {
-	if !s.grows.IsZero() && s.next.Share(1).LoadsPerSecond < s.plan.Share(1).LoadsPerSecond {
-		return s.next
+// lowerRatePlan returns the plan whose units allow fewer loads per second. During a change of
+// plan it compares both plans.
+func (s *State) lowerRatePlan() Plan {
+	if !s.growsAt.IsZero() && s.nextPlan.Share(1).LoadsPerSecond < s.plan.Share(1).LoadsPerSecond {
+		return s.nextPlan
 	}
 	return s.plan
 }
 
-// static returns the number of static units that may be used.
-func (s *State) static() int {
+// staticUnits returns the number of static units that the VM may use.
+func (s *State) staticUnits() int {
 	if !s.owner {
 		return 0
 	}
 	n := s.plan.Static(s.options.Group)
-	if s.grows.IsZero() {
+	if s.growsAt.IsZero() {
 		return n
 	}
-	return min(n, s.next.Static(s.options.Group))
+	return min(n, s.nextPlan.Static(s.options.Group))
 }
