--- a/core/ggslimit/errors.go
+++ b/core/ggslimit/errors.go
@@ -7,16 +7,17 @@
 	ggscore "greengageslip/core"
 )
 
-// A Cause says which bound refused a request.
+// A Cause says which limit refused a request.
 type Cause string
 
-// The causes of refusals.
+// Causes of an OverLimitError.
 const (
 	CauseRate     Cause = "rate"
 	CauseInFlight Cause = "inFlight"
 )
 
-// An OverLimitError refuses a request that has not run.
+// An OverLimitError says that a request was refused before it ran. RetryAfter is the time until
+// the market's limit is expected to admit a request.
 type OverLimitError struct {
 	Market     ggscore.Market
 	Cause      Cause
@@ -28,7 +29,7 @@
 	return fmt.Sprintf("market %s over its limit (%s): retry after %s", e.Market, e.Cause, e.RetryAfter)
 }
 
-// Failure returns the refusal as callers see it.
+// Failure returns the failure that is sent to the caller.
 func (e *OverLimitError) Failure() *ggscore.Failure {
 	return &ggscore.Failure{
 		Kind:       ggscore.FailureOverLimit,
@@ -38,7 +39,7 @@
 	}
 }
 
-// An UnknownMarketError says that the limiter knows no such market.
+// An UnknownMarketError says that no limit is set for the market.
 type UnknownMarketError struct{ Market ggscore.Market }
 
 // Error implements error.
--- a/core/ggslimit/limit.go
+++ b/core/ggslimit/limit.go
@@ -1,6 +1,6 @@
-// Package ggslimit admits requests by market: a token bucket for each market's
-// rate, and a bound on requests in flight that a busy market can't use up
-// alone.
+// Package ggslimit admits requests by market. It limits the rate of each market with a token
+// bucket. It also bounds the requests in flight, and reserves a part of them for each market so
+// that a busy market can't use up all of them.
 //
 // # Usage
 //
@@ -10,11 +10,12 @@
 //	if err := l.Admit(now, "cr"); err != nil {
 //		// *OverLimitError: answer 429 with its RetryAfter
 //	}
-//	defer l.Ended("cr", held)
+//	defer l.Ended("cr", timeInFlight)
 //
-// A market's limit holds for the whole deployment; each gateway enforces its
-// equal part, since the balancer spreads callers evenly. The package holds no
-// clock, no goroutine and no lock.
+// A market's limit applies to the whole deployment. Each gateway enforces an equal share of it,
+// since the load balancer spreads callers evenly.
+//
+// The package has no clock, goroutine or lock. Callers pass the time and serialize access.
 package ggslimit
 
 import (
@@ -24,34 +25,33 @@
 	ggscore "greengageslip/core"
 )
 
-// reservedShare is the part of MaxInFlight that is set aside for the markets
-// by weight. The rest goes to whoever comes first.
+// reservedShare is the share of MaxInFlight that is reserved for the markets by weight. The rest
+// is given to requests in the order of their arrival.
 const reservedShare = 0.5
 
-// initialHold is the guess of a request's time in flight before any ended.
-const initialHold = 500 * time.Millisecond
+// initialInFlightTime is the assumed mean time in flight before any request has ended.
+const initialInFlightTime = 500 * time.Millisecond
 
-// holdGain is the weight of a new sample in the mean time in flight.
-const holdGain = 0.05
+// inFlightTimeGain is the weight of a new sample in the moving average of the time in flight.
+const inFlightTimeGain = 0.05
 
-// minRetryAfter keeps a refused caller from coming back at once.
+// minRetryAfter keeps a refused caller from retrying immediately.
 const minRetryAfter = 50 * time.Millisecond
 
-// An Options bounds what is shared by the markets of one gateway.
+// Options configures what the markets of one gateway share.
 type Options struct {
-	// MaxInFlight bounds admitted requests that haven't ended; zero means no
-	// bound.
+	// MaxInFlight bounds the admitted requests that haven't ended. Zero means no bound.
 	MaxInFlight int
 }
 
-// A Limit is what a market may use of the deployment.
+// A Limit is the limit of a market in the whole deployment.
 type Limit struct {
-	// RequestsPerSecond and Burst describe its bucket; a rate of zero means
-	// no limit.
+	// RequestsPerSecond and Burst are the rate and the size of the market's token bucket. A
+	// rate of zero means no limit.
 	RequestsPerSecond float64
 	Burst             int
-	// Weight is its part of the reserved in-flight requests; below one counts
-	// as one.
+	// Weight is the market's relative share of the reserved in-flight slots. A weight below
+	// one counts as one.
 	Weight int
 }
 
@@ -66,23 +66,26 @@
 
 // A Limiter admits the requests of one gateway.
 type Limiter struct {
-	options  Options
-	gateways int
-	markets  map[ggscore.Market]*market
-	weights  int
-	inFlight int
-	// unused is the sum of reserved places that their markets don't use.
-	unused int
-	hold   time.Duration
-}
-
-// A market is one market's state.
+	options     Options
+	gateways    int
+	markets     map[ggscore.Market]*market
+	totalWeight int
+	inFlight    int
+	// unusedReserved is the number of reserved slots that their markets don't use.
+	unusedReserved int
+	// meanInFlightTime is a moving average over the requests that have ended.
+	meanInFlightTime time.Duration
+}
+
+// A market is the state of one market at this gateway.
 type market struct {
-	limit    Limit
+	limit Limit
+	// interval is the time in which the bucket gains one token, zero for no limit.
 	interval time.Duration
-	depth    time.Duration
-	// fullAt is when the bucket is full again: the bucket's level is held as
-	// an instant, so that idle markets need no refill.
+	// burstTime is the time in which an empty bucket becomes full.
+	burstTime time.Duration
+	// fullAt is when the bucket is full again. It represents the level of the bucket, so that
+	// idle markets need no refill.
 	fullAt   time.Time
 	reserved int
 	inFlight int
@@ -91,15 +94,15 @@
 // New returns a limiter without markets, for one gateway.
 func New(o Options) *Limiter {
 	return &Limiter{
-		options:  o,
-		gateways: 1,
-		markets:  map[ggscore.Market]*market{},
-		hold:     initialHold,
+		options:          o,
+		gateways:         1,
+		markets:          map[ggscore.Market]*market{},
+		meanInFlightTime: initialInFlightTime,
 	}
 }
 
-// Admit takes a request in, or returns an *OverLimitError, or an
-// *UnknownMarketError. Each admitted request ends with Ended.
+// Admit admits a request, or returns an *OverLimitError or an *UnknownMarketError. The caller
+// must call Ended once for each admitted request.
 func (l *Limiter) Admit(now time.Time, name ggscore.Market) error {
 	m, ok := l.markets[name]
 	if !ok {
@@ -108,21 +111,20 @@
 	if wait := m.wait(now); wait > 0 {
 		return &OverLimitError{Market: name, Cause: CauseRate, RetryAfter: wait}
 	}
-	if !l.hasRoom(m) {
-		return &OverLimitError{Market: name, Cause: CauseInFlight, RetryAfter: l.nextEnd()}
+	if !l.hasSlot(m) {
+		return &OverLimitError{Market: name, Cause: CauseInFlight, RetryAfter: l.expectedRelease()}
 	}
-	m.take(now)
+	m.takeToken(now)
 	if m.inFlight < m.reserved {
-		l.unused--
+		l.unusedReserved--
 	}
 	m.inFlight++
 	l.inFlight++
 	return nil
 }
 
-// Ended gives back the place of an admitted request that was in flight for
-// held.
-func (l *Limiter) Ended(name ggscore.Market, held time.Duration) {
+// Ended releases the slot of an admitted request that was in flight for the given time.
+func (l *Limiter) Ended(name ggscore.Market, inFlight time.Duration) {
 	m, ok := l.markets[name]
 	if !ok || m.inFlight == 0 {
 		return
@@ -130,16 +132,16 @@
 	m.inFlight--
 	l.inFlight--
 	if m.inFlight < m.reserved {
-		l.unused++
+		l.unusedReserved++
 	}
-	l.hold += time.Duration(holdGain * float64(held-l.hold))
+	l.meanInFlightTime += time.Duration(inFlightTimeGain * float64(inFlight-l.meanInFlightTime))
 }
 
 // InFlight returns the number of admitted requests that haven't ended.
 func (l *Limiter) InFlight() int { return l.inFlight }
 
-// RemoveMarket forgets a market that the document no longer names. Its
-// requests in flight are no longer counted.
+// RemoveMarket removes a market that the document no longer contains. Its requests in flight no
+// longer count.
 func (l *Limiter) RemoveMarket(name ggscore.Market) {
 	m, ok := l.markets[name]
 	if !ok {
@@ -147,11 +149,11 @@
 	}
 	delete(l.markets, name)
 	l.inFlight -= m.inFlight
-	l.weights -= m.limit.Weight
-	l.reserve()
+	l.totalWeight -= m.limit.Weight
+	l.assignReserved()
 }
 
-// SetGateways sets the number of live gateways that share the limits.
+// SetGateways sets the number of live gateways that share the limits. Less than one counts as one.
 func (l *Limiter) SetGateways(n int) {
 	l.gateways = max(n, 1)
 	for _, m := range l.markets {
@@ -159,8 +161,8 @@
 	}
 }
 
-// SetMarket adds or changes a market. A changed market keeps the level of its
-// bucket and its requests in flight.
+// SetMarket adds or changes a market. A changed market keeps the level of its bucket and the
+// count of its requests in flight.
 func (l *Limiter) SetMarket(name ggscore.Market, limit Limit) {
 	limit.Weight = max(limit.Weight, 1)
 	m, ok := l.markets[name]
@@ -168,18 +170,18 @@
 		m = &market{}
 		l.markets[name] = m
 	}
-	l.weights += limit.Weight - m.limit.Weight
+	l.totalWeight += limit.Weight - m.limit.Weight
 	m.limit = limit
 	m.setRate(l.gateways)
-	l.reserve()
+	l.assignReserved()
 }
 
-// hasRoom reports whether a place is free for m.
+// hasSlot reports whether a slot is free for m.
 //
-// A market whose callers all come at once would fill the gateway, and the
-// others' lookups would be refused although they stay under their limits. A
-// market beyond its reserved places therefore leaves the others' free.
-func (l *Limiter) hasRoom(m *market) bool {
+// A market with a burst of callers could otherwise use all slots, and requests of other markets
+// would be refused although they are within their limits. A market that has used its reserved
+// slots therefore can't use the slots reserved for others.
+func (l *Limiter) hasSlot(m *market) bool {
 	if l.options.MaxInFlight == 0 {
 		return true
 	}
@@ -187,38 +189,38 @@
 	if m.inFlight < m.reserved {
 		return free > 0
 	}
-	return free > l.unused
+	return free > l.unusedReserved
 }
 
-// nextEnd predicts when a place becomes free.
-func (l *Limiter) nextEnd() time.Duration {
-	return max(l.hold/time.Duration(max(l.inFlight, 1)), minRetryAfter)
+// expectedRelease estimates the time until a slot becomes free.
+func (l *Limiter) expectedRelease() time.Duration {
+	return max(l.meanInFlightTime/time.Duration(max(l.inFlight, 1)), minRetryAfter)
 }
 
-// reserve divides the reserved places by weight.
-func (l *Limiter) reserve() {
-	l.unused = 0
+// assignReserved divides the reserved slots between the markets by weight.
+func (l *Limiter) assignReserved() {
+	l.unusedReserved = 0
 	for _, m := range l.markets {
-		part := float64(m.limit.Weight) / float64(l.weights)
-		m.reserved = int(reservedShare * float64(l.options.MaxInFlight) * part)
-		l.unused += max(m.reserved-m.inFlight, 0)
+		fraction := float64(m.limit.Weight) / float64(l.totalWeight)
+		m.reserved = int(reservedShare * float64(l.options.MaxInFlight) * fraction)
+		l.unusedReserved += max(m.reserved-m.inFlight, 0)
 	}
 }
 
-// setRate works out the gateway's part of the market's rate and burst.
+// setRate computes the gateway's share of the market's rate and burst.
 func (m *market) setRate(gateways int) {
 	if m.limit.RequestsPerSecond <= 0 {
-		m.interval, m.depth = 0, 0
+		m.interval, m.burstTime = 0, 0
 		return
 	}
 	rate := m.limit.RequestsPerSecond / float64(gateways)
 	burst := max(m.limit.Burst/gateways, 1)
 	m.interval = time.Duration(math.Ceil(float64(time.Second) / rate))
-	m.depth = m.interval * time.Duration(burst)
+	m.burstTime = m.interval * time.Duration(burst)
 }
 
-// take removes a token that wait said is there.
-func (m *market) take(now time.Time) {
+// takeToken removes a token. The caller has checked with wait that there is one.
+func (m *market) takeToken(now time.Time) {
 	if m.interval == 0 {
 		return
 	}
@@ -228,11 +230,11 @@
 	m.fullAt = m.fullAt.Add(m.interval)
 }
 
-// wait returns the time until the bucket holds a token: exactly after it a
-// request is admitted, if no other takes the token.
+// wait returns the time until the bucket contains a token. A request after exactly that time is
+// admitted, unless another request takes the token first.
 func (m *market) wait(now time.Time) time.Duration {
 	if m.interval == 0 || !m.fullAt.After(now) {
 		return 0
 	}
-	return max(m.fullAt.Add(m.interval).Sub(now)-m.depth, 0)
+	return max(m.fullAt.Add(m.interval).Sub(now)-m.burstTime, 0)
 }
--- a/core/ggslimit/limit_test.go
+++ b/core/ggslimit/limit_test.go
@@ -19,8 +19,8 @@
 	return e
 }
 
-// A caller that is refused waits for Retry-After and is refused again, since
-// the wait told was too short, or waits too long beside a free limit.
+// Guards against an inexact Retry-After: if it is too short, the caller is refused again, and if it
+// is too long, the caller waits although the limit would admit the request.
 func TestRetryAfterIsExact(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -29,11 +29,11 @@
 		burst    int
 		want     time.Duration
 	}{
-		"one gateway":           {limit: ggslimit.Limit{RequestsPerSecond: 4, Burst: 3}, gateways: 1, burst: 3, want: 250 * time.Millisecond},
-		"a part of the limit":   {limit: ggslimit.Limit{RequestsPerSecond: 4, Burst: 4}, gateways: 4, burst: 1, want: time.Second},
-		"no burst":              {limit: ggslimit.Limit{RequestsPerSecond: 10}, gateways: 1, burst: 1, want: 100 * time.Millisecond},
-		"fewer than gateways":   {limit: ggslimit.Limit{RequestsPerSecond: 1, Burst: 1}, gateways: 10, burst: 1, want: 10 * time.Second},
-		"a rate without finity": {limit: ggslimit.Limit{RequestsPerSecond: 3, Burst: 1}, gateways: 1, burst: 1, want: 333333334},
+		"one gateway":                {limit: ggslimit.Limit{RequestsPerSecond: 4, Burst: 3}, gateways: 1, burst: 3, want: 250 * time.Millisecond},
+		"share of the limit":         {limit: ggslimit.Limit{RequestsPerSecond: 4, Burst: 4}, gateways: 4, burst: 1, want: time.Second},
+		"no burst":                   {limit: ggslimit.Limit{RequestsPerSecond: 10}, gateways: 1, burst: 1, want: 100 * time.Millisecond},
+		"rate below gateway count":   {limit: ggslimit.Limit{RequestsPerSecond: 1, Burst: 1}, gateways: 10, burst: 1, want: 10 * time.Second},
+		"recurring decimal interval": {limit: ggslimit.Limit{RequestsPerSecond: 3, Burst: 1}, gateways: 1, burst: 1, want: 333333334},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -52,10 +52,9 @@
 	}
 }
 
-// All parents of one market open the booking at the same second. Another
-// market's lookups, well under their own limit, are refused, since the first
-// market's requests in flight have filled the gateway.
-func TestBusyMarketLeavesRoomForOthers(t *testing.T) {
+// Guards against a burst of one market's requests that uses all in-flight slots of the gateway, so
+// that requests of another market are refused although they are well within their own limit.
+func TestBusyMarketLeavesReservedSlots(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	l := ggslimit.New(ggslimit.Options{MaxInFlight: 100})
@@ -77,7 +76,7 @@
 	c.Check(l.Admit(at(0), "quiet"), qt.IsNil)
 }
 
-func TestChangedDocumentKeepsLevels(t *testing.T) {
+func TestSetMarketKeepsState(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	l := ggslimit.New(ggslimit.Options{MaxInFlight: 10})
