--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -1,18 +1,20 @@
-// Package ggsgossip decides which VMs a VM tells what it knows, who passes it on,
-// and which of them asks the platform's store on behalf of the others.
+// Package ggsgossip decides which VMs a VM sends its messages to, which VMs forward them, and
+// which VM reads the platform's store on behalf of the others.
 //
 // # Usage
 //
 //	for _, r := range ggsgossip.Routes(self, peers, ggscore.RelayRegions, sequence) { … }
-//	rs := ggsgossip.Routes(self, peers, beat.Relay, beat.Sequence) // pass a beat on
-//	age := ggsgossip.ReadAge(ggsgossip.Rank(self.VM, heard), rand.Float64())
-//	wait := ggsgossip.WatchWait(len(heard)+1, rand.Float64())
-//	next := ggsgossip.BeatInterval(len(heard)+1, owner)
+//	rs := ggsgossip.Routes(self, peers, h.Relay, h.Sequence) // forward a heartbeat
+//	age := ggsgossip.ReadAge(ggsgossip.Rank(self.VM, reachable), rand.Float64())
+//	wait := ggsgossip.WatchWait(len(reachable)+1, rand.Float64())
+//	next := ggsgossip.BeatInterval(len(reachable)+1, owner)
 //
-// A word goes straight to the VMs of the own failure domain, to one VM of each
-// other domain of the region, and to one of each other region, which pass it on:
-// bytes between domains and regions are paid for, and sent to each VM they grew
-// with the square of the VMs. The package holds no clock, no goroutine and no lock.
+// A message goes directly to the VMs of the sender's failure domain, to one VM of each other
+// domain of its region, and to one VM of each other region. The latter two forward it. Traffic
+// between domains and regions is billed, and would grow with the square of the number of VMs
+// if each message went directly to every VM.
+//
+// The package has no clock, goroutine, lock or state. Callers pass random numbers.
 package ggsgossip
 
 import (
@@ -25,22 +27,22 @@
 	ggscore "greengageslip/core"
 )
 
-// A Member is a VM, and where it stands.
+// A Member is a VM with its failure domain and region.
 type Member struct {
 	VM     ggscore.VMID
 	Domain ggscore.Domain
 	Region ggscore.Region
 }
 
-// A Route is a VM that is sent a word, and how far it is to pass it on.
+// A Route is a VM to send a message to, and how far that VM is to forward it.
 type Route struct {
 	To    ggscore.VMID
 	Relay ggscore.Relay
 }
 
-// Routes returns the VMs that are sent a word that reaches as far as the relay
-// says. Which VM of another domain or region passes it on changes with the
-// sequence, so that one that is gone costs a part of the words only.
+// Routes returns the VMs to send a message to, where reach says how far the message is to be
+// sent. The VM of another domain or region that forwards the message changes with the sequence,
+// so that an unreachable one affects only some of the messages.
 func Routes(self Member, peers []Member, reach ggscore.Relay, sequence uint64) []Route {
 	var rs []Route
 	domains := map[ggscore.Domain][]ggscore.VMID{}
@@ -57,34 +59,35 @@
 	}
 	if reach >= ggscore.RelayDomains {
 		for _, vms := range domains {
-			rs = append(rs, Route{To: turn(self.VM, vms, sequence), Relay: ggscore.RelayDomain})
+			rs = append(rs, Route{To: forwarder(self.VM, vms, sequence), Relay: ggscore.RelayDomain})
 		}
 	}
 	if reach >= ggscore.RelayRegions {
 		for _, vms := range regions {
-			rs = append(rs, Route{To: turn(self.VM, vms, sequence), Relay: ggscore.RelayDomains})
+			rs = append(rs, Route{To: forwarder(self.VM, vms, sequence), Relay: ggscore.RelayDomains})
 		}
 	}
 	slices.SortFunc(rs, func(a, b Route) int { return cmp.Compare(a.To, b.To) })
 	return rs
 }
 
-// turn returns the VM that passes the word of a sequence on.
+// forwarder returns the one of vms that forwards the message with a sequence.
 //
-// VMs that started together count their words alike. Chosen by the sequence alone, one
-// VM of a domain passed on the beats of all others at the same moment: at 69 VMs 57
-// beats to 11 peers, 280 KB, which kept its link of 10 Mbit/s busy for 225 ms, and the
-// pieces of its streams waited behind them.
-func turn(self ggscore.VMID, vms []ggscore.VMID, sequence uint64) ggscore.VMID {
+// VMs that started at the same time have the same sequences. If the sequence alone selected the
+// forwarder, one VM of a domain would forward the heartbeats of all VMs of other domains at the
+// same moment. With 69 VMs these were 57 heartbeats to 11 peers, or 280 KB, which occupied its
+// link of 10 Mbit/s for 225 ms and delayed the chunks of its response streams. The hash of the
+// sender's ID spreads the selection.
+func forwarder(self ggscore.VMID, vms []ggscore.VMID, sequence uint64) ggscore.VMID {
 	slices.Sort(vms)
 	return vms[(xxhash.Sum64String(string(self))+sequence)%uint64(len(vms))]
 }
 
-// Rank returns how many of the peers that are heard come before a VM in reading the
-// list of endpoints.
-func Rank(self ggscore.VMID, heard []ggscore.VMID) int {
+// Rank returns the number of reachable peers that precede a VM in the order in which VMs read
+// the list of endpoints, which is that of their IDs.
+func Rank(self ggscore.VMID, reachable []ggscore.VMID) int {
 	n := 0
-	for _, vm := range heard {
+	for _, vm := range reachable {
 		if vm < self {
 			n++
 		}
@@ -93,36 +96,37 @@
 }
 
 const (
-	// readAge is the age at which the list of endpoints is read anew: an endpoint
-	// that leaves may get no request 2.5 s after it said so.
+	// readAge is the age at which the list of endpoints is read again. An endpoint must get no
+	// requests later than 2.5 s after it announced that it is leaving.
 	readAge = 700 * time.Millisecond
-	// readStep is the head start that a VM has before the next: its reading is
-	// known to the others a beat of 150 ms and its way later. With readings spread
-	// at random over 0.6 s, half of nine VMs read, and 18 of 65.
+	// readStep is the delay between the reads of VMs of consecutive ranks. The other VMs know
+	// of a read after a heartbeat interval of 150 ms and the network delay. With reads spread
+	// at random over 0.6 s instead, half of 9 VMs and 18 of 65 VMs read.
 	readStep = 200 * time.Millisecond
-	// maxRank is the rank from which VMs no longer wait for each other.
+	// maxRank is the rank from which all VMs have the same delay.
 	maxRank = 3
-	// readSpread is added at random from maxRank on.
+	// readSpread is the range of a random delay that VMs from maxRank on add.
 	readSpread = 200 * time.Millisecond
-	// aloneAge is the age at which a VM that hears no other reads.
+	// aloneAge is the age at which a VM without reachable peers reads.
 	aloneAge = 900 * time.Millisecond
 )
 
-// followerAge and followerSpread are the age at which a VM that leaves the list to relays
-// reads it: an endpoint that leaves may get no request 2.5 s after it said so.
+// followerReadAge is the least age at which a VM reads the list of endpoints if it relies on
+// relays to read it, and followerReadSpread is the range of a random delay added to it. An
+// endpoint must get no requests later than 2.5 s after it announced that it is leaving.
 const (
-	followerAge    = 1600 * time.Millisecond
-	followerSpread = 200 * time.Millisecond
+	followerReadAge    = 1600 * time.Millisecond
+	followerReadSpread = 200 * time.Millisecond
 )
 
-// FollowerReadAge returns the age of the list of endpoints at which a VM that leaves it to
-// relays reads it; x is drawn from 0 to 1.
+// FollowerReadAge returns the age of the list of endpoints at which a VM that relies on relays
+// reads the list itself. x is a random number from 0 to 1.
 func FollowerReadAge(x float64) time.Duration {
-	return followerAge + time.Duration(x*float64(followerSpread))
+	return followerReadAge + time.Duration(x*float64(followerReadSpread))
 }
 
-// ReadAge returns the age of the list of endpoints at which a VM of a rank reads
-// it; x is drawn from 0 to 1.
+// ReadAge returns the age of the list of endpoints at which a VM of a rank reads the list. x is
+// a random number from 0 to 1.
 func ReadAge(rank int, x float64) time.Duration {
 	d := readAge + readStep*time.Duration(min(rank, maxRank))
 	if rank >= maxRank {
@@ -131,101 +135,105 @@
 	return d
 }
 
-// AloneAge returns the age of the list of endpoints at which a VM that hears no
-// other reads it.
+// AloneAge returns the age of the list of endpoints at which a VM without reachable peers reads
+// the list.
 func AloneAge() time.Duration { return aloneAge }
 
 const (
-	// watchLeast is how long a watch waits at least. A watch whose connection went
-	// silent is noticed after it and a call's timeout, inside the 3 s for which such
-	// a loss excuses a late configuration.
-	watchLeast = time.Second
-	// watchAlone is added where no peer is heard.
-	watchAlone = 800 * time.Millisecond
-	// watchPerVM is added at random for each VM: each tells the others what it sees
-	// changed, so the first to notice is enough, and the watches that end in a
-	// second stay as many, about four.
-	watchPerVM = 550 * time.Millisecond
-	// watchMost bounds a watch's wait: the store takes 30 s.
-	watchMost = 28 * time.Second
+	// minWatchWait is the least time that a watch waits for changes. A watch with a stalled
+	// connection is detected after its wait and a call's timeout. That is within the 3 s for
+	// which such a stall may delay a configuration.
+	minWatchWait = time.Second
+	// aloneWatchWait is added to minWatchWait if no peer is reachable.
+	aloneWatchWait = 800 * time.Millisecond
+	// watchWaitPerVM is the range of a random wait that is added for each VM. A VM notifies the
+	// others of the changes that it sees, so one watch that sees a change is enough. The range
+	// grows with the number of VMs, so that about four watches end per second until
+	// maxWatchWait limits the wait.
+	watchWaitPerVM = 550 * time.Millisecond
+	// maxWatchWait bounds the wait of a watch. The store accepts up to 30 s.
+	maxWatchWait = 28 * time.Second
 )
 
-// OperatorsStale is the time without a reading of the operators' entries by any VM from
-// which one that leaves them to relays watches them itself.
+// OperatorsStale is the age of the last read of the operators' entries by any VM from which a VM
+// that relies on relays watches the entries itself.
 const OperatorsStale = 3 * time.Second
 
-// WatchGrace is how long a watch that a peer's notification overtook may go on without
-// a byte: the store answers all watches of a change one after the other, and a watch
-// that answers costs less than the full snapshot in its place.
+// WatchGrace is how long a watch may continue without receiving a byte after a peer's notification
+// of the change has arrived. The store answers the watches of a change one after the other,
+// and the answer to a watch costs less than the full snapshot that would replace it.
 const WatchGrace = 400 * time.Millisecond
 
-// WatchWait returns how long a watch of the operators' entries waits where so many
-// VMs hear each other, this one counted; x is drawn from 0 to 1.
+// WatchWait returns how long a watch of the operators' entries waits for changes. vms is the
+// number of reachable VMs, including this one. x is a random number from 0 to 1.
 func WatchWait(vms int, x float64) time.Duration {
 	if vms <= 1 {
-		return watchLeast + watchAlone
+		return minWatchWait + aloneWatchWait
 	}
-	return min(watchLeast+time.Duration(x*float64(vms)*float64(watchPerVM)), watchMost)
+	return min(minWatchWait+time.Duration(x*float64(vms)*float64(watchWaitPerVM)), maxWatchWait)
 }
 
 const (
-	// beatOwner is the time between beats to the store of a VM that gives orders:
-	// it does so for 9 s after the last one that was acknowledged, so outages of
-	// 6.5 s stop none.
-	beatOwner = 2500 * time.Millisecond
-	// beatOwnerMany is that in a deployment of manyVMs and more, where beats were
-	// half of the calls: outages of 5 s stop no orders.
-	beatOwnerMany = 4 * time.Second
-	manyVMs       = 30
-	// beatIdle is that of a VM that gives no orders. Its record only tells others
-	// that it is there, and lasts.
-	beatIdle = 10 * time.Second
-	// beatIdlePerVM is what each VM adds to it: the beats of a second stay as many.
-	beatIdlePerVM = 400 * time.Millisecond
+	// ownerInterval is the time between heartbeats to the store of a VM that gives orders. The
+	// VM may give orders for 9 s after the last acknowledged heartbeat, so a store outage of
+	// 6.5 s stops no orders.
+	ownerInterval = 2500 * time.Millisecond
+	// largeOwnerInterval replaces ownerInterval from largeDeploymentVMs on, where heartbeats at
+	// ownerInterval were half of the calls to the store. A store outage of 5 s stops no orders.
+	largeOwnerInterval = 4 * time.Second
+	largeDeploymentVMs = 30
+	// minIdleInterval is the least time between heartbeats of a VM that gives no orders. Its
+	// record only shows other VMs that it exists, and outlasts the interval.
+	minIdleInterval = 10 * time.Second
+	// idleIntervalPerVM is the interval for each VM of the deployment, so that the number of
+	// heartbeats per second to the store doesn't grow with the number of VMs.
+	idleIntervalPerVM = 400 * time.Millisecond
 )
 
-// BeatInterval returns the time between a VM's beats to the store where so many
-// VMs hear each other.
+// BeatInterval returns the time between a VM's heartbeats to the store. vms is the number of
+// reachable VMs, including this one. owner says whether the VM gives orders.
 func BeatInterval(vms int, owner bool) time.Duration {
 	switch {
 	case !owner:
-		return max(beatIdle, beatIdlePerVM*time.Duration(vms))
-	case vms >= manyVMs:
-		return beatOwnerMany
+		return max(minIdleInterval, idleIntervalPerVM*time.Duration(vms))
+	case vms >= largeDeploymentVMs:
+		return largeOwnerInterval
 	}
-	return beatOwner
+	return ownerInterval
 }
 
 const (
-	// recordsLeast is the least time between readings of the VMs' own records, and
-	// recordsPerVM what each VM adds: a reading costs a tenth of a call.
-	recordsLeast = time.Second
-	recordsPerVM = 40 * time.Millisecond
+	// minRecordsInterval is the least time between reads of the VMs' records in the store, and
+	// recordsIntervalPerVM is the interval for each VM. A read costs a tenth of a call.
+	minRecordsInterval   = time.Second
+	recordsIntervalPerVM = 40 * time.Millisecond
 )
 
-// RecordsInterval returns the time between a VM's readings of the VMs' own records.
+// RecordsInterval returns the time between a VM's reads of the VMs' records in the store. vms is
+// the number of reachable VMs, including this one.
 func RecordsInterval(vms int) time.Duration {
-	return max(recordsLeast, recordsPerVM*time.Duration(vms))
+	return max(minRecordsInterval, recordsIntervalPerVM*time.Duration(vms))
 }
 
 const (
-	// retryFirst is the pause after a call of the store that failed, and retryMost
-	// that after several in a row: it doubles. A VM reads within it once the store
-	// is back, and is held to what the store says 3 s after that.
-	retryFirst = 200 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
+	// initialRetryPause is the pause after the first failed call to the store. The pause
+	// doubles with each consecutive failure, up to maxRetryPause. A VM reads the store within
+	// that pause after the store becomes reachable again, and must conform to the store's
+	// state 3 s later.
+	initialRetryPause = 200 * time.Millisecond
+	maxRetryPause     = 800 * time.Millisecond
 )
 
-// RetryPause returns the pause after so many failed calls of the store in a row, of
-// a VM that knows enough to serve; x is drawn from 0 to 1. One that doesn't serve yet
-// asks again after the first pause each time.
+// RetryPause returns the pause after a number of consecutive failed calls to the store. serves
+// says whether the VM has the state that it needs to serve; a VM that doesn't serve yet always
+// retries after the initial pause. x is a random number from 0 to 1 for the jitter.
 //
-// Refused calls count and are paid for like others: 65 VMs that asked for three
-// things five times a second made 900 calls a second of a store that was away.
+// Refused calls count and are billed like others. 65 VMs with three kinds of calls, each made
+// five times a second, made 900 calls a second to an unreachable store.
 func RetryPause(failures int, serves bool, x float64) time.Duration {
-	d := retryFirst
+	d := initialRetryPause
 	for range failures - 1 {
-		if !serves || d >= retryMost {
+		if !serves || d >= maxRetryPause {
 			break
 		}
 		d *= 2
--- a/core/ggsgossip/gossip_test.go
+++ b/core/ggsgossip/gossip_test.go
@@ -11,8 +11,8 @@
 	"greengageslip/core/ggsgossip"
 )
 
-// fleet returns so many VMs in each failure domain of each region.
-func fleet(regions, domains, vms int) []ggsgossip.Member {
+// deployment returns VMs in a number of regions, with domains in each and vms in each domain.
+func deployment(regions, domains, vms int) []ggsgossip.Member {
 	var ms []ggsgossip.Member
 	for r := range regions {
 		for d := range domains {
@@ -38,19 +38,19 @@
 	return l
 }
 
-// spread tells all that a VM knows and returns how often each VM heard it, and
-// how many words crossed domains of a region and regions.
-func spread(ms []ggsgossip.Member, from ggsgossip.Member, sequence uint64) (heard map[ggscore.VMID]int, domains, regions int) {
+// broadcast sends a message from a VM to all others. It returns how often each VM received it, and
+// how many messages were sent between domains of a region and between regions.
+func broadcast(ms []ggsgossip.Member, from ggsgossip.Member, sequence uint64) (received map[ggscore.VMID]int, domains, regions int) {
 	byID := map[ggscore.VMID]ggsgossip.Member{}
 	for _, m := range ms {
 		byID[m.VM] = m
 	}
-	heard = map[ggscore.VMID]int{}
-	var tell func(m ggsgossip.Member, reach ggscore.Relay)
-	tell = func(m ggsgossip.Member, reach ggscore.Relay) {
+	received = map[ggscore.VMID]int{}
+	var send func(m ggsgossip.Member, reach ggscore.Relay)
+	send = func(m ggsgossip.Member, reach ggscore.Relay) {
 		for _, r := range ggsgossip.Routes(m, without(without(ms, m.VM), from.VM), reach, sequence) {
 			to := byID[r.To]
-			heard[to.VM]++
+			received[to.VM]++
 			switch {
 			case to.Region != m.Region:
 				regions++
@@ -58,33 +58,33 @@
 				domains++
 			}
 			if r.Relay > ggscore.RelayNone {
-				tell(to, r.Relay)
+				send(to, r.Relay)
 			}
 		}
 	}
-	tell(from, ggscore.RelayRegions)
-	return heard, domains, regions
+	send(from, ggscore.RelayRegions)
+	return received, domains, regions
 }
 
-// Beats went to each VM of the region: with 65 VMs of two domains a region they
-// were three quarters of the bytes between failure domains.
-func TestEachVMHearsAWordOnce(t *testing.T) {
+// Guards against duplicate messages and excess traffic between domains. Heartbeats to each VM of a
+// region were 75% of the bytes between failure domains, with 65 VMs and two domains a region.
+func TestEachVMReceivesAMessageOnce(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct{ regions, domains, vms, betweenDomains, betweenRegions int }{
-		"one VM a domain":           {3, 1, 1, 0, 2},
-		"three regions of a domain": {3, 1, 3, 0, 2},
-		"three regions of two":      {3, 2, 11, 3, 2},
-		"two regions of four":       {2, 4, 50, 6, 1},
-		"one region of three":       {1, 3, 4, 2, 0},
+		"one VM a domain":             {3, 1, 1, 0, 2},
+		"three regions of one domain": {3, 1, 3, 0, 2},
+		"three regions of two":        {3, 2, 11, 3, 2},
+		"two regions of four":         {2, 4, 50, 6, 1},
+		"one region of three":         {1, 3, 4, 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			ms := fleet(tc.regions, tc.domains, tc.vms)
+			ms := deployment(tc.regions, tc.domains, tc.vms)
 			for sequence := range uint64(5) {
-				heard, domains, regions := spread(ms, ms[0], sequence)
-				c.Assert(heard, qt.HasLen, len(ms)-1)
-				for vm, n := range heard {
+				received, domains, regions := broadcast(ms, ms[0], sequence)
+				c.Assert(received, qt.HasLen, len(ms)-1)
+				for vm, n := range received {
 					c.Assert(n, qt.Equals, 1, qt.Commentf("%s", vm))
 				}
 				c.Assert(domains, qt.Equals, tc.betweenDomains)
@@ -94,32 +94,32 @@
 	}
 }
 
-// A VM that passes words on is gone, and its peers haven't noticed: others pass on
-// the next ones.
-func TestAnotherVMPassesTheNextWordOn(t *testing.T) {
+// Guards against losing all messages to a region because the VM that forwards them has failed and
+// its peers haven't detected it yet: different VMs forward consecutive messages.
+func TestForwarderChangesWithSequence(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	ms := fleet(2, 1, 3)
-	relays := map[ggscore.VMID]bool{}
+	ms := deployment(2, 1, 3)
+	forwarders := map[ggscore.VMID]bool{}
 	for sequence := range uint64(3) {
 		for _, r := range ggsgossip.Routes(ms[0], ms[1:], ggscore.RelayRegions, sequence) {
 			if r.Relay > ggscore.RelayNone {
-				relays[r.To] = true
+				forwarders[r.To] = true
 			}
 		}
 	}
-	c.Assert(relays, qt.HasLen, 3)
+	c.Assert(forwarders, qt.HasLen, 3)
 }
 
-// Of 65 VMs 18 read the list of endpoints in each round. One reads for all; where
-// it is gone, the next does, and an endpoint that leaves is known within 2.5 s
-// though three in a row are.
+// Guards against many VMs that each read the list of endpoints (18 of 65 did). One VM reads for
+// all. If it has failed, the next one reads, and a leaving endpoint is known within 2.5 s even if
+// three consecutive VMs have failed.
 func TestOneVMReadsForAll(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	heard := []ggscore.VMID{"a", "b", "c", "e"}
-	c.Assert(ggsgossip.Rank("a", heard[1:]), qt.Equals, 0)
-	c.Assert(ggsgossip.Rank("d", heard), qt.Equals, 3)
+	reachable := []ggscore.VMID{"a", "b", "c", "e"}
+	c.Assert(ggsgossip.Rank("a", reachable[1:]), qt.Equals, 0)
+	c.Assert(ggsgossip.Rank("d", reachable), qt.Equals, 3)
 	for rank := range 3 {
 		c.Assert(ggsgossip.ReadAge(rank+1, 0)-ggsgossip.ReadAge(rank, 1) >= 190*time.Millisecond, qt.IsTrue)
 	}
@@ -127,17 +127,17 @@
 	c.Assert(ggsgossip.AloneAge() < time.Second, qt.IsTrue)
 }
 
-// The watches of nine VMs end four times a second; those of 65 did so nineteen
-// times.
-func TestWatchesEndNoMoreOftenInALargeFleet(t *testing.T) {
+// Guards against a rate of watch calls that grows with the number of VMs. The watches of 9 VMs end
+// four times a second, and those of 65 VMs ended nineteen times a second.
+func TestWatchRateIsBounded(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		vms         int
 		least, most float64
 	}{
-		"nine": {9, 2, 4},
-		"65":   {65, 2, 6},
-		"410":  {410, 2, 30},
+		"9":   {9, 2, 4},
+		"65":  {65, 2, 6},
+		"410": {410, 2, 30},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -156,9 +156,10 @@
 	c.Assert(ggsgossip.RecordsInterval(65) > 2*time.Second, qt.IsTrue)
 }
 
-// Orders go on for 9 s after a VM's last beat: one that gives any beats twice in
-// that time at least, also when it has just claimed its first endpoint.
-func TestOwnersBeatWhileTheyMayOrder(t *testing.T) {
+// Guards against a VM that must stop giving orders after one lost heartbeat. It may give orders for
+// 9 s after its last heartbeat, and sends at least two in that time, also right after it claimed
+// its first endpoint.
+func TestOwnersSendTwoHeartbeatsWithinOrderTime(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	for _, vms := range []int{1, 9, 65, 410} {
@@ -167,17 +168,17 @@
 	}
 }
 
-// The store is away for 8 s. 65 VMs asked it for three things every 0.2 s each, and
-// paid for 7,800 refusals; one that has just started has to know as soon as it is
-// back, as it can't serve before.
-func TestStoreThatIsAwayIsAskedLessOften(t *testing.T) {
+// Guards against too many billed calls during a store outage of 8 s: 65 VMs that made three kinds
+// of calls every 0.2 s paid for 7,800 refused calls. A VM that has just started keeps the short
+// pause, since it can't serve until it has read the store.
+func TestRetriesDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		serves      bool
 		least, most int
 	}{
-		"serves":      {true, 9, 14},
-		"doesn't yet": {false, 40, 54},
+		"serves":            {true, 9, 14},
+		"doesn't serve yet": {false, 40, 54},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -193,28 +194,25 @@
 	}
 }
 
-// VMs that started together send their beats at the same moments, under the same
-// sequence. If all choose the same VM of a domain to pass them on, its link is full for
-// a fifth of a second each time, and its callers' streams stop.
-//
-// Of 72 VMs one passed on the words of all 60 of other domains, 660 datagrams; now none
-// more than a quarter of that.
-func TestRelaysOfOneMomentAreSpread(t *testing.T) {
+// Guards against a saturated link, and stalled streams, at a VM that forwards the simultaneous
+// heartbeats of all VMs that started together and so have the same sequence: with 72 VMs, 660
+// datagrams for 60 VMs of other domains. No VM may forward more than a quarter of all.
+func TestSimultaneousForwardsAreSpread(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	ms := fleet(3, 2, 12)
+	ms := deployment(3, 2, 12)
 	const peers = 11
 	for sequence := range uint64(20) {
-		relayed := map[ggscore.VMID]int{}
+		forwarded := map[ggscore.VMID]int{}
 		for _, m := range ms {
 			for _, r := range ggsgossip.Routes(m, without(ms, m.VM), ggscore.RelayRegions, sequence) {
 				if r.Relay > ggscore.RelayNone {
-					relayed[r.To] += peers
+					forwarded[r.To] += peers
 				}
 			}
 		}
-		for vm, n := range relayed {
-			c.Assert(n <= len(ms)*peers/4, qt.IsTrue, qt.Commentf("%s sends %d words at once", vm, n))
+		for vm, n := range forwarded {
+			c.Assert(n <= len(ms)*peers/4, qt.IsTrue, qt.Commentf("%s forwards %d messages at once", vm, n))
 		}
 	}
 }
