--- a/core/ggsdocument/errors.go
+++ b/core/ggsdocument/errors.go
@@ -126,7 +126,7 @@
 // platform's data, or the revision is mistyped.
 type FutureRevisionError struct {
 	BaseRevision ggscore.Revision
-	Have   ggscore.Revision
+	Have         ggscore.Revision
 }
 
 // Error implements error.
--- a/core/ggsdocument/follower_test.go
+++ b/core/ggsdocument/follower_test.go
@@ -142,21 +142,21 @@
 	for range ggsdocument.HistoryLength - 1 {
 		h = accepted(c, h, "market/cr", "1", "x")
 	}
-	fate, r := h.ChangeStatus("first", 0)
+	fate, r := h.StatusOf("first", 0)
 	c.Assert(fate, qt.Equals, ggsdocument.ChangeAccepted)
 	c.Assert(r, qt.Equals, ggscore.Revision(1))
-	fate, _ = h.ChangeStatus("never", 0)
+	fate, _ = h.StatusOf("never", 0)
 	c.Assert(fate, qt.Equals, ggsdocument.ChangeNotAccepted)
 	h = accepted(c, h, "market/cr", "1", "y")
 	c.Assert(h.Changes, qt.HasLen, ggsdocument.HistoryLength)
-	fate, _ = h.ChangeStatus("first", 0)
+	fate, _ = h.StatusOf("first", 0)
 	c.Assert(fate, qt.Equals, ggsdocument.ChangeUnknown)
 
 	latest := accepted(c, ggsdocument.Head{}, "market/wa", "1", "latest")
 	for range ggsdocument.HistoryLength {
 		latest = accepted(c, latest, "market/cr", "1", "x")
 	}
-	fate, r = latest.ChangeStatus("latest", 0)
+	fate, r = latest.StatusOf("latest", 0)
 	c.Assert(fate, qt.Equals, ggsdocument.ChangeAccepted)
 	c.Assert(r, qt.Equals, ggscore.Revision(1))
 }
--- a/core/ggsdocument/head.go
+++ b/core/ggsdocument/head.go
@@ -46,7 +46,7 @@
 	Digest  ggscore.Digest
 	// BaseRevision is the revision that the operator read before the change.
 	BaseRevision ggscore.Revision
-	By     string
+	By           string
 }
 
 // A ChangeStatus is the outcome of a change as far as a head shows it.
@@ -129,11 +129,11 @@
 	return l
 }
 
-// ChangeStatus returns the outcome of a change that was first attempted on a head of revision
+// StatusOf returns the outcome of a change that was first attempted on a head of revision
 // attemptedAt, and the change's revision if it was accepted. The outcome is known if
 // the change is in the history or is the latest one of its section, or if the history
 // reaches back to the revision after attemptedAt.
-func (h Head) ChangeStatus(id ChangeID, attemptedAt ggscore.Revision) (ChangeStatus, ggscore.Revision) {
+func (h Head) StatusOf(id ChangeID, attemptedAt ggscore.Revision) (ChangeStatus, ggscore.Revision) {
 	for _, c := range h.Changes {
 		if c.ID == id {
 			return ChangeAccepted, c.Revision
--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -135,9 +135,9 @@
 	return d
 }
 
-// AloneAge returns the age of the list of endpoints at which a VM without reachable peers reads
+// AloneReadAge returns the age of the list of endpoints at which a VM without reachable peers reads
 // the list.
-func AloneAge() time.Duration { return aloneAge }
+func AloneReadAge() time.Duration { return aloneAge }
 
 const (
 	// minWatchWait is the least time that a watch waits for changes. A watch with a stalled
@@ -155,9 +155,9 @@
 	maxWatchWait = 28 * time.Second
 )
 
-// OperatorsStale is the age of the last read of the operators' entries by any VM from which a VM
+// MaxOperatorsAge is the age of the last read of the operators' entries by any VM from which a VM
 // that relies on relays watches the entries itself.
-const OperatorsStale = 3 * time.Second
+const MaxOperatorsAge = 3 * time.Second
 
 // WatchGrace is how long a watch may continue without receiving a byte after a peer's notification
 // of the change has arrived. The store answers the watches of a change one after the other,
@@ -190,9 +190,9 @@
 	idleIntervalPerVM = 400 * time.Millisecond
 )
 
-// BeatInterval returns the time between a VM's heartbeats to the store. vms is the number of
+// HeartbeatInterval returns the time between a VM's heartbeats to the store. vms is the number of
 // reachable VMs, including this one. owner says whether the VM gives orders.
-func BeatInterval(vms int, owner bool) time.Duration {
+func HeartbeatInterval(vms int, owner bool) time.Duration {
 	switch {
 	case !owner:
 		return max(minIdleInterval, idleIntervalPerVM*time.Duration(vms))
--- a/core/ggsgossip/gossip_test.go
+++ b/core/ggsgossip/gossip_test.go
@@ -124,7 +124,7 @@
 		c.Assert(ggsgossip.ReadAge(rank+1, 0)-ggsgossip.ReadAge(rank, 1) >= 190*time.Millisecond, qt.IsTrue)
 	}
 	c.Assert(ggsgossip.ReadAge(100, 1) <= 1500*time.Millisecond, qt.IsTrue)
-	c.Assert(ggsgossip.AloneAge() < time.Second, qt.IsTrue)
+	c.Assert(ggsgossip.AloneReadAge() < time.Second, qt.IsTrue)
 }
 
 // Guards against a rate of watch calls that grows with the number of VMs. The watches of 9 VMs end
@@ -163,8 +163,8 @@
 	t.Parallel()
 	c := qt.New(t)
 	for _, vms := range []int{1, 9, 65, 410} {
-		c.Assert(2*ggsgossip.BeatInterval(vms, true) < 9*time.Second, qt.IsTrue)
-		c.Assert(ggsgossip.BeatInterval(vms, false) > ggsgossip.BeatInterval(vms, true), qt.IsTrue)
+		c.Assert(2*ggsgossip.HeartbeatInterval(vms, true) < 9*time.Second, qt.IsTrue)
+		c.Assert(ggsgossip.HeartbeatInterval(vms, false) > ggsgossip.HeartbeatInterval(vms, true), qt.IsTrue)
 	}
 }
 
--- a/core/ggsmember/member.go
+++ b/core/ggsmember/member.go
@@ -28,48 +28,48 @@
 // A Heartbeat carries the state of its sender and recent updates about other members.
 type Heartbeat struct {
 	Sender Member
-	// Watch requests that the receiver monitors the sender, and marks it as gone when its
+	// Monitor requests that the receiver monitors the sender, and marks it as gone when its
 	// heartbeats stop. The sender sets it, since only the sender knows where it sends.
-	Watch bool
-	News  []Member
+	Monitor bool
+	Updates []Member
 }
 
 // A Target is where a heartbeat is to be sent.
 type Target struct {
 	Addr netip.AddrPort
-	// Watch is the value for the heartbeat's field of the same name.
-	Watch bool
+	// Monitor is the value for the heartbeat's field of the same name.
+	Monitor bool
 }
 
 // Limits configures the timing and the fan-out of heartbeats.
 type Limits struct {
-	// Every is the time between heartbeats.
-	Every time.Duration
-	// Silence is the time without heartbeats after which a member counts as gone.
-	Silence time.Duration
-	// UnlistedSilence is the same for a member that the platform's list doesn't contain.
-	UnlistedSilence time.Duration
+	// Interval is the time between heartbeats.
+	Interval time.Duration
+	// Timeout is the time without heartbeats after which a member counts as gone.
+	Timeout time.Duration
+	// UnlistedTimeout is the same for a member that the platform's list doesn't contain.
+	UnlistedTimeout time.Duration
 	// AllToAll is the largest number of members at which each sends to all others.
 	AllToAll int
 	// Monitors is the number of members that each sends to in a larger domain.
 	Monitors int
-	// News bounds the updates in one heartbeat. NewsSends is the number of heartbeats that
+	// MaxUpdates bounds the updates in one heartbeat. NewsSends is the number of heartbeats that
 	// carry an urgent update.
-	News      int
-	NewsSends int
+	MaxUpdates  int
+	UpdateSends int
 }
 
 // DefaultLimits returns limits with which a change reaches all of 100 members within 3 s,
 // for less than 2 KB a second at each member.
 func DefaultLimits() Limits {
 	return Limits{
-		Every:           time.Second,
-		Silence:         5 * time.Second,
-		UnlistedSilence: 3 * time.Second,
+		Interval:        time.Second,
+		Timeout:         5 * time.Second,
+		UnlistedTimeout: 3 * time.Second,
 		AllToAll:        9,
 		Monitors:        5,
-		News:            4,
-		NewsSends:       3,
+		MaxUpdates:      4,
+		UpdateSends:     3,
 	}
 }
 
--- a/core/ggsmember/table.go
+++ b/core/ggsmember/table.go
@@ -55,8 +55,8 @@
 	return &Table{self: self, limits: l, entries: make(map[ggscore.VMID]*entry)}
 }
 
-// Beat returns the next heartbeat. It is called once for each heartbeat, after Targets.
-func (t *Table) Beat(now time.Time) Heartbeat {
+// NextHeartbeat returns the next heartbeat. It is called once for each heartbeat, after Targets.
+func (t *Table) NextHeartbeat(now time.Time) Heartbeat {
 	t.expire(now)
 	t.self.Sequence++
 	t.selfUrgent = false
@@ -66,15 +66,15 @@
 	h := Heartbeat{Sender: t.self}
 	for _, id := range t.order {
 		e := t.entries[id]
-		if e.sends == 0 || len(h.News) >= t.limits.News {
+		if e.sends == 0 || len(h.Updates) >= t.limits.MaxUpdates {
 			continue
 		}
 		e.sends--
 		e.urgent = false
-		h.News = append(h.News, e.update())
+		h.Updates = append(h.Updates, e.update())
 	}
-	if len(h.News) == 0 && t.large() {
-		h.News = t.roundRobin()
+	if len(h.Updates) == 0 && t.large() {
+		h.Updates = t.roundRobin()
 	}
 	return h
 }
@@ -100,9 +100,9 @@
 		return
 	}
 	if e := t.merge(now, s); e != nil {
-		e.lastSeen, e.lastDirect, e.monitored = now, now, h.Watch
+		e.lastSeen, e.lastDirect, e.monitored = now, now, h.Monitor
 	}
-	for _, m := range h.News {
+	for _, m := range h.Updates {
 		if m.VM == t.self.VM {
 			t.refute(m)
 			continue
@@ -146,7 +146,7 @@
 		t.self.Leaving = true
 		t.selfUrgent = true
 		// Any member may send new work here, so the next few heartbeats go to all of them.
-		t.broadcasts = t.limits.NewsSends
+		t.broadcasts = t.limits.UpdateSends
 	}
 	t.self.Revision = max(t.self.Revision, r)
 }
@@ -159,16 +159,16 @@
 		monitors = t.monitors()
 	}
 	for _, id := range monitors {
-		t.entries[id].sendsAsMonitor = t.limits.NewsSends + 1
+		t.entries[id].sendsAsMonitor = t.limits.UpdateSends + 1
 	}
 	var to []Target
 	for _, id := range t.order {
 		e := t.entries[id]
-		watch := e.sendsAsMonitor > t.limits.NewsSends
+		watch := e.sendsAsMonitor > t.limits.UpdateSends
 		// A member that is gone but still listed stays a target, since it may only be
 		// unreachable for a while.
 		if (e.sendsAsMonitor > 0 || t.broadcasts > 0) && (!e.gone || e.listed) && e.member.Addr.IsValid() {
-			to = append(to, Target{Addr: e.member.Addr, Watch: watch})
+			to = append(to, Target{Addr: e.member.Addr, Monitor: watch})
 		}
 		e.sendsAsMonitor = max(0, e.sendsAsMonitor-1)
 	}
@@ -237,16 +237,16 @@
 
 func (t *Table) timeout(e *entry) time.Duration {
 	if t.listKnown && !e.listed {
-		return t.limits.UnlistedSilence
+		return t.limits.UnlistedTimeout
 	}
-	return t.limits.Silence
+	return t.limits.Timeout
 }
 
 // retention is how long a member is kept without newer state, so that late heartbeats of one
 // that is gone don't add it as a new member. A round of the round-robin updates takes as many
 // heartbeats as there are members.
 func (t *Table) retention() time.Duration {
-	return max(retentionTimeouts*t.limits.Silence, retentionRounds*time.Duration(len(t.order))*t.limits.Every)
+	return max(retentionTimeouts*t.limits.Timeout, retentionRounds*time.Duration(len(t.order))*t.limits.Interval)
 }
 
 const (
@@ -256,7 +256,7 @@
 
 // markUrgent schedules an update about a member to be sent immediately and repeatedly.
 func (t *Table) markUrgent(e *entry) {
-	e.sends = t.limits.NewsSends
+	e.sends = t.limits.UpdateSends
 	e.urgent = true
 }
 
--- a/core/ggsmember/table_test.go
+++ b/core/ggsmember/table_test.go
@@ -49,10 +49,10 @@
 func (d *domain) beat(i int) {
 	t := d.tables[i]
 	to := t.Targets(d.now)
-	h := t.Beat(d.now)
+	h := t.NextHeartbeat(d.now)
 	for _, a := range to {
 		j := int(a.Addr.Addr().As4()[3])
-		h.Watch = a.Watch
+		h.Monitor = a.Monitor
 		d.sent++
 		if !d.isolated[i] && !d.isolated[j] && !d.lost() {
 			d.tables[j].Receive(d.now, t.self.Addr, h)
@@ -151,14 +151,14 @@
 			t.Receive(now, member(1, 0).Addr, old)
 		},
 		"update from another member": func(t *Table, now time.Time, old Heartbeat) {
-			t.Receive(now, member(2, 0).Addr, Heartbeat{Sender: member(2, 0), News: []Member{old.Sender}})
+			t.Receive(now, member(2, 0).Addr, Heartbeat{Sender: member(2, 0), Updates: []Member{old.Sender}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			d := newDomain(3)
-			old := d.tables[1].Beat(d.now)
+			old := d.tables[1].NextHeartbeat(d.now)
 			d.tables[1].SetSelf(true, 0)
 			d.beat(1)
 			c.Assert(d.view(0).Leaving, qt.IsTrue)
@@ -226,7 +226,7 @@
 	update := *d.view(0)
 	update.Gone = true
 	for _, t := range d.tables {
-		t.Receive(d.now, member(0, 0).Addr, Heartbeat{Sender: member(0, 0), News: []Member{update}})
+		t.Receive(d.now, member(0, 0).Addr, Heartbeat{Sender: member(0, 0), Updates: []Member{update}})
 	}
 	c.Assert(d.view(2), qt.IsNil)
 	c.Assert(d.tables[1].Urgent(), qt.IsTrue)
@@ -246,7 +246,7 @@
 	gone, old := member(1, 0), member(1, 0)
 	gone.Sequence, gone.Gone, old.Sequence = 9, true, 8
 	for _, m := range []Member{gone, old} {
-		d.tables[0].Receive(d.now, member(2, 0).Addr, Heartbeat{Sender: member(2, 0), News: []Member{m}})
+		d.tables[0].Receive(d.now, member(2, 0).Addr, Heartbeat{Sender: member(2, 0), Updates: []Member{m}})
 	}
 	c.Assert(d.view(0), qt.IsNil)
 }
@@ -326,7 +326,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				d.tables[0].Targets(d.now)
-				d.tables[0].Beat(d.now)
+				d.tables[0].NextHeartbeat(d.now)
 			}
 		})
 	}
--- a/core/ggsowner/candidate.go
+++ b/core/ggsowner/candidate.go
@@ -6,10 +6,10 @@
 	ggscore "greengageslip/core"
 )
 
-// First returns the candidate that takes a group over, and false if there is none.
+// PreferredCandidate returns the candidate that takes a group over, and false if there is none.
 // It uses rendezvous hashing, so that the groups of a failed VM are distributed
 // over all other VMs. Candidates on the VM except are skipped.
-func First(group ggscore.Key, candidates []Holder, except ggscore.VMID) (Holder, bool) {
+func PreferredCandidate(group ggscore.Key, candidates []Holder, except ggscore.VMID) (Holder, bool) {
 	var first Holder
 	var best uint64
 	found := false
@@ -22,8 +22,8 @@
 	return first, found
 }
 
-// GroupOf returns the index of an endpoint's group among the n groups of its
+// GroupIndex returns the index of an endpoint's group among the n groups of its
 // failure domain. All dispatchers of a failure domain must use the same n.
-func GroupOf(id ggscore.EndpointID, n int) int {
+func GroupIndex(id ggscore.EndpointID, n int) int {
 	return int(xxhash.Sum64String(string(id)) % uint64(n))
 }
--- a/core/ggsowner/group.go
+++ b/core/ggsowner/group.go
@@ -64,8 +64,8 @@
 	candidate  bool
 	// desired contains the adapters that the record should protect. confirmed
 	// contains those that it protects whether or not ambiguous writes take effect.
-	desired   Set
-	confirmed Set
+	desired   AdapterSet
+	confirmed AdapterSet
 	releasing bool
 	idle      bool
 	stopped   map[Holder]bool
@@ -82,8 +82,8 @@
 	return &Group{self: self, stopped: make(map[Holder]bool)}
 }
 
-// Away records that a read failed, or that a write failed without effect.
-func (g *Group) Away() {
+// IOFailed records that a read failed, or that a write failed without effect.
+func (g *Group) IOFailed() {
 	g.writeInFlight, g.next = false, Record{}
 	g.upToDate = false
 }
@@ -152,12 +152,12 @@
 // owner and isn't released.
 func (g *Group) Owned() bool { return g.record.Owner == g.self && !g.record.Released }
 
-// Poll makes Next read the record again.
-func (g *Group) Poll() { g.upToDate = false }
+// Invalidate makes Next read the record again.
+func (g *Group) Invalidate() { g.upToDate = false }
 
 // Protect sets the adapters that the record of an owned group should protect, and
 // reports whether the record must be written for that.
-func (g *Group) Protect(s Set) bool {
+func (g *Group) Protect(s AdapterSet) bool {
 	if !g.Owned() {
 		return false
 	}
@@ -213,10 +213,10 @@
 
 // Involved reports whether the record names this holder as the owner, also if
 // released, or has pins of this holder.
-func (g *Group) Involved() bool { return g.record.Owner == g.self || g.Pinning() }
+func (g *Group) Involved() bool { return g.record.Owner == g.self || g.HasPins() }
 
-// Pinning reports whether the record has pins of this holder.
-func (g *Group) Pinning() bool {
+// HasPins reports whether the record has pins of this holder.
+func (g *Group) HasPins() bool {
 	for _, p := range g.record.Pins {
 		if p.Holder == g.self {
 			return true
@@ -225,13 +225,13 @@
 	return false
 }
 
-// Stopped records that an earlier holder has certainly stopped: its process was
+// MarkStopped records that an earlier holder has certainly stopped: its process was
 // replaced by another, or its VM no longer exists.
-func (g *Group) Stopped(h Holder) { g.stopped[h] = true }
+func (g *Group) MarkStopped(h Holder) { g.stopped[h] = true }
 
-// Want sets whether this dispatcher is the first candidate to take the group over
+// SetCandidate sets whether this dispatcher is the first candidate to take the group over
 // from the owner that the record names.
-func (g *Group) Want(candidate bool) { g.candidate = candidate }
+func (g *Group) SetCandidate(candidate bool) { g.candidate = candidate }
 
 // WriteDone records the result of StepWriteRecord. With WriteOK, rev is the new
 // revision.
--- a/core/ggsowner/group_test.go
+++ b/core/ggsowner/group_test.go
@@ -40,7 +40,7 @@
 			s.endStep(dispatchers.Draw(t, "dispatcher"), rapid.IntRange(1, 3).Draw(t, "outcome"))
 		},
 		"applyDelayed": func(t *rapid.T) { drawIndex(t, len(s.delayed), s.applyDelayed) },
-		"poll":         func(t *rapid.T) { s.dispatchers[dispatchers.Draw(t, "dispatcher")].group.Poll() },
+		"poll":         func(t *rapid.T) { s.dispatchers[dispatchers.Draw(t, "dispatcher")].group.Invalidate() },
 		"runSteps":     func(t *rapid.T) { s.runSteps(dispatchers.Draw(t, "dispatcher")) },
 		"takeOver":     func(t *rapid.T) { i := dispatchers.Draw(t, "dispatcher"); s.renew(i, true); s.pollRecord(i) },
 		"renew":        func(t *rapid.T) { s.renew(dispatchers.Draw(t, "dispatcher"), rapid.Bool().Draw(t, "answered")) },
@@ -117,8 +117,8 @@
 	s.now = s.now.Add(testTTL + time.Second)
 	s.renew(1, true)
 	s.renew(2, true)
-	s.dispatchers[2].group.Want(true)
-	s.dispatchers[2].group.Poll()
+	s.dispatchers[2].group.SetCandidate(true)
+	s.dispatchers[2].group.Invalidate()
 	for range 2 {
 		s.startStep(2)
 		s.endStep(2, endAnswered)
@@ -158,7 +158,7 @@
 	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.ErrorAs, &p)
 	c.Assert(s.record.PinnedOn(runner, s.dispatchers[1].group.self), qt.DeepEquals, []ggscore.AdapterRef{a})
 
-	s.dispatchers[0].group.Poll()
+	s.dispatchers[0].group.Invalidate()
 	s.runSteps(0)
 	var n *NotOwnerError
 	c.Assert(s.order(t, 0, a, ggscore.OrderDispatch), qt.ErrorAs, &n)
@@ -193,11 +193,11 @@
 	a := adapter(1)
 	makeOwner(t, s, a)
 	g := s.dispatchers[0].group
-	g.Protect(Set{})
+	g.Protect(AdapterSet{})
 	s.startStep(0)
 	s.endStep(0, endLostBeforeEffect)
 	c.Assert(g.Protected(runner, a), qt.IsFalse)
-	g.Protect(Set{runner: {a}})
+	g.Protect(AdapterSet{runner: {a}})
 	s.runSteps(0)
 	s.applyDelayed(0)
 	c.Assert(g.Protected(runner, a), qt.IsTrue)
@@ -225,7 +225,7 @@
 	var p *PinnedError
 	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.ErrorAs, &p)
 	s.endRuns(0)
-	s.dispatchers[0].group.Poll()
+	s.dispatchers[0].group.Invalidate()
 	s.runSteps(0)
 	s.pollRecord(1)
 	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.IsNil)
--- a/core/ggsowner/record.go
+++ b/core/ggsowner/record.go
@@ -13,27 +13,27 @@
 	Incarnation string
 }
 
-// A Set is a set of adapters per endpoint. It must not be changed once it is shared.
-type Set map[ggscore.EndpointID][]ggscore.AdapterRef
+// A AdapterSet is a set of adapters per endpoint. It must not be changed once it is shared.
+type AdapterSet map[ggscore.EndpointID][]ggscore.AdapterRef
 
 // Has reports whether s contains an adapter on an endpoint.
-func (s Set) Has(id ggscore.EndpointID, a ggscore.AdapterRef) bool {
+func (s AdapterSet) Has(id ggscore.EndpointID, a ggscore.AdapterRef) bool {
 	return slices.Contains(s[id], a)
 }
 
 // Equal reports whether s and o contain the same adapters, in any order.
-func (s Set) Equal(o Set) bool { return s.subsetOf(o) && o.subsetOf(s) }
+func (s AdapterSet) Equal(o AdapterSet) bool { return s.subsetOf(o) && o.subsetOf(s) }
 
 // Clone returns a deep copy.
-func (s Set) Clone() Set {
-	c := make(Set, len(s))
+func (s AdapterSet) Clone() AdapterSet {
+	c := make(AdapterSet, len(s))
 	for id, refs := range s {
 		c[id] = slices.Clone(refs)
 	}
 	return c
 }
 
-func (s Set) subsetOf(o Set) bool {
+func (s AdapterSet) subsetOf(o AdapterSet) bool {
 	for id, refs := range s {
 		for _, r := range refs {
 			if !o.Has(id, r) {
@@ -45,8 +45,8 @@
 }
 
 // intersect returns the adapters that are in both sets.
-func intersect(a, b Set) Set {
-	c := Set{}
+func intersect(a, b AdapterSet) AdapterSet {
+	c := AdapterSet{}
 	for id, refs := range a {
 		for _, r := range refs {
 			if b.Has(id, r) {
@@ -60,7 +60,7 @@
 // A Pin protects the adapters that an earlier owner may still be using.
 type Pin struct {
 	Holder    Holder
-	Protected Set
+	Protected AdapterSet
 }
 
 // A Record is the stored ownership of a group. The zero value is that of a group
@@ -75,7 +75,7 @@
 	// requests. The adapters of its requests in flight are in Pins.
 	Released bool
 	// Protected contains the adapters that the owner may use.
-	Protected Set
+	Protected AdapterSet
 	Pins      []Pin
 }
 
@@ -85,7 +85,7 @@
 }
 
 // pin sets the adapters that a holder may be using, in place of its earlier pin.
-func (r *Record) pin(h Holder, s Set) {
+func (r *Record) pin(h Holder, s AdapterSet) {
 	r.unpin(func(o Holder) bool { return o == h })
 	if len(s) > 0 {
 		r.Pins = append(r.Pins, Pin{Holder: h, Protected: s})
--- a/core/ggsowner/world_test.go
+++ b/core/ggsowner/world_test.go
@@ -39,7 +39,7 @@
 	leaseKeys   map[ggscore.VMID]ggscore.LeaseID
 	lastLease   ggscore.LeaseID
 	dispatchers []*dispatcher
-	resident    Set
+	resident    AdapterSet
 	// fences maps each fencing token to its owner.
 	fences map[ggscore.FenceNumber]Holder
 }
@@ -51,7 +51,7 @@
 		now:       time.Unix(1_800_000_000, 0),
 		leases:    map[ggscore.LeaseID]time.Time{},
 		leaseKeys: map[ggscore.VMID]ggscore.LeaseID{},
-		resident:  Set{runner: nil},
+		resident:  AdapterSet{runner: nil},
 		fences:    map[ggscore.FenceNumber]Holder{},
 	}
 	for i := range n {
@@ -74,11 +74,11 @@
 			s.delayed = append(s.delayed, delayedWrite{record: old.step.Record, prev: old.step.Prev})
 		}
 		for _, o := range s.dispatchers {
-			o.group.Stopped(old.group.self)
+			o.group.MarkStopped(old.group.self)
 		}
 	}
 	d.group = NewGroup(Holder{VM: vm(i), Incarnation: fmt.Sprint(d.restarts)})
-	d.group.Want(true)
+	d.group.SetCandidate(true)
 	l := NewLease(Limits{TTL: testTTL, Margin: testMargin})
 	d.lease = &l
 	s.dispatchers[i] = d
@@ -131,7 +131,7 @@
 	switch {
 	case step.Kind == StepIdle:
 	case outcome == endFailed, step.Kind != StepWriteRecord && outcome != endAnswered:
-		d.group.Away()
+		d.group.IOFailed()
 	case step.Kind == StepReadRecord:
 		d.group.RecordRead(s.record, s.revision)
 	case step.Kind == StepReadLease:
@@ -173,8 +173,8 @@
 
 // pollRecord reads the record and takes the group over if allowed.
 func (s *simulation) pollRecord(i int) {
-	s.dispatchers[i].group.Want(true)
-	s.dispatchers[i].group.Poll()
+	s.dispatchers[i].group.SetCandidate(true)
+	s.dispatchers[i].group.Invalidate()
 	s.runSteps(i)
 }
 
@@ -223,7 +223,7 @@
 			t.Fatalf("vm%d evicted adapter %s during a run of vm%d", i, a, o)
 		}
 	}
-	kept := Set{runner: nil}
+	kept := AdapterSet{runner: nil}
 	for _, r := range s.resident[runner] {
 		if r != a {
 			kept[runner] = append(kept[runner], r)
--- a/core/ggsplace/departures.go
+++ b/core/ggsplace/departures.go
@@ -7,10 +7,10 @@
 	ggscore "greengageslip/core"
 )
 
-// Depart records that an endpoint announced in an answer that it is leaving, and reports
+// RecordDeparture records that an endpoint announced in an answer that it is leaving, and reports
 // whether that was unknown. The announcement is valid for one process of the endpoint (its
 // Born time) and takes precedence over the registry entry.
-func (t *Table) Depart(d ggscore.Departure) bool {
+func (t *Table) RecordDeparture(d ggscore.Departure) bool {
 	e := t.endpoints[d.Endpoint]
 	if e == nil || !e.Born.Equal(d.Born) {
 		return false
--- a/core/ggsplace/departures_test.go
+++ b/core/ggsplace/departures_test.go
@@ -43,11 +43,11 @@
 			h.SetInstances([]ggscore.Instance{entry(born)})
 			changed := false
 			for _, d := range tc.announced {
-				changed = h.Depart(d)
+				changed = h.RecordDeparture(d)
 			}
 			c.Check(changed, qt.Equals, tc.changed)
 			h.SetInstances(tc.after)
-			c.Check(h.Takes(at(0), "p0"), qt.Equals, tc.accepts)
+			c.Check(h.Accepts(at(0), "p0"), qt.Equals, tc.accepts)
 			c.Check(h.Departures(), qt.HasLen, tc.departures)
 			_, err := h.Choose(at(0), ggsplace.Query{Service: plain})
 			c.Check(err == nil, qt.Equals, tc.accepts)
@@ -82,7 +82,7 @@
 				// An earlier end doesn't shorten the pause.
 				h.Pause(at(0), id, 0)
 			}
-			c.Check(h.Takes(at(tc.after), "p0"), qt.Equals, tc.accepts)
+			c.Check(h.Accepts(at(tc.after), "p0"), qt.Equals, tc.accepts)
 			choice, err := h.Choose(at(tc.after), ggsplace.Query{Service: plain})
 			if !tc.refused {
 				c.Assert(err, qt.IsNil)
--- a/core/ggsplace/flights.go
+++ b/core/ggsplace/flights.go
@@ -16,8 +16,8 @@
 	inFlight map[ggscore.EndpointID]int
 }
 
-// SetPeer replaces a peer's report of its requests in flight.
-func (t *Table) SetPeer(now time.Time, vm ggscore.VMID, fs []ggscore.InFlight) {
+// SetPeerInFlight replaces a peer's report of its requests in flight.
+func (t *Table) SetPeerInFlight(now time.Time, vm ggscore.VMID, fs []ggscore.InFlight) {
 	t.dropExpiredPeers(now)
 	t.addInFlight(t.peers[vm], -1)
 	p := &peer{at: now, inFlight: make(map[ggscore.EndpointID]int, len(fs))}
@@ -38,16 +38,16 @@
 // summed reports whether the peers' requests are reported as one sum.
 func (t *Table) summed() bool { return t.peers[allPeers] != nil }
 
-// SetPeers takes one report that sums up the requests in flight of all peers. It replaces the
+// SetPeersInFlight takes one report that sums up the requests in flight of all peers. It replaces the
 // reports of single peers.
-func (t *Table) SetPeers(now time.Time, fs []ggscore.InFlight) {
+func (t *Table) SetPeersInFlight(now time.Time, fs []ggscore.InFlight) {
 	for vm, p := range t.peers {
 		if vm != allPeers {
 			t.addInFlight(p, -1)
 			delete(t.peers, vm)
 		}
 	}
-	t.SetPeer(now, allPeers, fs)
+	t.SetPeerInFlight(now, allPeers, fs)
 }
 
 // addInFlight adds a peer's requests in flight to the endpoints' totals (sign 1), or subtracts
@@ -118,9 +118,9 @@
 	}
 }
 
-// Own returns this VM's requests in flight per endpoint, with the requests that ended and
+// ReportInFlight returns this VM's requests in flight per endpoint, with the requests that ended and
 // failed since the previous call. It resets the counts of ended and failed requests.
-func (t *Table) Own() []ggscore.InFlight {
+func (t *Table) ReportInFlight() []ggscore.InFlight {
 	var fs []ggscore.InFlight
 	for id, e := range t.endpoints {
 		f := ggscore.InFlight{Endpoint: id, Count: e.own, Ended: e.unreported.Ended, Failed: e.unreported.Failed}
--- a/core/ggsplace/homes.go
+++ b/core/ggsplace/homes.go
@@ -101,8 +101,8 @@
 	return false
 }
 
-// Asked records n requests for an adapter, from this VM or a peer.
-func (t *Table) Asked(now time.Time, a ggscore.ModelAdapter, n int) { t.demand.Add(now, a, n) }
+// RecordRequests records n requests for an adapter, from this VM or a peer.
+func (t *Table) RecordRequests(now time.Time, a ggscore.ModelAdapter, n int) { t.demand.Add(now, a, n) }
 
 // otherCopyWeight is the weight of requests for an adapter that is also resident at another
 // endpoint. Such requests are routed there, at the cost of at most one round trip between
@@ -112,7 +112,7 @@
 
 // Missed implements ggscore.AdapterDemand.
 func (t *Table) Missed(now time.Time, id ggscore.EndpointID, a ggscore.ModelAdapter) float64 {
-	rate := t.demand.Usual(now, a)
+	rate := t.demand.LongTerm(now, a)
 	if self := t.endpoints[id]; self != nil {
 		for _, e := range t.services[self.Service] {
 			if e != self && !e.Leaving && e.holds(now, a, 0) {
--- a/core/ggsplace/load_test.go
+++ b/core/ggsplace/load_test.go
@@ -144,7 +144,7 @@
 		k++
 	}
 	n.result.requests++
-	n.table.Asked(now, adapter(k), 1)
+	n.table.RecordRequests(now, adapter(k), 1)
 	n.place(now, &simRequest{target: adapter(k), arrived: now})
 }
 
@@ -226,7 +226,7 @@
 
 func (n *peakSim) report(now time.Time, r *simRunner) {
 	n.table.SetHeld(now, r.id, r.ledger.Resident())
-	n.table.SetRoom(r.id, r.ledger.Waiting(), r.ledger.Room(now))
+	n.table.SetLoadCapacity(r.id, r.ledger.Waiting(), r.ledger.Room(now))
 }
 
 // executeOrders executes the orders that are due at a runner.
--- a/core/ggsplace/pause.go
+++ b/core/ggsplace/pause.go
@@ -18,9 +18,9 @@
 	}
 }
 
-// Takes reports whether an endpoint accepts new requests of this VM. It is false for an
+// Accepts reports whether an endpoint accepts new requests of this VM. It is false for an
 // unknown endpoint.
-func (t *Table) Takes(now time.Time, id ggscore.EndpointID) bool {
+func (t *Table) Accepts(now time.Time, id ggscore.EndpointID) bool {
 	e := t.endpoints[id]
 	return e != nil && !e.Leaving && !e.paused(now)
 }
--- a/core/ggsplace/plain_load_test.go
+++ b/core/ggsplace/plain_load_test.go
@@ -155,7 +155,7 @@
 				for id, c := range summaries[0].counts {
 					fs = append(fs, ggscore.InFlight{Endpoint: id, Count: max(c-v.own[id], 0)})
 				}
-				v.table.SetPeers(now, fs)
+				v.table.SetPeersInFlight(now, fs)
 			}
 		}
 		for due += l.perSecond * plainTick.Seconds() * 2 * rng.Float64(); due >= 1; due-- {
--- a/core/ggsplace/table.go
+++ b/core/ggsplace/table.go
@@ -186,9 +186,9 @@
 	}
 }
 
-// SetRoom records the orderer's report of the number of adapters queued for loading at an
+// SetLoadCapacity records the orderer's report of the number of adapters queued for loading at an
 // endpoint, and of the number that can be loaded without waiting for an adapter slot.
-func (t *Table) SetRoom(id ggscore.EndpointID, waiting, freeSlots int) {
+func (t *Table) SetLoadCapacity(id ggscore.EndpointID, waiting, freeSlots int) {
 	if e := t.endpoints[id]; e != nil {
 		e.waiting, e.freeSlots = waiting, freeSlots
 	}
--- a/core/ggsplace/table_test.go
+++ b/core/ggsplace/table_test.go
@@ -93,7 +93,7 @@
 		domain := ggscore.Domain(fmt.Sprintf("d%d", d))
 		tb := table(domain, uint64(d))
 		for i := range 400 {
-			tb.Asked(at(-time.Duration(i)*10*time.Millisecond), adapter(1), 1)
+			tb.RecordRequests(at(-time.Duration(i)*10*time.Millisecond), adapter(1), 1)
 		}
 		x := choose(c, tb, ggsplace.Query{Service: models, Engine: engine(), Target: adapter(1)})
 		c.Assert(x.Instance.Domain, qt.Equals, domain)
@@ -138,7 +138,7 @@
 	t.Parallel()
 	for name, preventLoads := range map[string]func(*ggsplace.Table, ggscore.EndpointID){
 		"no orderer": func(t *ggsplace.Table, id ggscore.EndpointID) { t.SetLoadable(id, false) },
-		"queue full": func(t *ggsplace.Table, id ggscore.EndpointID) { t.SetRoom(id, 8, 0) },
+		"queue full": func(t *ggsplace.Table, id ggscore.EndpointID) { t.SetLoadCapacity(id, 8, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -213,9 +213,9 @@
 	tb := table("d1", 1)
 	q := ggsplace.Query{Service: plain}
 	c.Assert(choose(c, tb, q).Instance.ID, qt.Equals, ggscore.EndpointID("p1"))
-	tb.SetPeer(at(0), "peer", []ggscore.InFlight{{Endpoint: "p1", Count: 12}})
+	tb.SetPeerInFlight(at(0), "peer", []ggscore.InFlight{{Endpoint: "p1", Count: 12}})
 	c.Assert(choose(c, tb, q).Instance.ID, qt.Not(qt.Equals), ggscore.EndpointID("p1"))
-	tb.SetPeer(at(0), "peer", []ggscore.InFlight{{Endpoint: "p0", Count: 18}, {Endpoint: "p1", Count: 18}, {Endpoint: "p2", Count: 18}})
+	tb.SetPeerInFlight(at(0), "peer", []ggscore.InFlight{{Endpoint: "p0", Count: 18}, {Endpoint: "p1", Count: 18}, {Endpoint: "p2", Count: 18}})
 	_, err := tb.Choose(at(0), q)
 	var refused *ggsplace.RefusedError
 	c.Assert(errors.As(err, &refused), qt.IsTrue)
@@ -261,7 +261,7 @@
 	q := ggsplace.Query{Service: models, Engine: engine(), Target: adapter(1)}
 	home := choose(c, tb, q).Instance.ID
 	tb.SetHeld(at(0), home, []ggscore.AdapterVersion{{Target: adapter(1), Version: 1}})
-	tb.SetPeer(at(0), "peer", []ggscore.InFlight{{Endpoint: home, Ended: 8, Failed: 4}})
+	tb.SetPeerInFlight(at(0), "peer", []ggscore.InFlight{{Endpoint: home, Ended: 8, Failed: 4}})
 	c.Assert(choose(c, tb, q).Instance.ID, qt.Not(qt.Equals), home)
 
 	var fs []ggscore.InFlight
@@ -270,7 +270,7 @@
 	}
 	tb = table("d0", 1)
 	tb.SetHeld(at(0), home, []ggscore.AdapterVersion{{Target: adapter(1), Version: 1}})
-	tb.SetPeer(at(0), "peer", fs)
+	tb.SetPeerInFlight(at(0), "peer", fs)
 	c.Assert(choose(c, tb, q).Instance.ID, qt.Equals, home, qt.Commentf("all fail alike"))
 }
 
@@ -280,8 +280,8 @@
 	tb := table("d0", 1)
 	tb.Sent(at(0), "p0")
 	tb.Ended(at(0), "p0", ggsretry.ResultFailed)
-	c.Assert(tb.Own(), qt.DeepEquals, []ggscore.InFlight{{Endpoint: "p0", Ended: 1, Failed: 1}})
-	c.Assert(tb.Own(), qt.HasLen, 0)
+	c.Assert(tb.ReportInFlight(), qt.DeepEquals, []ggscore.InFlight{{Endpoint: "p0", Ended: 1, Failed: 1}})
+	c.Assert(tb.ReportInFlight(), qt.HasLen, 0)
 }
 
 func TestRemovedInstancesAreReturned(t *testing.T) {
@@ -326,13 +326,13 @@
 	c := qt.New(t)
 	tb := table("d0", 1)
 	for _, i := range deployment() {
-		tb.SetRoom(i.ID, 0, 9)
+		tb.SetLoadCapacity(i.ID, 0, 9)
 	}
 	q := ggsplace.Query{Service: models, Engine: engine(), Target: adapter(1)}
 	home := choose(c, tb, q).Instance.ID
-	tb.SetRoom(home, 6, 0)
+	tb.SetLoadCapacity(home, 6, 0)
 	c.Assert(choose(c, tb, q).Instance.ID, qt.Not(qt.Equals), home)
-	tb.SetRoom(home, 2, 9)
+	tb.SetLoadCapacity(home, 2, 9)
 	c.Assert(choose(c, tb, q).Instance.ID, qt.Equals, home)
 }
 
@@ -345,8 +345,8 @@
 	held := []ggscore.AdapterVersion{{Target: adapter(1), Version: 1}, {Target: adapter(2), Version: 1}}
 	tb.SetHeld(at(0), "r00", held)
 	tb.SetHeld(at(0), "r10", held[:1])
-	tb.Asked(at(0), adapter(1), 4)
-	tb.Asked(at(0), adapter(2), 4)
+	tb.RecordRequests(at(0), adapter(1), 4)
+	tb.RecordRequests(at(0), adapter(2), 4)
 	c.Assert(tb.Missed(at(time.Second), "r00", adapter(1)) < tb.Missed(at(time.Second), "r00", adapter(2)), qt.IsTrue)
 	c.Assert(tb.Missed(at(time.Second), "r00", adapter(3)), qt.Equals, 0.0)
 }
@@ -362,16 +362,16 @@
 	inFlight := func() int { return choose(c, tb, q).InFlight }
 	all := deployment()
 	tb.SetInstances(all[:len(all)-1])
-	tb.SetPeer(at(0), "vm1", []ggscore.InFlight{{Endpoint: "p2", Count: 3}})
+	tb.SetPeerInFlight(at(0), "vm1", []ggscore.InFlight{{Endpoint: "p2", Count: 3}})
 	tb.SetInstances(all)
-	tb.SetPeer(at(time.Second), "vm2", []ggscore.InFlight{{Endpoint: "p2", Count: 2}})
+	tb.SetPeerInFlight(at(time.Second), "vm2", []ggscore.InFlight{{Endpoint: "p2", Count: 2}})
 	c.Assert(inFlight(), qt.Equals, 5)
-	tb.SetPeer(at(time.Second), "vm1", []ggscore.InFlight{{Endpoint: "p2", Count: 1}})
+	tb.SetPeerInFlight(at(time.Second), "vm1", []ggscore.InFlight{{Endpoint: "p2", Count: 1}})
 	c.Assert(inFlight(), qt.Equals, 3)
-	tb.SetPeer(at(2*time.Second), "vm1", nil)
+	tb.SetPeerInFlight(at(2*time.Second), "vm1", nil)
 	c.Assert(inFlight(), qt.Equals, 2)
 	for n := range 4 {
-		tb.SetPeer(at(time.Duration(3+n)*time.Second), "vm1", nil)
+		tb.SetPeerInFlight(at(time.Duration(3+n)*time.Second), "vm1", nil)
 	}
 	c.Assert(inFlight(), qt.Equals, 0)
 }
@@ -392,7 +392,7 @@
 			t.Parallel()
 			c := qt.New(t)
 			tb := table("d0", 1)
-			tb.SetPlaces(models, tc.slots)
+			tb.SetAdapterSlots(models, tc.slots)
 			q := ggsplace.Query{Service: models, Engine: engine(), Target: adapter(0)}
 			home := choose(c, tb, q).Instance.ID
 			other := ggscore.EndpointID("r00")
@@ -418,10 +418,10 @@
 	tb := table("d0", 1)
 	q := ggsplace.Query{Service: plain, Tried: []ggscore.EndpointID{"p0", "p1"}}
 	inFlight := func() int { return choose(c, tb, q).InFlight }
-	tb.SetPeer(at(0), "vm1", []ggscore.InFlight{{Endpoint: "p2", Count: 3}})
-	tb.SetPeers(at(0), []ggscore.InFlight{{Endpoint: "p2", Count: 4}})
+	tb.SetPeerInFlight(at(0), "vm1", []ggscore.InFlight{{Endpoint: "p2", Count: 3}})
+	tb.SetPeersInFlight(at(0), []ggscore.InFlight{{Endpoint: "p2", Count: 4}})
 	c.Assert(inFlight(), qt.Equals, 4)
-	tb.SetPeers(at(0), nil)
+	tb.SetPeersInFlight(at(0), nil)
 	c.Assert(inFlight(), qt.Equals, 0)
 }
 
--- a/core/ggsplace/warm.go
+++ b/core/ggsplace/warm.go
@@ -15,8 +15,10 @@
 	defaultAdapterSlots = 16
 )
 
-// SetPlaces sets the number of adapter slots of each runner of a service.
-func (t *Table) SetPlaces(s ggscore.Service, adapterSlots int) { t.adapterSlots[s] = adapterSlots }
+// SetAdapterSlots sets the number of adapter slots of each runner of a service.
+func (t *Table) SetAdapterSlots(s ggscore.Service, adapterSlots int) {
+	t.adapterSlots[s] = adapterSlots
+}
 
 // A warmAdapter is the version of an adapter that an endpoint held, and when it was last seen
 // there.
--- a/core/ggspopularity/rate_test.go
+++ b/core/ggspopularity/rate_test.go
@@ -90,9 +90,9 @@
 	}
 	d.Add(now, once, 1)
 	now = now.Add(5 * time.Second)
-	c.Assert(d.Usual(now, frequent) > 2*d.Usual(now, once), qt.IsTrue)
-	c.Assert(d.Usual(now, frequent) > 0.1 && d.Usual(now, frequent) < 0.2, qt.IsTrue, qt.Commentf("%v", d.Usual(now, frequent)))
-	c.Assert(d.Usual(now, formerlyPopular) < 0.1, qt.IsTrue, qt.Commentf("%v", d.Usual(now, formerlyPopular)))
+	c.Assert(d.LongTerm(now, frequent) > 2*d.LongTerm(now, once), qt.IsTrue)
+	c.Assert(d.LongTerm(now, frequent) > 0.1 && d.LongTerm(now, frequent) < 0.2, qt.IsTrue, qt.Commentf("%v", d.LongTerm(now, frequent)))
+	c.Assert(d.LongTerm(now, formerlyPopular) < 0.1, qt.IsTrue, qt.Commentf("%v", d.LongTerm(now, formerlyPopular)))
 	c.Assert(d.Recent(now, frequent) < 0.2, qt.IsTrue)
-	c.Assert(d.Usual(now, ggscore.ModelAdapter{Adapter: "never"}), qt.Equals, 0.0)
+	c.Assert(d.LongTerm(now, ggscore.ModelAdapter{Adapter: "never"}), qt.Equals, 0.0)
 }
--- a/core/ggsrelay/node.go
+++ b/core/ggsrelay/node.go
@@ -16,9 +16,9 @@
 	ReportInterval = 100 * time.Millisecond
 	// RelayInterval is the time between summaries of a relay.
 	RelayInterval = 150 * time.Millisecond
-	// NewsDelay is the time that a state takes through relays, beyond the delay of a
+	// RelayDelay is the time that a state takes through relays, beyond the delay of a
 	// heartbeat that is sent directly.
-	NewsDelay = 300 * time.Millisecond
+	RelayDelay = 300 * time.Millisecond
 	// liveListPeriod is the number of summaries of which one lists the live VMs.
 	liveListPeriod = 2
 	// domainSettleTime is the time after which a relay's sum of its domain is complete,
@@ -73,8 +73,8 @@
 	ggscore.Summary
 	// VMs are the other VMs that the summary lists as live.
 	VMs []ggscore.VMID
-	// Counts reports whether the counts of requests in flight may be used.
-	Counts bool
+	// CountsValid reports whether the counts of requests in flight may be used.
+	CountsValid bool
 }
 
 // NewNode returns a Node that knows no other VM.
@@ -116,8 +116,8 @@
 	}
 }
 
-// Large reports whether heartbeats go through relays.
-func (n *Node) Large() bool { return len(n.members) >= relayThresholdVMs }
+// UsesRelays reports whether heartbeats go through relays.
+func (n *Node) UsesRelays() bool { return len(n.members) >= relayThresholdVMs }
 
 // Relays returns the relays of this VM's domain.
 func (n *Node) Relays(now time.Time) []ggscore.VMID {
@@ -133,8 +133,8 @@
 	return vms
 }
 
-// Relay reports whether this VM is a relay.
-func (n *Node) Relay(now time.Time) bool { return slices.Contains(n.Relays(now), n.options.Self.VM) }
+// IsRelay reports whether this VM is a relay.
+func (n *Node) IsRelay(now time.Time) bool { return slices.Contains(n.Relays(now), n.options.Self.VM) }
 
 // Report records this VM's next heartbeat. It returns the relay that forwards the increments
 // in the heartbeat, and the VMs to send the heartbeat to.
@@ -188,7 +188,7 @@
 // VM comes from a relay that doesn't receive its heartbeats, so the counts are incomplete and
 // the summary is rejected.
 func (n *Node) view(now time.Time, s ggscore.Summary) (View, bool) {
-	v := View{Summary: s, Counts: !s.Settling || now.Sub(n.lastSettled) > maxSettledAge}
+	v := View{Summary: s, CountsValid: !s.Settling || now.Sub(n.lastSettled) > maxSettledAge}
 	self := Hash(n.options.Self.VM)
 	i := slices.IndexFunc(s.Included, func(h ggscore.IncludedHeartbeat) bool { return h.VM == self })
 	if i < 0 {
@@ -221,7 +221,7 @@
 // itself; ok is false if there is no such view. controller returns the domain of the VM that
 // controls an endpoint: uses of the endpoint's adapters are sent only to that domain.
 func (n *Node) Tick(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) (ms []Message, own View, ok bool) {
-	if !n.Relay(now) {
+	if !n.IsRelay(now) {
 		return nil, View{}, false
 	}
 	if now.Sub(n.lastTick) > 2*RelayInterval {
--- a/core/ggsrelay/node_test.go
+++ b/core/ggsrelay/node_test.go
@@ -70,7 +70,7 @@
 	clear(s.received)
 	s.run(time.Second)
 	for _, m := range s.members {
-		relay := s.nodes[m.VM].Relay(clock(s.now))
+		relay := s.nodes[m.VM].IsRelay(clock(s.now))
 		c.Assert(relay && m.Capacity == lowCapacity, qt.IsFalse, qt.Commentf("%s", m.VM))
 	}
 }
--- a/core/ggsrelay/sim_test.go
+++ b/core/ggsrelay/sim_test.go
@@ -205,7 +205,7 @@
 func (s *sim) apply(n *simNode, v ggsrelay.View) {
 	n.appliedAt = s.now
 	n.epoch = max(n.epoch, v.News.Epoch)
-	if v.Counts {
+	if v.CountsValid {
 		clear(n.inFlight)
 		for _, f := range v.InFlight {
 			n.inFlight[f.Endpoint] = f.Count
--- a/core/ggsretry/budget.go
+++ b/core/ggsretry/budget.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Keep removes the budgets of markets that aren't in markets, which are those of the document.
-func (p *Policy) Keep(markets map[ggscore.Market]ggscore.MarketSpec) {
+// RetainMarkets removes the budgets of markets that aren't in markets, which are those of the document.
+func (p *Policy) RetainMarkets(markets map[ggscore.Market]ggscore.MarketSpec) {
 	for m := range p.budgets {
 		if _, ok := markets[m]; !ok {
 			delete(p.budgets, m)
--- a/core/ggsroute/choose.go
+++ b/core/ggsroute/choose.go
@@ -172,8 +172,8 @@
 		return candidate{}
 	}
 	second := r.randomPool(q, pools)
-	best := candidate{pool: first, wait: first.wait(), reason: ReasonLoad}
-	other := candidate{pool: second, wait: second.wait(), reason: ReasonLoad}
+	best := candidate{pool: first, wait: first.wait(), reason: ReasonLeastLoaded}
+	other := candidate{pool: second, wait: second.wait(), reason: ReasonLeastLoaded}
 	return preferred(other, best)
 }
 
--- a/core/ggsroute/errors.go
+++ b/core/ggsroute/errors.go
@@ -14,14 +14,14 @@
 const (
 	// CauseNone means that no dispatcher has endpoints of the service.
 	CauseNone Cause = "noDispatcher"
-	// CauseAway means that all dispatchers of the service are leaving, have stale
+	// CauseUnavailable means that all dispatchers of the service are leaving, have stale
 	// summaries or own no endpoint of it.
-	CauseAway Cause = "away"
-	// CauseTried means that the caller excluded all usable dispatchers.
-	CauseTried Cause = "tried"
-	// CauseCrossing means that only another region could serve the request, and
+	CauseUnavailable Cause = "away"
+	// CauseExcluded means that the caller excluded all usable dispatchers.
+	CauseExcluded Cause = "tried"
+	// CauseCrossRegionLimit means that only another region could serve the request, and
 	// that the budget of bytes between regions is used up.
-	CauseCrossing Cause = "crossing"
+	CauseCrossRegionLimit Cause = "crossing"
 )
 
 // A NoDispatcherError says that no dispatcher can serve a request now. The request
--- a/core/ggsroute/region_test.go
+++ b/core/ggsroute/region_test.go
@@ -141,7 +141,7 @@
 	}
 	var e *ggsroute.NoDispatcherError
 	c.Assert(errors.As(err, &e), qt.IsTrue)
-	c.Check(e.Cause, qt.Equals, ggsroute.CauseCrossing)
+	c.Check(e.Cause, qt.Equals, ggsroute.CauseCrossRegionLimit)
 	_, err = r.Route(now.Add(e.RetryAfter-time.Millisecond), request(), nil)
 	c.Check(err, qt.IsNotNil)
 	_, err = r.Route(now.Add(e.RetryAfter+time.Microsecond), request(), nil)
--- a/core/ggsroute/route.go
+++ b/core/ggsroute/route.go
@@ -32,10 +32,10 @@
 
 // The reasons for a choice.
 const (
-	ReasonResident Reason = "resident"
-	ReasonLoading  Reason = "loading"
-	ReasonHome     Reason = "home"
-	ReasonLoad     Reason = "leastLoad"
+	ReasonResident    Reason = "resident"
+	ReasonLoading     Reason = "loading"
+	ReasonHome        Reason = "home"
+	ReasonLeastLoaded Reason = "leastLoad"
 )
 
 // A Choice is the dispatcher that a request is sent to.
@@ -220,10 +220,10 @@
 
 // refusal returns the error for a request without a candidate.
 func (r *Router) refusal(q *query, bytes int) error {
-	e := &NoDispatcherError{Service: q.service.name, Cause: CauseAway, RetryAfter: retryAfter}
+	e := &NoDispatcherError{Service: q.service.name, Cause: CauseUnavailable, RetryAfter: retryAfter}
 	for _, p := range q.service.local {
 		if p.usable(q.now) {
-			e.Cause = CauseTried
+			e.Cause = CauseExcluded
 		}
 	}
 	for _, p := range q.service.remote {
@@ -231,7 +231,7 @@
 			continue
 		}
 		if wait := r.crossRegion.waitFor(bytes); wait > 0 {
-			e.Cause = CauseCrossing
+			e.Cause = CauseCrossRegionLimit
 			e.RetryAfter = wait
 		}
 	}
--- a/core/ggsroute/route_test.go
+++ b/core/ggsroute/route_test.go
@@ -142,8 +142,8 @@
 		want    ggsroute.Cause
 	}{
 		"unknown service":          {want: ggsroute.CauseNone},
-		"stale summary":            {vms: []string{"a"}, now: 3 * time.Second, want: ggsroute.CauseAway},
-		"all dispatchers excluded": {vms: []string{"a"}, exclude: []ggscore.VMID{"a"}, want: ggsroute.CauseTried},
+		"stale summary":            {vms: []string{"a"}, now: 3 * time.Second, want: ggsroute.CauseUnavailable},
+		"all dispatchers excluded": {vms: []string{"a"}, exclude: []ggscore.VMID{"a"}, want: ggsroute.CauseExcluded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -212,7 +212,7 @@
 			r.Update(at(0), summary("a", 2))
 		}},
 		"a restart on a VM marked as leaving": {events: func(r *ggsroute.Router) {
-			r.Leave("a")
+			r.MarkLeaving("a")
 			s := summary("a", 1)
 			s.Incarnation = "i2"
 			r.Update(at(0), s)
@@ -224,7 +224,7 @@
 			r.Update(at(0), summary("a", 4))
 		}},
 		"a summary of a VM marked as leaving": {events: func(r *ggsroute.Router) {
-			r.Leave("a")
+			r.MarkLeaving("a")
 			r.Update(at(0), summary("a", 4))
 		}},
 		"a summary of a replaced incarnation": {events: func(r *ggsroute.Router) {
--- a/core/ggsroute/update.go
+++ b/core/ggsroute/update.go
@@ -51,9 +51,9 @@
 	return true
 }
 
-// Leave marks a dispatcher's VM as leaving. The mark is permanent. Its source is
+// MarkLeaving marks a dispatcher's VM as leaving. The mark is permanent. Its source is
 // the platform's list or a heartbeat, which may arrive before a summary.
-func (r *Router) Leave(vm ggscore.VMID) {
+func (r *Router) MarkLeaving(vm ggscore.VMID) {
 	d := r.dispatcherOf(vm)
 	d.order.vmLeaving = true
 	d.order.leaving = true
--- a/core/ggsshare/borrow.go
+++ b/core/ggsshare/borrow.go
@@ -25,7 +25,7 @@
 // record from before the delete. If the borrower used the unit again, the unit would have two
 // holders as soon as another borrows it. A released revision is therefore never adopted. A
 // later put gives the record a new revision, which the late delete doesn't match.
-func (s *State) adopt(now time.Time, r Record) {
+func (s *Borrower) adopt(now time.Time, r Record) {
 	x := s.unitState(r.Unit)
 	if r.Lease != s.lease.ID || r.Lease == 0 || r.Revision <= x.releasedRevision {
 		return
@@ -37,7 +37,7 @@
 }
 
 // backOff sets the time of the next attempt to borrow, with exponential backoff and jitter.
-func (s *State) backOff(now time.Time) {
+func (s *Borrower) backOff(now time.Time) {
 	wait := s.attemptWait/2 + time.Duration(s.rng.Int64N(int64(s.attemptWait)))
 	s.nextAttempt = now.Add(wait)
 	s.attemptWait = min(2*s.attemptWait, maxAttemptWait)
@@ -45,7 +45,7 @@
 
 // borrow returns puts for as many free units as the demand needs. It starts at a random unit,
 // so that borrowers don't contend for the same ones.
-func (s *State) borrow(now time.Time, taken map[Unit]bool) []Order {
+func (s *Borrower) borrow(now time.Time, taken map[Unit]bool) []Order {
 	orders := []Order{}
 	needed := s.shortfall(now)
 	n := s.borrowable()
@@ -70,7 +70,7 @@
 
 // borrowable returns the number of units that may be borrowed. During a change of plan it is
 // the smaller number of the two plans.
-func (s *State) borrowable() int {
+func (s *Borrower) borrowable() int {
 	if s.growsAt.IsZero() {
 		return s.plan.Borrowed()
 	}
@@ -79,21 +79,21 @@
 
 // requestTurn returns a put of the Wanted record, if the borrower holds less than an equal
 // share of the units and no borrower has put that record yet.
-func (s *State) requestTurn(taken map[Unit]bool, holders int) []Order {
-	x := s.unitState(Wanted)
-	if taken[Wanted] || x.heldRevision != 0 || x.inFlight {
+func (s *Borrower) requestTurn(taken map[Unit]bool, holders int) []Order {
+	x := s.unitState(WaitMarker)
+	if taken[WaitMarker] || x.heldRevision != 0 || x.inFlight {
 		return nil
 	}
 	if len(s.heldUnits()) >= max(s.borrowable()/holders, 1) {
 		return nil
 	}
 	x.inFlight = true
-	return []Order{s.putOrder(Wanted)}
+	return []Order{s.putOrder(WaitMarker)}
 }
 
 // deleteReleased deletes a released record that still exists because its delete was lost.
 // Otherwise no borrower could use the unit until the lease ends.
-func (s *State) deleteReleased(r Record) []Order {
+func (s *Borrower) deleteReleased(r Record) []Order {
 	x := s.unitState(r.Unit)
 	if r.Lease != s.lease.ID || r.Lease == 0 || r.Revision != x.releasedRevision || x.inFlight {
 		return nil
@@ -103,7 +103,7 @@
 }
 
 // release stops using units and returns the deletes of their records.
-func (s *State) release(now time.Time, units []Unit) []Order {
+func (s *Borrower) release(now time.Time, units []Unit) []Order {
 	orders := []Order{}
 	for _, u := range units {
 		x := s.unitState(u)
@@ -122,10 +122,10 @@
 }
 
 // heldUnits returns the held units in ascending order, without Wanted.
-func (s *State) heldUnits() []Unit {
+func (s *Borrower) heldUnits() []Unit {
 	list := []Unit{}
 	for u, x := range s.units {
-		if u != Wanted && x.heldRevision != 0 {
+		if u != WaitMarker && x.heldRevision != 0 {
 			list = append(list, u)
 		}
 	}
@@ -134,7 +134,7 @@
 }
 
 // needsList reports whether the records must be read.
-func (s *State) needsList(now time.Time) bool {
+func (s *Borrower) needsList(now time.Time) bool {
 	if s.lease.ID == 0 || !now.Before(s.lease.Expires) {
 		return false
 	}
@@ -143,7 +143,7 @@
 }
 
 // putOrder returns the order to write a unit's record.
-func (s *State) putOrder(u Unit) Order {
+func (s *Borrower) putOrder(u Unit) Order {
 	return Order{
 		Kind:   OrderPut,
 		Unit:   u,
@@ -153,11 +153,11 @@
 }
 
 // nextTurnEnd returns when the first turn of a held unit ends, or the zero time.
-func (s *State) nextTurnEnd() time.Time {
+func (s *Borrower) nextTurnEnd() time.Time {
 	ends := time.Time{}
 	for u, x := range s.units {
 		end := x.turnStart.Add(turnDuration)
-		if u != Wanted && x.heldRevision != 0 && (ends.IsZero() || end.Before(ends)) {
+		if u != WaitMarker && x.heldRevision != 0 && (ends.IsZero() || end.Before(ends)) {
 			ends = end
 		}
 	}
@@ -165,7 +165,7 @@
 }
 
 // unitState returns the state of a unit, and adds it if there is none.
-func (s *State) unitState(u Unit) *unitState {
+func (s *Borrower) unitState(u Unit) *unitState {
 	x, ok := s.units[u]
 	if !ok {
 		x = &unitState{}
@@ -176,21 +176,21 @@
 
 // releaseWanted releases the Wanted record once the borrower has as many units as its demand
 // needs, or an equal share.
-func (s *State) releaseWanted(now time.Time, holders int) []Order {
+func (s *Borrower) releaseWanted(now time.Time, holders int) []Order {
 	if s.shortfall(now) > 0 && len(s.heldUnits()) < max(s.borrowable()/holders, 1) {
 		return nil
 	}
-	return s.release(now, []Unit{Wanted})
+	return s.release(now, []Unit{WaitMarker})
 }
 
 // shortfall returns how many more units the demand needs than are held or being borrowed.
-func (s *State) shortfall(now time.Time) int {
+func (s *Borrower) shortfall(now time.Time) int {
 	if !s.owner || !now.Before(s.lease.Expires) {
 		return 0
 	}
 	n := s.demand - s.staticUnits()
 	for u, x := range s.units {
-		if u != Wanted && (x.heldRevision != 0 || x.inFlight) {
+		if u != WaitMarker && (x.heldRevision != 0 || x.inFlight) {
 			n--
 		}
 	}
@@ -200,8 +200,8 @@
 // yield releases units whose turn has ended, if another borrower has put the Wanted record and
 // this one holds more than an equal share; otherwise their next turn begins. After a release
 // it delays the next attempt to borrow, so that the other borrower attempts first.
-func (s *State) yield(now time.Time, wanted bool, holders int) []Order {
-	if x := s.unitState(Wanted); x.heldRevision != 0 {
+func (s *Borrower) yield(now time.Time, wanted bool, holders int) []Order {
+	if x := s.unitState(WaitMarker); x.heldRevision != 0 {
 		return s.releaseWanted(now, holders)
 	}
 	ended := []Unit{}
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -36,8 +36,8 @@
 // A Unit is the number of a borrowed unit.
 type Unit int
 
-// Wanted isn't a unit. Its record marks that a borrower is waiting, since it found no free unit.
-const Wanted Unit = -1
+// WaitMarker isn't a unit. Its record marks that a borrower is waiting, since it found no free unit.
+const WaitMarker Unit = -1
 
 // A Plan divides the limits into units. The zero Plan has no units.
 type Plan struct {
--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -43,8 +43,8 @@
 	Seed  uint64
 }
 
-// A State is the state of one borrower.
-type State struct {
+// A Borrower is the state of one borrower.
+type Borrower struct {
 	options Options
 	rng     *rand.Rand
 	plan    Plan
@@ -65,8 +65,8 @@
 }
 
 // New returns a state without a plan, a lease or ownership. Its share is zero.
-func New(o Options) *State {
-	return &State{
+func New(o Options) *Borrower {
+	return &Borrower{
 		options:     o,
 		rng:         rand.New(rand.NewPCG(o.Seed, shareStream)),
 		units:       map[Unit]*unitState{},
@@ -76,20 +76,20 @@
 
 // DeleteEnded processes the result of an OrderDelete. The unit stays released whatever the
 // result is, since it was released before the order was returned.
-func (s *State) DeleteEnded(now time.Time, u Unit, res Result) []Order {
+func (s *Borrower) DeleteEnded(now time.Time, u Unit, res Result) []Order {
 	s.unitState(u).inFlight = false
 	s.mayHaveUnknownRecord = s.mayHaveUnknownRecord || res == ResultUnknown
 	return s.Tick(now)
 }
 
 // ListFailed processes the failure of an OrderList.
-func (s *State) ListFailed(now time.Time) {
+func (s *Borrower) ListFailed(now time.Time) {
 	s.listInFlight = false
 	s.backOff(now)
 }
 
 // Listed processes the answer to an OrderList.
-func (s *State) Listed(now time.Time, records []Record) []Order {
+func (s *Borrower) Listed(now time.Time, records []Record) []Order {
 	s.listInFlight = false
 	s.mayHaveUnknownRecord = false
 	taken := map[Unit]bool{}
@@ -97,7 +97,7 @@
 	orders := []Order{}
 	for _, r := range records {
 		taken[r.Unit] = true
-		holders[r.Lease] = holders[r.Lease] || r.Unit != Wanted
+		holders[r.Lease] = holders[r.Lease] || r.Unit != WaitMarker
 		s.adopt(now, r)
 		orders = append(orders, s.deleteReleased(r)...)
 	}
@@ -106,7 +106,7 @@
 		s.backOff(now)
 		orders = append(orders, s.requestTurn(taken, len(holders))...)
 	}
-	orders = append(orders, s.yield(now, taken[Wanted], len(holders))...)
+	orders = append(orders, s.yield(now, taken[WaitMarker], len(holders))...)
 	if s.demand <= s.staticUnits() && s.idleAt.IsZero() && len(s.heldUnits()) > 0 {
 		s.idleAt = now.Add(idleTimeout)
 	}
@@ -114,7 +114,7 @@
 }
 
 // Next returns when to call Tick next, or the zero time if no call is needed.
-func (s *State) Next() time.Time {
+func (s *Borrower) Next() time.Time {
 	next := time.Time{}
 	for _, t := range []time.Time{s.growsAt, s.idleAt, s.nextAttempt, s.nextTurnEnd(), s.lease.Expires} {
 		if !t.IsZero() && (next.IsZero() || t.Before(next)) {
@@ -130,7 +130,7 @@
 // The answer may arrive when the lease of the record has expired and the VM holds another one.
 // The record is then deleted, and another borrower may hold the unit. Only a record of the
 // current lease counts.
-func (s *State) PutEnded(now time.Time, u Unit, l ggscore.LeaseID, rev ggscore.StoreRevision, res Result) []Order {
+func (s *Borrower) PutEnded(now time.Time, u Unit, l ggscore.LeaseID, rev ggscore.StoreRevision, res Result) []Order {
 	x := s.unitState(u)
 	x.inFlight = false
 	if res == ResultDone {
@@ -144,7 +144,7 @@
 }
 
 // SetDemand sets the number of loads that the group could start now. It returns orders to execute.
-func (s *State) SetDemand(now time.Time, loads int) []Order {
+func (s *Borrower) SetDemand(now time.Time, loads int) []Order {
 	s.demand = loads
 	if loads > s.staticUnits() {
 		s.idleAt = time.Time{}
@@ -156,7 +156,7 @@
 
 // SetLease sets the VM's new or renewed lease. Units held under an earlier lease are dropped,
 // since their records expire with that lease.
-func (s *State) SetLease(l Lease) {
+func (s *Borrower) SetLease(l Lease) {
 	if l.ID != s.lease.ID {
 		for _, x := range s.units {
 			x.heldRevision = 0
@@ -166,14 +166,14 @@
 }
 
 // SetOwner sets whether the VM owns its group's endpoints.
-func (s *State) SetOwner(owner bool) { s.owner = owner }
+func (s *Borrower) SetOwner(owner bool) { s.owner = owner }
 
 // SetPlan changes the plan. The first plan takes effect immediately. A later change reduces
 // shares immediately, and increases them after growDelay.
 //
 // The groups receive a change at different times. A group that grew immediately would use units
 // that another group still uses, because that group hasn't received the change yet.
-func (s *State) SetPlan(now time.Time, p Plan) {
+func (s *Borrower) SetPlan(now time.Time, p Plan) {
 	if s.plan == (Plan{}) {
 		s.plan = p
 	}
@@ -192,11 +192,11 @@
 // state when other VMs hold them, and the store would get the loads of both. Share therefore
 // compares the lease's expiry with the VM's own monotonic clock at each call. The expiry is
 // counted from before the renewal was sent, so the lease expires later on the platform.
-func (s *State) Share(now time.Time) ggscore.LoadShare {
+func (s *Borrower) Share(now time.Time) ggscore.LoadShare {
 	units := s.staticUnits()
 	if now.Before(s.lease.Expires) {
 		for u, x := range s.units {
-			if u != Wanted && x.heldRevision != 0 && int(u) < s.borrowable() {
+			if u != WaitMarker && x.heldRevision != 0 && int(u) < s.borrowable() {
 				units++
 			}
 		}
@@ -205,7 +205,7 @@
 }
 
 // Tick handles the timeouts that are due at now, and returns orders to execute.
-func (s *State) Tick(now time.Time) []Order {
+func (s *Borrower) Tick(now time.Time) []Order {
 	if !s.growsAt.IsZero() && !now.Before(s.growsAt) {
 		s.plan, s.nextPlan, s.growsAt = s.nextPlan, Plan{}, time.Time{}
 	}
@@ -214,7 +214,7 @@
 	}
 	if !s.idleAt.IsZero() && !now.Before(s.idleAt) {
 		s.idleAt = time.Time{}
-		return s.release(now, append(s.heldUnits(), Wanted))
+		return s.release(now, append(s.heldUnits(), WaitMarker))
 	}
 	if s.listInFlight || now.Before(s.nextAttempt) || !s.needsList(now) {
 		return nil
@@ -226,7 +226,7 @@
 
 // lowerRatePlan returns the plan whose units allow fewer loads per second. During a change of
 // plan it compares both plans.
-func (s *State) lowerRatePlan() Plan {
+func (s *Borrower) lowerRatePlan() Plan {
 	if !s.growsAt.IsZero() && s.nextPlan.Share(1).LoadsPerSecond < s.plan.Share(1).LoadsPerSecond {
 		return s.nextPlan
 	}
@@ -234,7 +234,7 @@
 }
 
 // staticUnits returns the number of static units that the VM may use.
-func (s *State) staticUnits() int {
+func (s *Borrower) staticUnits() int {
 	if !s.owner {
 		return 0
 	}
--- a/core/ggsshare/share_test.go
+++ b/core/ggsshare/share_test.go
@@ -43,7 +43,7 @@
 	rev     ggscore.StoreRevision
 	records map[ggsshare.Unit]ggsshare.Record
 	leases  map[ggscore.LeaseID]time.Time
-	vms     []*ggsshare.State
+	vms     []*ggsshare.Borrower
 	held    []ggscore.LeaseID
 	calls   []*call
 }
--- a/core/ggsthrottle/table.go
+++ b/core/ggsthrottle/table.go
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// Limited returns the number of endpoints with a limit.
-func (t *Table) Limited() int {
+// LimitedCount returns the number of endpoints with a limit.
+func (t *Table) LimitedCount() int {
 	n := 0
 	for _, e := range t.endpoints {
 		if e.limit != nil {
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -69,9 +69,9 @@
 	suspendedUntil time.Time
 }
 
-// Gap records a gap between two pieces of a stream, and reports whether prefill made the gap
+// RecordGap records a gap between two pieces of a stream, and reports whether prefill made the gap
 // longer than callers accept.
-func (t *Table) Gap(now time.Time, s ggscore.Service, id ggscore.EndpointID, gap time.Duration) bool {
+func (t *Table) RecordGap(now time.Time, s ggscore.Service, id ggscore.EndpointID, gap time.Duration) bool {
 	v := t.service(s)
 	if v.gapAim <= 0 || gap <= 0 {
 		return false
@@ -83,10 +83,10 @@
 	return gap > v.gapAim && float64(v.prefillWithin(t.queue(id), now, gap)) >= minPrefillInGap*float64(gap)
 }
 
-// Stream records a stream of this VM: at its end if it wasn't degraded, otherwise when it
+// RecordStream records a stream of this VM: at its end if it wasn't degraded, otherwise when it
 // became degraded. A stream is degraded by a gap for which Gap returns true, or by a first
 // piece that is late only because the prompt waited for its turn.
-func (t *Table) Stream(now time.Time, s ggscore.Service, id ggscore.EndpointID, degraded bool) {
+func (t *Table) RecordStream(now time.Time, s ggscore.Service, id ggscore.EndpointID, degraded bool) {
 	if !t.service(s).knowsAllTurns(now, id) {
 		return
 	}
@@ -94,7 +94,7 @@
 	if degraded {
 		n.Hurt = 1
 	}
-	t.LearnTally(now, n)
+	t.AddTally(now, n)
 	for i := range t.tallies {
 		if t.tallies[i].Service == s {
 			t.tallies[i].Streams += n.Streams
--- a/core/ggsturn/pauses_test.go
+++ b/core/ggsturn/pauses_test.go
@@ -15,7 +15,7 @@
 	t := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
 	t.SetService(models, gapAim)
 	t.SetDecides(true)
-	t.Adopt(at(0), ggscore.TurnShape{Service: models, PerToken: perToken, Quiet: quiet})
+	t.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: perToken, Quiet: quiet})
 	return t
 }
 
@@ -29,7 +29,7 @@
 // playStreams records 100 streams per second, of which the given percentage is degraded.
 func playStreams(t *ggsturn.Table, from, length time.Duration, degraded int) time.Duration {
 	for n := range int(length / (10 * time.Millisecond)) {
-		t.Stream(at(from+time.Duration(n)*10*time.Millisecond), models, "r1", n*37%100 < degraded)
+		t.RecordStream(at(from+time.Duration(n)*10*time.Millisecond), models, "r1", n*37%100 < degraded)
 	}
 	return from + length
 }
@@ -113,7 +113,7 @@
 			t.Parallel()
 			b := learningTable()
 			b.Take(at(0), models, runner, tc.tokens, 0)
-			qt.New(t).Assert(b.Gap(at(tc.gap), models, runner, tc.gap), qt.Equals, tc.degraded)
+			qt.New(t).Assert(b.RecordGap(at(tc.gap), models, runner, tc.gap), qt.Equals, tc.degraded)
 		})
 	}
 }
@@ -124,15 +124,15 @@
 	t.Parallel()
 	c := qt.New(t)
 	a := table("vm")
-	h := a.Shapes()
+	h := a.LearnedState()
 	c.Assert(h, qt.HasLen, 1)
 	b := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
 	b.SetService(models, gapAim)
-	b.Adopt(at(0), h[0])
+	b.Restore(at(0), h[0])
 	c.Assert(waits(b, 0), qt.IsTrue)
 	c.Assert(b.Expect(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
 	// A stored record doesn't override what was learned since.
-	b.Adopt(at(0), ggscore.TurnShape{Service: models, PerToken: time.Second})
+	b.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: time.Second})
 	c.Assert(b.Expect(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
 }
 
@@ -148,7 +148,7 @@
 	c.Assert(waits(a, now), qt.IsTrue)
 	c.Assert(waits(b, now), qt.IsFalse)
 	for _, m := range a.Modes() {
-		b.Follow(at(now), m)
+		b.ApplyMode(at(now), m)
 	}
 	c.Assert(waits(b, now), qt.IsTrue)
 	c.Assert(b.Modes(), qt.DeepEquals, a.Modes())
@@ -158,14 +158,14 @@
 	t.Parallel()
 	c := qt.New(t)
 	b := learningTable()
-	b.Stream(at(0), models, "r1", true)
-	b.Stream(at(0), models, "r1", false)
+	b.RecordStream(at(0), models, "r1", true)
+	b.RecordStream(at(0), models, "r1", false)
 	n := b.Take(at(0), models, runner, 1000, 0)
-	b.First(at(70*time.Millisecond), n, at(0))
-	s, l := b.Untold()
+	b.RecordFirstPiece(at(70*time.Millisecond), n, at(0))
+	s, l := b.DrainUnreported()
 	c.Assert(s, qt.DeepEquals, []ggscore.TurnSample{{Service: models, Tokens: 1000, Took: 70 * time.Millisecond}})
 	c.Assert(l, qt.DeepEquals, []ggscore.TurnTally{{Service: models, Streams: 2, Hurt: 1}})
-	s, l = b.Untold()
+	s, l = b.DrainUnreported()
 	c.Assert(s, qt.HasLen, 0)
 	c.Assert(l, qt.HasLen, 0)
 }
--- a/core/ggsturn/samples.go
+++ b/core/ggsturn/samples.go
@@ -12,14 +12,14 @@
 // heartbeats.
 const maxUnreported = 16
 
-// LearnFirst adds a first-piece sample of this VM or a peer. A single VM gets a usable sample
+// AddSample adds a first-piece sample of this VM or a peer. A single VM gets a usable sample
 // only every second or two.
-func (t *Table) LearnFirst(p ggscore.TurnSample) {
+func (t *Table) AddSample(p ggscore.TurnSample) {
 	t.service(p.Service).speed.add(firstPiece{tokens: p.Tokens, took: p.Took})
 }
 
-// LearnTally adds stream counts of this VM or a peer.
-func (t *Table) LearnTally(now time.Time, n ggscore.TurnTally) {
+// AddTally adds stream counts of this VM or a peer.
+func (t *Table) AddTally(now time.Time, n ggscore.TurnTally) {
 	p := &t.service(n.Service).mode
 	p.addTally(now, n.Streams, n.Hurt)
 	p.updateObserveAll(now)
@@ -39,8 +39,8 @@
 	return ms
 }
 
-// Follow applies the mode set by the VM that decides.
-func (t *Table) Follow(now time.Time, m ggscore.TurnMode) {
+// ApplyMode applies the mode set by the VM that decides.
+func (t *Table) ApplyMode(now time.Time, m ggscore.TurnMode) {
 	p := &t.service(m.Service).mode
 	if t.decides || p.enforced == m.Waits {
 		return
@@ -49,15 +49,15 @@
 	p.setMode(now, m.Waits)
 }
 
-// Untold returns the samples and stream counts collected since the previous call.
-func (t *Table) Untold() ([]ggscore.TurnSample, []ggscore.TurnTally) {
+// DrainUnreported returns the samples and stream counts collected since the previous call.
+func (t *Table) DrainUnreported() ([]ggscore.TurnSample, []ggscore.TurnTally) {
 	s, n := t.samples, t.tallies
 	t.samples, t.tallies = nil, nil
 	return s, n
 }
 
-// Shapes returns the learned state of each service.
-func (t *Table) Shapes() []ggscore.TurnShape {
+// LearnedState returns the learned state of each service.
+func (t *Table) LearnedState() []ggscore.TurnShape {
 	var hs []ggscore.TurnShape
 	for n, v := range t.services {
 		if v.gapAim > 0 && v.speed.known() {
@@ -71,12 +71,12 @@
 	return hs
 }
 
-// Adopt initializes the state of a service from the record of another VM or of this VM's
+// Restore initializes the state of a service from the record of another VM or of this VM's
 // previous process. It has no effect once this VM has learned the prefill speed.
 //
 // Without it, half of the streams had excessive gaps in the 10 s after all processes of a
 // deployment were killed, because each process had to learn again that turns were needed.
-func (t *Table) Adopt(now time.Time, h ggscore.TurnShape) {
+func (t *Table) Restore(now time.Time, h ggscore.TurnShape) {
 	v := t.service(h.Service)
 	if v.speed.known() || h.PerToken <= 0 {
 		return
--- a/core/ggsturn/speed.go
+++ b/core/ggsturn/speed.go
@@ -131,9 +131,9 @@
 	return q.slowness
 }
 
-// First records the arrival of an answer's first piece. sent is when the prompt was sent, at
+// RecordFirstPiece records the arrival of an answer's first piece. sent is when the prompt was sent, at
 // its turn or slightly later.
-func (t *Table) First(now time.Time, n ggscore.PromptTurn, sent time.Time) {
+func (t *Table) RecordFirstPiece(now time.Time, n ggscore.PromptTurn, sent time.Time) {
 	v, q := t.service(n.Service), t.queue(n.Endpoint)
 	i := q.find(n)
 	if i < 0 || n.Tokens <= 0 || !v.knowsAllTurns(now, n.Endpoint) {
@@ -152,7 +152,7 @@
 	}
 	if alone && q.slowFactor() == 1 {
 		p := ggscore.TurnSample{Service: n.Service, Tokens: n.Tokens, Took: took}
-		t.LearnFirst(p)
+		t.AddSample(p)
 		if len(t.samples) < maxUnreported {
 			t.samples = append(t.samples, p)
 		}
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -48,9 +48,9 @@
 // Options configure a Table.
 type Options struct {
 	VM ggscore.VMID
-	// First is the number of the first turn. It has to differ between processes of a VM, so
+	// FirstNumber is the number of the first turn. It has to differ between processes of a VM, so
 	// that turns of a new process aren't mistaken for those of the previous one.
-	First uint64
+	FirstNumber uint64
 }
 
 var _ ggscore.TurnExpecter = (*Table)(nil)
@@ -94,7 +94,7 @@
 
 // NewTable returns a table without turns.
 func NewTable(o Options) *Table {
-	return &Table{options: o, lastNumber: o.First, services: map[ggscore.Service]*service{}, queues: map[ggscore.EndpointID]*queue{}}
+	return &Table{options: o, lastNumber: o.FirstNumber, services: map[ggscore.Service]*service{}, queues: map[ggscore.EndpointID]*queue{}}
 }
 
 // SetDecides sets whether this VM decides on the enforcement of turns. One VM decides for all:
--- a/core/ggsturn/table_test.go
+++ b/core/ggsturn/table_test.go
@@ -29,7 +29,7 @@
 func table(vm ggscore.VMID) *ggsturn.Table {
 	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
 	t.SetService(models, gapAim)
-	t.Adopt(at(0), ggscore.TurnShape{Service: models, PerToken: perToken, Quiet: quiet, Mode: ggscore.TurnMode{Service: models, Waits: true, Without: 0.5}})
+	t.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: perToken, Quiet: quiet, Mode: ggscore.TurnMode{Service: models, Waits: true, Without: 0.5}})
 	return t
 }
 
@@ -127,7 +127,7 @@
 		if i%6 == 0 {
 			took += 400 * time.Millisecond
 		}
-		b.LearnFirst(ggscore.TurnSample{Service: models, Tokens: tokens, Took: took})
+		b.AddSample(ggscore.TurnSample{Service: models, Tokens: tokens, Took: took})
 	}
 	c.Assert(ready() > 225*time.Millisecond && ready() < 275*time.Millisecond, qt.IsTrue, qt.Commentf("%s", ready()))
 }
@@ -141,7 +141,7 @@
 	now := time.Duration(0)
 	for range 12 {
 		n := b.Take(at(now), models, runner, 1000, 0)
-		b.First(at(now+200*time.Millisecond), n, at(now))
+		b.RecordFirstPiece(at(now+200*time.Millisecond), n, at(now))
 		now += time.Second
 	}
 	slow := b.Expect(at(now), models, runner, 1000).Ready
@@ -175,7 +175,7 @@
 	c.Check(announced, qt.Equals, 8)
 
 	// Turns are enforced now, and all are announced.
-	a.LearnTally(at(0), ggscore.TurnTally{Service: models, Streams: 100, Hurt: 50})
+	a.AddTally(at(0), ggscore.TurnTally{Service: models, Streams: 100, Hurt: 50})
 	for _, id := range ids {
 		c.Check(a.Announces(at(time.Second), ggscore.PromptTurn{VM: "vm", Service: models, Endpoint: id, Tokens: 10}), qt.IsTrue)
 	}
--- a/fakes/ggsfakebatch/fleet_test.go
+++ b/fakes/ggsfakebatch/fleet_test.go
@@ -282,15 +282,15 @@
 		}
 		s.hurt = first > fleetTarget && first-s.sent.Sub(s.arrived) <= fleetTarget
 		if s.hurt {
-			s.vm.turns.Stream(p.At, fleetService, engineID(n), true)
+			s.vm.turns.RecordStream(p.At, fleetService, engineID(n), true)
 		}
-		s.vm.turns.First(p.At, s.turn, s.sent)
+		s.vm.turns.RecordFirstPiece(p.At, s.turn, s.sent)
 	} else {
 		gap := p.At.Sub(s.last)
 		s.gap = max(s.gap, gap)
-		if s.vm.turns.Gap(p.At, fleetService, engineID(n), gap) && !s.hurt {
+		if s.vm.turns.RecordGap(p.At, fleetService, engineID(n), gap) && !s.hurt {
 			s.hurt = true
-			s.vm.turns.Stream(p.At, fleetService, engineID(n), true)
+			s.vm.turns.RecordStream(p.At, fleetService, engineID(n), true)
 		}
 	}
 	s.last = p.At
@@ -303,7 +303,7 @@
 	if p.Last {
 		f.result.whole++
 		if !s.hurt {
-			s.vm.turns.Stream(p.At, fleetService, engineID(n), false)
+			s.vm.turns.RecordStream(p.At, fleetService, engineID(n), false)
 		}
 		s.vm.table.Ended(f.now, engineID(n), ggsretry.ResultOK)
 		delete(f.streams, p.ID)
@@ -312,22 +312,22 @@
 
 func (f *fleet) beat() {
 	for _, v := range f.vms {
-		flights := v.table.Own()
-		samples, tallies := v.turns.Untold()
+		flights := v.table.ReportInFlight()
+		samples, tallies := v.turns.DrainUnreported()
 		modes := v.turns.Modes()
 		f.tell(v, func(o *fleetVM, now time.Time) {
-			o.table.SetPeer(now, v.name, flights)
+			o.table.SetPeerInFlight(now, v.name, flights)
 			for _, s := range samples {
-				o.turns.LearnFirst(s)
+				o.turns.AddSample(s)
 			}
 			for _, n := range tallies {
-				o.turns.LearnTally(now, n)
+				o.turns.AddTally(now, n)
 			}
 			if v != f.vms[0] {
 				return
 			}
 			for _, m := range modes {
-				o.turns.Follow(now, m)
+				o.turns.ApplyMode(now, m)
 			}
 		})
 	}
--- a/io/ggsconfig/attempt.go
+++ b/io/ggsconfig/attempt.go
@@ -65,7 +65,7 @@
 	if !a.ambiguous {
 		a.tried = h.Revision
 	}
-	fate, r := h.ChangeStatus(a.change.ID, a.tried)
+	fate, r := h.StatusOf(a.change.ID, a.tried)
 	if fate == ggsdocument.ChangeAccepted {
 		return Accepted{Revision: r}, nil
 	}
--- a/io/ggsconfig/bench_test.go
+++ b/io/ggsconfig/bench_test.go
@@ -88,10 +88,10 @@
 			for i := range n + ggsdocument.HistoryLength {
 				var err error
 				h, err = h.Accept(ggsdocument.Change{
-					ID:      ggsdocument.ChangeID(uuid.NewString()),
-					Section: ggscore.SectionName(fmt.Sprint("market/m", i%n)),
-					Digest:  ggsdocument.DigestOf([]byte(strconv.Itoa(i))),
-					BaseRevision:  h.Revision, By: "ana",
+					ID:           ggsdocument.ChangeID(uuid.NewString()),
+					Section:      ggscore.SectionName(fmt.Sprint("market/m", i%n)),
+					Digest:       ggsdocument.DigestOf([]byte(strconv.Itoa(i))),
+					BaseRevision: h.Revision, By: "ana",
 				})
 				if err != nil {
 					b.Fatal(err)
--- a/io/ggsedge/attempt.go
+++ b/io/ggsedge/attempt.go
@@ -258,7 +258,7 @@
 		if e.uses[u] == nil {
 			e.uses[u] = &usage{}
 		}
-		e.table.Asked(now, j.meta.Model, 1)
+		e.table.RecordRequests(now, j.meta.Model, 1)
 		e.uses[u].sent++
 		e.uses[u].active++
 		if w := e.workers[id]; w != nil {
--- a/io/ggsedge/control.go
+++ b/io/ggsedge/control.go
@@ -56,7 +56,7 @@
 	heard := len(e.livePeers())
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return ggsgossip.BeatInterval(heard+1, e.keeper.Owns() || !acked)
+	return ggsgossip.HeartbeatInterval(heard+1, e.keeper.Owns() || !acked)
 }
 
 // recordsRead reports whether the own records were read in the current epoch. What is written
@@ -93,7 +93,7 @@
 	*count++
 	e.mu.Lock()
 	p := e.keeper.Beat(e.Now())
-	shapes := e.turns.Shapes()
+	shapes := e.turns.LearnedState()
 	e.mu.Unlock()
 	v, err := json.Marshal(&memberRecord{
 		Domain: string(e.options.Domain), Beats: e.options.Beats.String(), Control: e.options.Control.String(), Count: *count,
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -225,7 +225,7 @@
 
 // New returns an Edge that knows nothing yet.
 func New(o Options, p Parts) *Edge {
-	turns := ggsturn.NewTable(ggsturn.Options{VM: o.VM, First: o.Seed})
+	turns := ggsturn.NewTable(ggsturn.Options{VM: o.VM, FirstNumber: o.Seed})
 	limits := ggsthrottle.NewTable(o.VM)
 	e := &Edge{
 		options: o,
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -86,11 +86,11 @@
 func (e *Edge) listLimit() time.Duration {
 	heard := e.livePeers()
 	if len(heard) == 0 {
-		return ggsgossip.AloneAge()
+		return ggsgossip.AloneReadAge()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.node.Large() {
+	if !e.node.UsesRelays() {
 		return ggsgossip.ReadAge(ggsgossip.Rank(e.options.VM, heard), rand.Float64())
 	}
 	relays := e.node.AllRelays(e.Now())
@@ -231,7 +231,7 @@
 	e.listed = true
 	e.entries[e.options.Keys.Instances] = es
 	e.setWorkers(ctx)
-	if e.node.Large() {
+	if e.node.UsesRelays() {
 		e.setTurnEndpoints(list)
 	}
 	e.mu.Unlock()
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -74,7 +74,7 @@
 func (e *Edge) summaryInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.node.Relay(e.Now()) {
+	if e.node.IsRelay(e.Now()) {
 		return ggsrelay.RelayInterval
 	}
 	return idleTicks * ggsrelay.RelayInterval
@@ -98,7 +98,7 @@
 func (e *Edge) large() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.node.Large()
+	return e.node.UsesRelays()
 }
 
 // addrs returns where VMs receive datagrams. Edge.mu is held.
@@ -157,9 +157,9 @@
 	e.turns.SetDecides(e.firstHeard() == e.options.VM)
 	h := ggscore.Heartbeat{
 		VM: e.options.VM, Sequence: e.sequence, Started: e.startedAt, News: e.news(now),
-		InFlight: e.table.Own(), Holdings: e.holdings(now), Uses: e.ownUses(now),
+		InFlight: e.table.ReportInFlight(), Holdings: e.holdings(now), Uses: e.ownUses(now),
 	}
-	h.Samples, h.Tallies = e.turns.Untold()
+	h.Samples, h.Tallies = e.turns.DrainUnreported()
 	h.Modes = e.turns.Modes()
 	e.shareLimits(now)
 	h.Limits = e.limits.Known(now)
@@ -190,7 +190,7 @@
 			continue
 		}
 		h := ggscore.Holding{Endpoint: id, Waiting: w.ledger.Waiting(), Room: w.ledger.Room(now)}
-		e.table.SetRoom(id, h.Waiting, h.Room)
+		e.table.SetLoadCapacity(id, h.Waiting, h.Room)
 		if w.untold || whole {
 			w.untold = false
 			h.Held, h.Whole = w.ledger.Resident(), true
@@ -230,7 +230,7 @@
 	}
 	now := e.Now()
 	h.Holdings = e.controlled(h.VM, h.Holdings)
-	if e.node.Large() {
+	if e.node.UsesRelays() {
 		if from != p.beats {
 			e.metrics.reject(rejectedAddress)
 			return
@@ -238,16 +238,16 @@
 		e.node.Heartbeat(now, h)
 	}
 	p.started, p.sequence, p.heard = h.Started, h.Sequence, now
-	if e.node.Large() && now.Sub(e.summarized) < summaryAge {
+	if e.node.UsesRelays() && now.Sub(e.summarized) < summaryAge {
 		return
 	}
 	e.adoptNews(now, h.VM, h.News)
-	e.table.SetPeer(now, h.VM, h.InFlight)
+	e.table.SetPeerInFlight(now, h.VM, h.InFlight)
 	e.adoptHoldings(now, h.Holdings)
 	e.adoptTurns(now, h.VM, h.Samples, h.Tallies, h.Modes)
 	e.adoptSignals(now, h.Limits, h.Departures)
 	for _, u := range h.Uses {
-		e.table.Asked(now, u.Target, u.Count)
+		e.table.RecordRequests(now, u.Target, u.Count)
 		e.used(now, h.VM, u)
 	}
 }
@@ -275,14 +275,14 @@
 		}
 	}
 	e.adoptNews(now, fleet, v.News)
-	if v.Counts {
-		e.table.SetPeers(now, v.InFlight)
+	if v.CountsValid {
+		e.table.SetPeersInFlight(now, v.InFlight)
 	}
 	e.adoptHoldings(now, v.Holdings)
 	e.adoptTurns(now, v.Decider, v.Samples, v.Tallies, v.Modes)
 	e.adoptSignals(now, v.Limits, v.Departures)
 	for _, d := range v.Demand {
-		e.table.Asked(now, d.Target, d.Count)
+		e.table.RecordRequests(now, d.Target, d.Count)
 	}
 	for _, u := range v.Uses {
 		e.used(now, fleet, u)
@@ -330,7 +330,7 @@
 		if e.workers[h.Endpoint] != nil {
 			continue
 		}
-		e.table.SetRoom(h.Endpoint, h.Waiting, h.Room)
+		e.table.SetLoadCapacity(h.Endpoint, h.Waiting, h.Room)
 		if h.Whole {
 			e.table.SetHeld(now, h.Endpoint, h.Held)
 		}
@@ -343,16 +343,16 @@
 	now time.Time, vm ggscore.VMID, xs []ggscore.TurnSample, ys []ggscore.TurnTally, ms []ggscore.TurnMode,
 ) {
 	for _, x := range xs {
-		e.turns.LearnFirst(x)
+		e.turns.AddSample(x)
 	}
 	for _, y := range ys {
-		e.turns.LearnTally(now, y)
+		e.turns.AddTally(now, y)
 	}
 	if vm != e.firstHeard() || vm == e.options.VM {
 		return
 	}
 	for _, m := range ms {
-		e.turns.Follow(now, m)
+		e.turns.ApplyMode(now, m)
 	}
 }
 
--- a/io/ggsedge/heartbeats_bench_test.go
+++ b/io/ggsedge/heartbeats_bench_test.go
@@ -52,7 +52,7 @@
 
 // benchView returns what a relay tells.
 func benchView(e *Edge) ggsrelay.View {
-	v := ggsrelay.View{Counts: true}
+	v := ggsrelay.View{CountsValid: true}
 	for vm := range e.peers {
 		v.VMs = append(v.VMs, vm)
 	}
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -241,6 +241,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range rs {
-		e.turns.Adopt(e.Now(), rs[i].shape())
+		e.turns.Restore(e.Now(), rs[i].shape())
 	}
 }
--- a/io/ggsedge/metrics.go
+++ b/io/ggsedge/metrics.go
@@ -109,7 +109,7 @@
 			return e.resyncTime().Seconds()
 		})},
 		{"relay", "1 while this VM passes on the heartbeats of its failure domain.", locked(func() float64 {
-			if e.node.Large() && e.node.Relay(e.Now()) {
+			if e.node.UsesRelays() && e.node.IsRelay(e.Now()) {
 				return 1
 			}
 			return 0
@@ -121,7 +121,7 @@
 			return e.Now().Sub(e.summarized).Seconds()
 		})},
 		{"endpoints", "Endpoints on the list.", locked(func() float64 { return float64(len(e.table.Instances(""))) })},
-		{"limited_endpoints", "Endpoints whose answers name a rate limit.", locked(func() float64 { return float64(e.limits.Limited()) })},
+		{"limited_endpoints", "Endpoints whose answers name a rate limit.", locked(func() float64 { return float64(e.limits.LimitedCount()) })},
 		{"ordered_endpoints", "Endpoints that get their orders from this VM.", locked(func() float64 { return float64(len(e.workers)) })},
 		{"peers", "Other VMs that are known.", locked(func() float64 { return float64(len(e.peers)) })},
 	} {
--- a/io/ggsedge/operators.go
+++ b/io/ggsedge/operators.go
@@ -76,11 +76,11 @@
 // awaitRelays waits while the relays of the domain read the operators' entries, and reports
 // whether they have read newer ones than this VM.
 func (e *Edge) awaitRelays(ctx context.Context) bool {
-	for e.follows() && e.operatorsAge() < ggsgossip.OperatorsStale {
+	for e.follows() && e.operatorsAge() < ggsgossip.MaxOperatorsAge {
 		if e.operatorsBehind() {
 			return true
 		}
-		if !pauseOr(ctx, ggsgossip.OperatorsStale/4, e.operatorsNotified) {
+		if !pauseOr(ctx, ggsgossip.MaxOperatorsAge/4, e.operatorsNotified) {
 			return false
 		}
 	}
@@ -113,7 +113,7 @@
 	live := e.livePeers()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := e.Now(); e.node.Large() && e.node.Relay(now) {
+	if now := e.Now(); e.node.UsesRelays() && e.node.IsRelay(now) {
 		return len(e.node.AllRelays(now))
 	}
 	return len(live) + 1
@@ -305,7 +305,7 @@
 	for s, spec := range c.Services {
 		e.turns.SetService(s, c.GapAim(s))
 		if spec.Engine != nil {
-			e.table.SetPlaces(s, spec.Engine.Places())
+			e.table.SetAdapterSlots(s, spec.Engine.Places())
 		}
 	}
 	e.mu.Unlock()
--- a/io/ggsedge/parts.go
+++ b/io/ggsedge/parts.go
@@ -163,7 +163,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Now()
-	return e.node.Large() && now.Sub(e.summarized) < summaryAge && !e.node.Relay(now)
+	return e.node.UsesRelays() && now.Sub(e.summarized) < summaryAge && !e.node.IsRelay(now)
 }
 
 // relayCalls returns where the relays of the domain take calls.
--- a/io/ggsedge/parts_test.go
+++ b/io/ggsedge/parts_test.go
@@ -122,7 +122,7 @@
 	s := &silentStore{watches: make(chan struct{}, 1)}
 	e := follower(s, netip.AddrPort{})
 	e.readOperators(position(12), nil)
-	e.operatorsObserved = e.Now().Add(-ggsgossip.OperatorsStale)
+	e.operatorsObserved = e.Now().Add(-ggsgossip.MaxOperatorsAge)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-s.watches
--- a/io/ggsedge/relay.go
+++ b/io/ggsedge/relay.go
@@ -189,18 +189,18 @@
 	defer e.mu.Unlock()
 	hurt := false
 	if !j.committed {
-		e.turns.First(now, j.turn, j.sentAt)
+		e.turns.RecordFirstPiece(now, j.turn, j.sentAt)
 		first := e.since(j.arrived)
 		hurt = first > j.route.Target && first-j.turnWait <= j.route.Target
 	} else {
 		gap := now.Sub(j.pieceAt)
 		j.gap = max(j.gap, gap)
-		hurt = e.turns.Gap(now, j.service, j.turn.Endpoint, gap)
+		hurt = e.turns.RecordGap(now, j.service, j.turn.Endpoint, gap)
 	}
 	j.pieceAt = now
 	if hurt && !j.hurt {
 		j.hurt = true
-		e.turns.Stream(now, j.service, j.turn.Endpoint, true)
+		e.turns.RecordStream(now, j.service, j.turn.Endpoint, true)
 	}
 }
 
@@ -211,7 +211,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.turns.Stream(e.Now(), j.service, j.turn.Endpoint, false)
+	e.turns.RecordStream(e.Now(), j.service, j.turn.Endpoint, false)
 }
 
 // head writes an answer's head.
--- a/io/ggsedge/signals.go
+++ b/io/ggsedge/signals.go
@@ -14,7 +14,7 @@
 func (e *Edge) observe(j *job, i ggscore.Instance, m ggscore.AnswerMeta) {
 	e.mu.Lock()
 	now := e.Now()
-	leaves := m.Leaving && e.table.Depart(ggscore.Departure{Endpoint: i.ID, Born: i.Born})
+	leaves := m.Leaving && e.table.RecordDeparture(ggscore.Departure{Endpoint: i.ID, Born: i.Born})
 	limited := e.observeLimit(now, j, i.ID, m.Limit)
 	if m.RetryAfter > 0 {
 		e.table.Pause(now, i.ID, m.RetryAfter)
@@ -48,7 +48,7 @@
 
 // shareLimits takes the VMs that rate limits are shared by. Edge.mu is held.
 func (e *Edge) shareLimits(now time.Time) {
-	if e.limits.Limited() == 0 {
+	if e.limits.LimitedCount() == 0 {
 		return
 	}
 	vms := []ggscore.VMID{e.options.VM}
@@ -65,7 +65,7 @@
 func (e *Edge) adoptSignals(now time.Time, ls []ggscore.EndpointLimit, ds []ggscore.Departure) {
 	e.limits.Learn(now.Add(-heartbeatDelay), ls)
 	for _, d := range ds {
-		if e.table.Depart(d) {
+		if e.table.RecordDeparture(d) {
 			_ = level.Info(e.Log).Log("event", ggslog.EventEndpointLeaving, "endpoint", d.Endpoint, "peers", true)
 		}
 	}
@@ -83,5 +83,5 @@
 func (e *Edge) takes(id ggscore.EndpointID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.table.Takes(e.Now(), id)
+	return e.table.Accepts(e.Now(), id)
 }
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -139,8 +139,8 @@
 
 // newsDelay returns how much longer heartbeats take through relays. Edge.mu is held.
 func (e *Edge) newsDelay() time.Duration {
-	if e.node.Large() {
-		return ggsrelay.NewsDelay
+	if e.node.UsesRelays() {
+		return ggsrelay.RelayDelay
 	}
 	return 0
 }
@@ -267,7 +267,7 @@
 func (e *Edge) noteHeld(id ggscore.EndpointID, w *worker) {
 	now := e.Now()
 	e.table.SetHeld(now, id, w.ledger.Resident())
-	e.table.SetRoom(id, w.ledger.Waiting(), w.ledger.Room(now))
+	e.table.SetLoadCapacity(id, w.ledger.Waiting(), w.ledger.Room(now))
 }
 
 // order gives one order.
--- a/io/ggsgateway/gateway.go
+++ b/io/ggsgateway/gateway.go
@@ -128,7 +128,7 @@
 	g.listed = append([]ggscore.VM(nil), vms...)
 	for i := range vms {
 		if vms[i].State == ggscore.VMLeaving {
-			g.router.Leave(vms[i].ID)
+			g.router.MarkLeaving(vms[i].ID)
 		}
 	}
 	g.limiter.SetGateways(len(vms))
@@ -158,6 +158,6 @@
 	for name, m := range d.Markets {
 		g.limiter.SetMarket(name, ggslimit.LimitOf(m))
 	}
-	g.retries.Keep(d.Markets)
+	g.retries.RetainMarkets(d.Markets)
 	g.router.SetPolicy(now, d.Policy)
 }
--- a/io/ggsgateway/handler.go
+++ b/io/ggsgateway/handler.go
@@ -91,7 +91,7 @@
 	if f == nil || (f.Kind != ggscore.FailureNotOwner && f.Kind != ggscore.FailureStopping) {
 		return f
 	}
-	e := &ggsroute.NoDispatcherError{Service: r.Service, Cause: ggsroute.CauseAway, RetryAfter: max(f.RetryAfter, awayRetryAfter)}
+	e := &ggsroute.NoDispatcherError{Service: r.Service, Cause: ggsroute.CauseUnavailable, RetryAfter: max(f.RetryAfter, awayRetryAfter)}
 	n := e.Failure()
 	n.Outcome = f.Outcome
 	return n
--- a/io/ggsheartbeat/codec.go
+++ b/io/ggsheartbeat/codec.go
@@ -34,9 +34,9 @@
 func encode(d ggscore.Domain, h ggsmember.Heartbeat) []byte {
 	b := []byte{formatVersion}
 	b = binary.BigEndian.AppendUint32(b, domainSum(d))
-	b = appendMember(b, h.Sender, h.Watch)
-	b = binary.AppendUvarint(b, uint64(len(h.News)))
-	for _, m := range h.News {
+	b = appendMember(b, h.Sender, h.Monitor)
+	b = binary.AppendUvarint(b, uint64(len(h.Updates)))
+	for _, m := range h.Updates {
 		b = appendMember(b, m, false)
 		addr, _ := m.Addr.MarshalBinary()
 		b = appendText(b, string(addr))
@@ -82,7 +82,7 @@
 		return bad("domain")
 	}
 	var h ggsmember.Heartbeat
-	h.Sender, h.Watch = d.member()
+	h.Sender, h.Monitor = d.member()
 	n := d.uvarint()
 	if d.failed || n > maxNews {
 		return bad("sender")
@@ -90,7 +90,7 @@
 	for range n {
 		m, _ := d.member()
 		m.Addr = d.addr()
-		h.News = append(h.News, m)
+		h.Updates = append(h.Updates, m)
 	}
 	if d.failed || d.in.Len() > 0 {
 		return bad("members")
--- a/io/ggsheartbeat/server.go
+++ b/io/ggsheartbeat/server.go
@@ -147,7 +147,7 @@
 
 // beat sends heartbeats in time, and sooner where there is news.
 func (s *Server) beat(ctx context.Context) {
-	t := time.NewTimer(rand.N(s.opts.Limits.Every))
+	t := time.NewTimer(rand.N(s.opts.Limits.Interval))
 	defer t.Stop()
 	gap := time.NewTimer(s.opts.Gap)
 	defer gap.Stop()
@@ -168,7 +168,7 @@
 		s.send()
 		s.changed()
 		gap.Reset(s.opts.Gap)
-		t.Reset(s.opts.Limits.Every)
+		t.Reset(s.opts.Limits.Interval)
 	}
 }
 
@@ -232,22 +232,22 @@
 	s.mu.Lock()
 	now := s.clock()
 	to := s.table.Targets(now)
-	h := s.table.Beat(now)
+	h := s.table.NextHeartbeat(now)
 	s.mu.Unlock()
 	if len(to) == 0 {
 		for _, a := range s.opts.Seeds {
-			to = append(to, ggsmember.Target{Addr: a, Watch: true})
+			to = append(to, ggsmember.Target{Addr: a, Monitor: true})
 		}
 	}
-	h.Watch = true
+	h.Monitor = true
 	watched := encode(s.opts.Domain, h)
-	h.Watch = false
+	h.Monitor = false
 	plain := encode(s.opts.Domain, h)
 	sent := uint64(0)
 	bytes := uint64(0)
 	for _, t := range to {
 		b := plain
-		if t.Watch {
+		if t.Monitor {
 			b = watched
 		}
 		if _, err := s.conn.WriteToUDPAddrPort(b, t.Addr); err == nil {
--- a/io/ggsheartbeat/server_test.go
+++ b/io/ggsheartbeat/server_test.go
@@ -133,7 +133,7 @@
 		VM: "vm-b", Addr: netip.MustParseAddrPort("127.0.0.1:7000"), Leaving: true, Sequence: 3, Revision: 4,
 		Incarnation: "01900000-0000-7000-8000-000000000001",
 	}
-	f.Add(encode(domain, ggsmember.Heartbeat{Sender: m, Watch: true, News: []ggsmember.Member{m}}))
+	f.Add(encode(domain, ggsmember.Heartbeat{Sender: m, Monitor: true, Updates: []ggsmember.Member{m}}))
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		h, err := decode(domain, datagram)
 		if err != nil {
@@ -142,7 +142,7 @@
 		again, err := decode(domain, encode(domain, h))
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, again.Sender, qt.Equals, h.Sender)
-		qt.Assert(t, again.News, qt.HasLen, len(h.News))
+		qt.Assert(t, again.Updates, qt.HasLen, len(h.Updates))
 	})
 }
 
@@ -184,9 +184,9 @@
 				continue
 			}
 			to := t.Targets(now)
-			h := t.Beat(now)
+			h := t.NextHeartbeat(now)
 			for _, a := range to {
-				h.Watch = a.Watch
+				h.Monitor = a.Monitor
 				bytes += 2 * (headerBytes + len(encode(domain, h)))
 				tables[a.Addr.Addr().As4()[3]].Receive(now, member(i, 0).Addr, h)
 			}
--- a/io/ggsowners/codec.go
+++ b/io/ggsowners/codec.go
@@ -72,7 +72,7 @@
 	return r, nil
 }
 
-func wireSet(s ggsowner.Set) map[string][]string {
+func wireSet(s ggsowner.AdapterSet) map[string][]string {
 	w := make(map[string][]string, len(s))
 	for id, refs := range s {
 		for _, a := range refs {
@@ -83,8 +83,8 @@
 	return w
 }
 
-func domainSet(w map[string][]string) (ggsowner.Set, error) {
-	s := make(ggsowner.Set, len(w))
+func domainSet(w map[string][]string) (ggsowner.AdapterSet, error) {
+	s := make(ggsowner.AdapterSet, len(w))
 	for id, texts := range w {
 		for _, t := range texts {
 			a, err := ggscore.ParseAdapterRef(t)
--- a/io/ggsowners/owners.go
+++ b/io/ggsowners/owners.go
@@ -173,7 +173,7 @@
 		next[id] = o.endpoints[id]
 		if next[id] == nil {
 			next[id] = &endpoint{
-				group:   ggsowner.GroupOf(id, o.opts.Groups),
+				group:   ggsowner.GroupIndex(id, o.opts.Groups),
 				loading: make(map[ggscore.AdapterRef]time.Time),
 			}
 		}
@@ -230,7 +230,7 @@
 	if !s.Owned() {
 		return
 	}
-	want := ggsowner.Set{}
+	want := ggsowner.AdapterSet{}
 	for id, e := range o.endpoints {
 		if e.group != g {
 			continue
@@ -283,7 +283,7 @@
 func (o *Owners) noteStopped(s *ggsowner.Group, now time.Time) {
 	for _, p := range s.Record().Pins {
 		if o.stopped(p.Holder, now) {
-			s.Stopped(p.Holder)
+			s.MarkStopped(p.Holder)
 		}
 	}
 }
--- a/io/ggsowners/run.go
+++ b/io/ggsowners/run.go
@@ -20,7 +20,7 @@
 // Leave ends the pins of what this process ran and revokes its lease. It is
 // called after all in progress has ended, before Run's context ends.
 func (o *Owners) Leave(ctx context.Context) error {
-	err := o.await(ctx, func(g *ggsowner.Group) bool { return g.Released() && !g.Pinning() })
+	err := o.await(ctx, func(g *ggsowner.Group) bool { return g.Released() && !g.HasPins() })
 	o.mu.Lock()
 	id := o.lease.ID()
 	o.lease.Lost()
--- a/io/ggsowners/serve.go
+++ b/io/ggsowners/serve.go
@@ -26,13 +26,13 @@
 func (o *Owners) prepare(g *group) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	first, _ := ggsowner.First(g.key, o.candidates, "")
-	second, _ := ggsowner.First(g.key, o.candidates, first.VM)
+	first, _ := ggsowner.PreferredCandidate(g.key, o.candidates, "")
+	second, _ := ggsowner.PreferredCandidate(g.key, o.candidates, first.VM)
 	if first.VM != o.self.VM && second.VM != o.self.VM && !g.state.Involved() {
 		return false
 	}
 	if g.state.Mode(o.clock(), &o.lease) != ggscore.ModeFull || len(g.state.Record().Pins) > 0 {
-		g.state.Poll()
+		g.state.Invalidate()
 	}
 	return true
 }
@@ -41,7 +41,7 @@
 // ends: it is the first candidate but for the owner, or a later life of it.
 func (o *Owners) wanted(g *group) bool {
 	owner := g.state.Record().Owner.VM
-	first, ok := ggsowner.First(g.key, o.candidates, owner)
+	first, ok := ggsowner.PreferredCandidate(g.key, o.candidates, owner)
 	return owner == o.self.VM || (ok && first.VM == o.self.VM)
 }
 
@@ -63,7 +63,7 @@
 		o.mu.Lock()
 		now := o.clock()
 		o.noteStopped(g.state, now)
-		g.state.Want(o.wanted(g))
+		g.state.SetCandidate(o.wanted(g))
 		step := g.state.Next(now, &o.lease)
 		o.mu.Unlock()
 		if step.Kind == ggsowner.StepIdle {
@@ -123,7 +123,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err != nil {
-		g.state.Away()
+		g.state.IOFailed()
 		return err
 	}
 	g.state.RecordRead(r, e.Revision)
@@ -135,7 +135,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err != nil {
-		g.state.Away()
+		g.state.IOFailed()
 		return err
 	}
 	g.state.LeaseRead(e.Revision == 0 || e.Lease != step.Lease)
@@ -146,7 +146,7 @@
 	value, err := encodeRecord(step.Record)
 	if err != nil {
 		o.mu.Lock()
-		g.state.Away()
+		g.state.IOFailed()
 		o.mu.Unlock()
 		return err
 	}
@@ -162,7 +162,7 @@
 		g.state.WriteDone(ggsowner.WriteConflict, 0)
 		return nil
 	case hadNoEffect(err):
-		g.state.Away()
+		g.state.IOFailed()
 	default:
 		// Whatever isn't known to have had no effect may still have one.
 		g.state.WriteDone(ggsowner.WriteAmbiguous, 0)
