--- a/core/ggsfencing/claims.go
+++ b/core/ggsfencing/claims.go
@@ -9,16 +9,16 @@
 	ggscore "greengageslip/core"
 )
 
-// Claims returns the records that this VM is to write: those of endpoints that
-// nobody gives orders to, where this VM comes first, and those of its own rights that an
-// epoch before has given.
+// Claims returns the ownership records for this VM to write: those of endpoints without an
+// owner where this VM is the preferred owner, and those that renew a right of this VM from an
+// earlier epoch.
 //
-// What this VM released itself it takes back at once: no other has given orders
-// since, or the record would be another's. In a rolling restart each VM's
-// endpoints would else get no orders for a turn and more, one VM's after the
-// other's.
+// A record that this VM released itself is claimed again without delay. No other VM has sent
+// orders since the release, because its claim would have replaced the record. With a delay,
+// a rolling restart would leave the endpoints of one VM after the other without orders for
+// longer than Turn.
 func (k *Keeper) Claims(now time.Time, ready []ggscore.Instance) []Claim {
-	if !k.synced || k.own == 0 {
+	if !k.synced || k.ownRevision == 0 {
 		return nil
 	}
 	settled := now.Sub(k.started) >= k.options.Settle
@@ -31,7 +31,7 @@
 		c, ok := k.renewal(now, ready[i].ID)
 		if !ok && settled {
 			c, ok = k.claim(now, ready[i].ID)
-			ok = ok && k.first(&ready[i]) == k.options.Self
+			ok = ok && k.preferredOwner(&ready[i]) == k.options.Self
 		}
 		if ok {
 			cs = append(cs, c)
@@ -40,31 +40,32 @@
 	return cs
 }
 
-// renewal returns the claim of an endpoint that no other VM may give orders to: this one has
-// the right from an epoch before, or released it in this one.
+// renewal returns the claim of an endpoint that no other VM may send orders to: this VM holds
+// a right from an earlier epoch, or released the record in the current epoch.
 func (k *Keeper) renewal(now time.Time, id ggscore.EndpointID) (Claim, bool) {
 	c := Claim{Endpoint: id, Epoch: k.epoch}
 	r := k.records[id]
 	if r != nil {
 		c.RecordRevision = r.Revision
 	}
-	if r == nil || !k.counts(r.Record) {
+	if r == nil || !k.inCurrentEpoch(r.Record) {
 		return c, now.Before(k.rights[id].until)
 	}
 	return c, r.Released && r.Owner == k.options.Self
 }
 
-// claim returns the claim of an endpoint that may be claimed.
+// claim returns the claim of an endpoint, and whether its previous owner can no longer send
+// orders.
 func (k *Keeper) claim(now time.Time, id ggscore.EndpointID) (Claim, bool) {
 	c := Claim{Endpoint: id, Epoch: k.epoch}
 	r := k.records[id]
 	if r == nil {
-		return c, k.waited(now)
+		return c, k.earlierRightsExpired(now)
 	}
 	c.RecordRevision = r.Revision
-	if !k.counts(r.Record) {
-		// A late write of an epoch before may have replaced a record that counted.
-		return c, now.Sub(r.since) >= k.wait()
+	if !k.inCurrentEpoch(r.Record) {
+		// A delayed write from an earlier epoch may have replaced a record of this epoch.
+		return c, now.Sub(r.since) >= k.takeoverWait()
 	}
 	if r.Released {
 		return c, now.Sub(r.since) >= k.options.Turn+k.options.Margin
@@ -74,52 +75,54 @@
 	}
 	c.Owner = r.Owner
 	since := r.since
-	if b := k.beats[r.Owner]; b != nil {
+	if b := k.heartbeats[r.Owner]; b != nil {
 		c.OwnerRevision = b.Revision
 		if b.since.After(since) {
 			since = b.since
 		}
 	}
-	return c, now.Sub(since) >= k.wait()
+	return c, now.Sub(since) >= k.takeoverWait()
 }
 
-// SetHeard takes the VMs whose words arrive.
+// SetHeard replaces the set of VMs whose gossip heartbeats arrive.
 func (k *Keeper) SetHeard(vms []ggscore.VMID) {
-	k.heard = make(map[ggscore.VMID]bool, len(vms))
+	k.reachable = make(map[ggscore.VMID]bool, len(vms))
 	for _, vm := range vms {
-		k.heard[vm] = true
+		k.reachable[vm] = true
 	}
 }
 
-// first returns the VM that is to claim the endpoint: of those that are heard and have
-// room, in the endpoint's domain where there are any, the one that the endpoint's name
-// falls on. Where two think so of themselves, the store lets one of them have it.
-func (k *Keeper) first(i *ggscore.Instance) ggscore.VMID {
-	owned := k.owned()
-	best, most, near := k.options.Self, 0.0, false
-	for vm, b := range k.beats {
-		if vm != k.options.Self && (!k.heard[vm] || owned[vm] >= k.options.MaxRecords) {
+// preferredOwner returns the VM that is to claim the endpoint. Candidates are this VM and the
+// reachable VMs with fewer than MaxRecords endpoints. VMs in the endpoint's failure domain
+// take precedence, and rendezvous hashing selects one of them. If two VMs both select
+// themselves, the conditions of the store's transaction let only one claim succeed.
+func (k *Keeper) preferredOwner(i *ggscore.Instance) ggscore.VMID {
+	owned := k.ownedCounts()
+	best, bestWeight, bestLocal := k.options.Self, 0.0, false
+	for vm, b := range k.heartbeats {
+		if vm != k.options.Self && (!k.reachable[vm] || owned[vm] >= k.options.MaxRecords) {
 			continue
 		}
-		n := b.Domain == i.Domain
+		local := b.Domain == i.Domain
 		w := weight(vm, i.ID, b.Capacity)
-		if n && !near || n == near && w >= most {
-			best, most, near = vm, w, n
+		if local && !bestLocal || local == bestLocal && w >= bestWeight {
+			best, bestWeight, bestLocal = vm, w, local
 		}
 	}
 	return best
 }
 
-// weight ranks VMs for an endpoint so that each gets endpoints by its capacity: few VMs of
-// a large deployment then write to the store for the endpoints that they control.
+// weight is the rendezvous weight of a VM for an endpoint. A VM's chance of the highest weight
+// is proportional to its capacity, so that only few VMs of a large deployment own endpoints
+// and write to the store for them.
 func weight(vm ggscore.VMID, id ggscore.EndpointID, capacity uint64) float64 {
 	x := (float64(xxhash.Sum64String(string(vm)+" "+string(id))>>11) + 1) / (1 << 53)
 	return -float64(max(capacity, 1)) / math.Log(x)
 }
 
-// owned returns the number of endpoints that each VM controls.
-func (k *Keeper) owned() map[ggscore.VMID]int {
-	n := make(map[ggscore.VMID]int, len(k.beats))
+// ownedCounts returns the number of endpoints that each VM owns.
+func (k *Keeper) ownedCounts() map[ggscore.VMID]int {
+	n := make(map[ggscore.VMID]int, len(k.heartbeats))
 	for _, r := range k.records {
 		if !r.Released {
 			n[r.Owner]++
@@ -128,7 +131,7 @@
 	return n
 }
 
-// ClaimEnded takes the end of a claim that was written.
+// ClaimEnded records that the store acknowledged a claim that was sent at the given time.
 func (k *Keeper) ClaimEnded(sent time.Time, c Claim, at ggscore.StorePosition) {
 	if c.Epoch != k.epoch || at.Epoch != k.epoch {
 		return
--- a/core/ggsfencing/export_test.go
+++ b/core/ggsfencing/export_test.go
@@ -6,7 +6,7 @@
 	ggscore "greengageslip/core"
 )
 
-// Clone returns a copy that goes its own way.
+// Clone returns an independent copy.
 func (k *Keeper) Clone() *Keeper {
 	c := *k
 	c.records = make(map[ggscore.EndpointID]*record, len(k.records))
@@ -14,7 +14,7 @@
 		x := *r
 		c.records[id] = &x
 	}
-	c.beats = maps.Clone(k.beats) // beats are replaced, never changed
-	c.rights, c.owners = maps.Clone(k.rights), maps.Clone(k.owners)
+	c.heartbeats = maps.Clone(k.heartbeats) // heartbeats are replaced, never modified
+	c.rights, c.previousOwners = maps.Clone(k.rights), maps.Clone(k.previousOwners)
 	return &c
 }
--- a/core/ggsfencing/keeper.go
+++ b/core/ggsfencing/keeper.go
@@ -1,45 +1,53 @@
-// Package ggsfencing decides which VM may give orders to an endpoint, where the
-// endpoint itself doesn't check who does.
+// Package ggsfencing decides which VM owns an endpoint, that is, may send it placement orders.
+// It serves endpoints that don't check fencing tokens themselves.
+//
+// Inputs are readings of the ownership records and heartbeats in the platform's store, the
+// results of this VM's writes, the reachable VMs and the list of endpoints. Outputs are the
+// heartbeats and claims for the caller to write to the store, and for each order whether this
+// VM may send it and with which fencing token.
 //
 // # Usage
 //
 //	k := ggsfencing.NewKeeper(ggsfencing.Options{Self: vm, Turn: 3 * time.Second})
 //	k.Observe(now, at, reading)             // each reading of the store
-//	k.SetHeard(vms)                         // whose heartbeats arrive
-//	p := k.Beat(now)                        // write it; its conditions are p's
+//	k.SetHeard(vms)                         // VMs whose gossip heartbeats arrive
+//	p := k.Beat(now)                        // write it to the store under p's conditions
 //	k.BeatEnded(sent, p, at, refused)
 //	for _, c := range k.Claims(now, ready) { … k.ClaimEnded(sent, c, at) }
 //	fence, ok := k.May(now, endpoint)       // immediately before each order
 //
-// A record in the store names the VM that gives an endpoint its orders. Each VM
-// writes a beat of its own under the condition that its records are unchanged,
-// and gives orders for Validity after it sent the last beat that was
-// acknowledged. Another VM takes a record over under the condition that the
-// owner's beat is still the one that it saw Validity plus Turn plus Margin ago.
-// So at that moment the owner's last order is Turn old at least, whatever was
-// lost, late, frozen or cut off: no lease, no clock but each VM's own, and no
-// message between the two are relied on. A beat's write that takes effect late
-// only delays a takeover; a takeover's write that takes effect late still meets
-// its conditions.
+// An ownership record in the store names the VM that sends orders to an endpoint. Each VM
+// writes its own heartbeat under the condition that its records are unchanged. It sends orders
+// until Validity has passed since it sent the last acknowledged heartbeat. Another VM takes a
+// record over under the condition that the owner's heartbeat is unchanged since that VM first
+// saw it, at least Validity plus Turn plus Margin ago. At the takeover, the previous owner's
+// last order is therefore at least Turn old.
+//
+// Neither leases, nor synchronized clocks, nor messages between the two VMs are needed, so
+// the guarantee also holds when messages are lost or late and when VMs are suspended or
+// partitioned. A delayed heartbeat write only delays a takeover. A delayed takeover write
+// only takes effect while its conditions still hold.
 //
 // # Epochs
 //
-// A store that comes back from an older copy has lost beats and records, and has those of
-// VMs that gave orders before. The right to give orders doesn't rest on what the store has
-// but on what it acknowledged: it goes on until its Validity ends. In the new epoch
+// A store that returns from an older copy has lost heartbeats and records, and contains
+// records of earlier owners. A VM's right to send orders depends on what the store
+// acknowledged, not on what the store contains, and lasts until its Validity ends. In the new
+// epoch:
 //
-//   - only the VM that has the right for an endpoint claims it at once;
-//   - every other VM waits Validity plus Turn plus Margin since it first read the epoch,
-//     by when the rights of epochs before have ended;
-//   - a record counts for the epoch that its own value names: one that was copied, or
-//     that was written late, says nothing of who gives orders;
-//   - a write counts for the epoch of its conditions: what another epoch acknowledges
-//     isn't acknowledged.
+//   - Only the VM that holds the right for an endpoint claims the endpoint at once.
+//   - Every other VM waits Validity plus Turn plus Margin after its first reading of the
+//     epoch. By then all rights from earlier epochs have expired.
+//   - A record belongs to the epoch in its own value. A record that was copied, or written
+//     late, doesn't name the current owner.
+//   - A write belongs to the epoch of its conditions. An acknowledgement from another epoch
+//     is ignored.
 //
-// VMs that have waited say so in the store (Settled), for those that start later.
+// VMs that have waited mark the epoch as settled in the store (Settled), so that VMs that
+// start later don't wait.
 //
-// Times are to come from a clock that goes on while the VM is suspended. The
-// package holds no clock, no goroutine and no lock.
+// The caller passes times from a clock that continues while the VM is suspended. A Keeper has
+// no clock, goroutine or lock of its own; the caller serializes access.
 package ggsfencing
 
 import (
@@ -52,142 +60,144 @@
 
 // Defaults of Options.
 const (
-	// DefaultValidity is how long orders go on after the last acknowledged
-	// beat. It outlasts a store that is away for 8 s, since adapters can't be
-	// loaded without orders; a VM that is gone for good leaves its endpoints
-	// without orders for this and the turn.
+	// DefaultValidity is how long a VM sends orders after the last acknowledged heartbeat.
+	// It covers a store outage of 8 s, because adapters can't be loaded without orders. The
+	// endpoints of a VM that fails for good get no orders for Validity plus Turn.
 	DefaultValidity = 9 * time.Second
-	// DefaultMargin covers an order on its way when the validity ends: its
-	// timeout of one second.
+	// DefaultMargin covers an order in flight when the validity ends. It equals the order's
+	// timeout of 1 s.
 	DefaultMargin = time.Second
-	// DefaultSettle is how long a new VM waits before its first claims, so that
-	// VMs that start together share the endpoints.
+	// DefaultSettle is how long a new VM waits before its first claims, so that VMs that
+	// start together share the endpoints.
 	DefaultSettle = 1500 * time.Millisecond
-	// DefaultForget is how long an endpoint is off the list before its record is
-	// dropped: no order can have been given for a takeover's wait by then.
+	// DefaultForget is how long an endpoint is off the list before its record is deleted. It
+	// exceeds the wait before a takeover, so no order can be recent by then.
 	DefaultForget = 20 * time.Second
-	// DefaultMaxRecords is the number of records that a VM has at most: a
-	// transaction of the store takes 32 conditions, one of them the VM's own beat,
-	// and maxDrops for records that are dropped.
+	// DefaultMaxRecords bounds the records of a VM. A store transaction takes at most 32
+	// conditions: one is for the VM's own heartbeat and maxDrops are for deleted records.
 	DefaultMaxRecords = 27
 )
 
-// An Options sets a Keeper. Zero fields take their defaults.
+// An Options configures a Keeper. Zero fields take their defaults.
 type Options struct {
 	Self   ggscore.VMID
 	Domain ggscore.Domain
-	// Turn is the time that has to lie between the orders of two VMs.
+	// Turn is the minimum time between the orders of two VMs to one endpoint.
 	Turn     time.Duration
 	Validity time.Duration
 	Margin   time.Duration
 	Settle   time.Duration
 	Forget   time.Duration
-	// MaxRecords bounds the endpoints that get their orders from this VM.
+	// MaxRecords bounds the endpoints that this VM owns.
 	MaxRecords int
-	// FirstStart says that the deployment starts for the first time: no VM has given orders
+	// FirstStart says that the deployment starts for the first time, so no VM has sent orders
 	// before.
 	FirstStart bool
 }
 
-// maxDrops bounds the records that one beat drops.
+// maxDrops bounds the records that one heartbeat deletes.
 const maxDrops = 4
 
-// A Record says which VM gives an endpoint its orders. Released is set by an
-// owner that stops and gives no more.
+// A Record is an ownership record: it names the VM that sends orders to an endpoint. An owner
+// that stops sets Released and sends no more orders.
 type Record struct {
 	Endpoint ggscore.EndpointID
 	Owner    ggscore.VMID
 	Released bool
-	// Epoch is the one in which its owner wrote it, by its value.
+	// Epoch is the epoch in which the owner wrote the record, as stored in its value.
 	Epoch    ggscore.StoreEpoch
 	Revision ggscore.StoreRevision
 }
 
-// A Reading is what the store has of the VMs' own records.
+// A Reading is the ownership state in the store.
 type Reading struct {
 	Records []Record
 	Beats   []Beat
-	// Settled is the last epoch in which a VM has waited for rights of epochs before to
-	// end, zero for none.
+	// Settled is the last epoch in which a VM has waited until all earlier rights expired,
+	// zero for none.
 	Settled ggscore.StoreEpoch
 }
 
-// A Beat is a VM's sign of life in the store.
+// A Beat is a VM's heartbeat in the store.
 type Beat struct {
 	VM     ggscore.VMID
 	Domain ggscore.Domain
-	// Capacity compares VMs: those of more are to have more endpoints.
+	// Capacity is the VM's relative share of endpoints.
 	Capacity uint64
 	Revision ggscore.StoreRevision
 }
 
-// A BeatPlan is a beat to write, under the condition that the own beat and the
-// records are at their revisions of an epoch.
+// A BeatPlan is a heartbeat to write under the condition that the VM's previous heartbeat and
+// the records still have the given revisions in the given epoch.
 type BeatPlan struct {
 	Epoch    ggscore.StoreEpoch
 	Revision ggscore.StoreRevision
 	Records  []Record
-	// Drop are records of endpoints that are gone, to be deleted with the beat.
+	// Drop are records of removed endpoints, to be deleted in the same transaction.
 	Drop []Record
-	// Settle says that the epoch is to be written as settled.
+	// Settle says to mark the epoch as settled in the same transaction.
 	Settle bool
 }
 
-// A Claim is a record to write, under the condition that the record and the
-// beat of its owner are at their revisions of an epoch.
+// A Claim is a record to write under the condition that the record and its owner's heartbeat
+// still have the given revisions in the given epoch.
 type Claim struct {
 	Endpoint       ggscore.EndpointID
 	Epoch          ggscore.StoreEpoch
 	RecordRevision ggscore.StoreRevision
-	// Owner is the VM that gave orders before, empty where none did or its right has ended.
+	// Owner is the previous owner, empty if there is none or its right has expired.
 	Owner         ggscore.VMID
 	OwnerRevision ggscore.StoreRevision
 }
 
-// A Keeper holds what a VM knows of records and beats.
+// A Keeper tracks the ownership records and heartbeats that one VM has read, and this VM's
+// rights to send orders.
 type Keeper struct {
 	options Options
 	started time.Time
-	// epoch is that of the last reading, since when it was first read, read how far, and
-	// settled says that no right of an epoch before goes on.
-	epoch   ggscore.StoreEpoch
-	since   time.Time
-	read    ggscore.StoreRevision
-	synced  bool
-	settled bool
-	// written is the epoch that the store says is settled.
-	written ggscore.StoreEpoch
-	records map[ggscore.EndpointID]*record
-	beats   map[ggscore.VMID]*beat
-	own     ggscore.StoreRevision
-	// rights are this VM's to give orders.
+	// epoch and readRevision are the position of the last reading, and epochSince is the time
+	// of the epoch's first reading. settled says that all rights from earlier epochs have
+	// expired.
+	epoch        ggscore.StoreEpoch
+	epochSince   time.Time
+	readRevision ggscore.StoreRevision
+	synced       bool
+	settled      bool
+	// storedSettled is the epoch that is marked as settled in the store.
+	storedSettled ggscore.StoreEpoch
+	records       map[ggscore.EndpointID]*record
+	heartbeats    map[ggscore.VMID]*heartbeat
+	// ownRevision is the revision of this VM's own heartbeat, zero for none.
+	ownRevision ggscore.StoreRevision
+	// rights are this VM's rights to send orders.
 	rights map[ggscore.EndpointID]right
-	// owners are the VMs that gave orders in the epoch before.
-	owners map[ggscore.EndpointID]ggscore.VMID
-	// heard are the VMs whose heartbeats arrive. It only decides who claims first.
-	heard map[ggscore.VMID]bool
+	// previousOwners are the owners in the previous epoch.
+	previousOwners map[ggscore.EndpointID]ggscore.VMID
+	// reachable are the VMs whose gossip heartbeats arrive. It affects only which VM claims
+	// first, not safety.
+	reachable map[ggscore.VMID]bool
 }
 
 type record struct {
 	Record
-	// since is when the record was first seen at its revision.
+	// since is when this revision was first read.
 	since time.Time
-	// gone is when the endpoint was first seen to be off the list.
-	gone time.Time
+	// unlistedSince is when the endpoint was first missing from the list, zero if it is listed.
+	unlistedSince time.Time
 }
 
-type beat struct {
+type heartbeat struct {
 	Beat
 	since time.Time
 }
 
-// A right is that to give an endpoint orders.
+// A right permits this VM to send orders to an endpoint until a time.
 type right struct {
 	until time.Time
 	fence ggscore.FenceNumber
 }
 
-// NewKeeper returns a Keeper that knows nothing.
+// NewKeeper returns a Keeper without records or rights.
 func NewKeeper(o Options) *Keeper {
 	o.Validity = cmp.Or(o.Validity, DefaultValidity)
 	o.Margin = cmp.Or(o.Margin, DefaultMargin)
@@ -195,28 +205,29 @@
 	o.Forget = cmp.Or(o.Forget, DefaultForget)
 	o.MaxRecords = cmp.Or(o.MaxRecords, DefaultMaxRecords)
 	return &Keeper{
-		options: o, records: map[ggscore.EndpointID]*record{}, beats: map[ggscore.VMID]*beat{},
-		rights: map[ggscore.EndpointID]right{}, owners: map[ggscore.EndpointID]ggscore.VMID{},
+		options: o, records: map[ggscore.EndpointID]*record{}, heartbeats: map[ggscore.VMID]*heartbeat{},
+		rights: map[ggscore.EndpointID]right{}, previousOwners: map[ggscore.EndpointID]ggscore.VMID{},
 	}
 }
 
-// wait is the time after which a right has ended and its last order is a turn old.
-func (k *Keeper) wait() time.Duration {
+// takeoverWait is the time after which a right has expired and its last order is at least Turn
+// old.
+func (k *Keeper) takeoverWait() time.Duration {
 	return k.options.Validity + k.options.Turn + k.options.Margin
 }
 
-// Beat returns the next beat to write. It drops the records of endpoints that are
-// gone: kept, they would fill the beat's conditions as endpoints come and go, until
-// the store refused all beats and no endpoint got orders any more.
+// Beat returns the next heartbeat to write. It deletes the records of removed endpoints.
+// Otherwise those records would exhaust the conditions of the heartbeat's transaction as
+// endpoints come and go, until the store refused every heartbeat and no endpoint got orders.
 func (k *Keeper) Beat(now time.Time) BeatPlan {
-	p := BeatPlan{Epoch: k.epoch, Revision: k.own, Settle: k.synced && k.written != k.epoch && k.waited(now)}
+	p := BeatPlan{Epoch: k.epoch, Revision: k.ownRevision, Settle: k.synced && k.storedSettled != k.epoch && k.earlierRightsExpired(now)}
 	for _, r := range k.records {
-		gone := !r.gone.IsZero() && now.Sub(r.gone) >= k.options.Forget
+		removed := !r.unlistedSince.IsZero() && now.Sub(r.unlistedSince) >= k.options.Forget
 		switch {
 		case r.Owner != k.options.Self || r.Released:
-		case gone && len(p.Drop) < maxDrops:
+		case removed && len(p.Drop) < maxDrops:
 			p.Drop = append(p.Drop, r.Record)
-		case !gone && k.counts(r.Record):
+		case !removed && k.inCurrentEpoch(r.Record):
 			p.Records = append(p.Records, r.Record)
 		}
 	}
@@ -224,9 +235,9 @@
 	return p
 }
 
-// BeatEnded takes the end of writing a beat that was sent at the time. After a
-// refusal one of its records may be another's, so no order is given on any
-// until a later beat is acknowledged; the store has to be read anew.
+// BeatEnded records the store's answer to a heartbeat that was sent at the given time. After a
+// refusal, the caller has to read the store again. Another VM may own one of the heartbeat's
+// records by then, so no order is sent for any of them until a later heartbeat is acknowledged.
 func (k *Keeper) BeatEnded(sent time.Time, p BeatPlan, at ggscore.StorePosition, refused bool) {
 	if p.Epoch != k.epoch || at.Epoch != k.epoch {
 		return
@@ -249,14 +260,13 @@
 		delete(k.records, r.Endpoint)
 		delete(k.rights, r.Endpoint)
 	}
-	k.own = max(k.own, at.Revision)
+	k.ownRevision = max(k.ownRevision, at.Revision)
 	if p.Settle {
-		k.written = p.Epoch
+		k.storedSettled = p.Epoch
 	}
 }
 
-// extend has the right that a record gives go on from the time at which its beat or claim was
-// sent.
+// extend extends the right for a record to Validity after its heartbeat or claim was sent.
 func (k *Keeper) extend(sent time.Time, r Record) {
 	until := sent.Add(k.options.Validity)
 	if o := k.rights[r.Endpoint]; o.until.After(until) {
@@ -265,26 +275,27 @@
 	k.rights[r.Endpoint] = right{until: until, fence: fence(r)}
 }
 
-// epochShift leaves the lower half of a fencing number to the record's revision.
+// epochShift reserves the lower half of a fencing token for the record's revision.
 const epochShift = 32
 
-// fence returns the fencing number of a record. It rises with epochs, though revisions fall.
+// fence returns the fencing token of a record. Tokens increase from epoch to epoch even though
+// revisions may decrease.
 func fence(r Record) ggscore.FenceNumber {
 	return ggscore.FenceNumber(uint64(r.Epoch)<<epochShift | uint64(r.Revision))
 }
 
-// Owns reports whether this VM gives orders to an endpoint.
+// Owns reports whether this VM owns any endpoint.
 func (k *Keeper) Owns() bool {
 	for _, r := range k.records {
-		if r.Owner == k.options.Self && !r.Released && k.counts(r.Record) {
+		if r.Owner == k.options.Self && !r.Released && k.inCurrentEpoch(r.Record) {
 			return true
 		}
 	}
 	return false
 }
 
-// May returns the fencing number for an order to the endpoint, and whether
-// this VM may give one now.
+// May returns the fencing token for an order to the endpoint, and whether this VM may send
+// the order now.
 func (k *Keeper) May(now time.Time, id ggscore.EndpointID) (ggscore.FenceNumber, bool) {
 	r, ok := k.rights[id]
 	if !ok || !now.Before(r.until) {
@@ -293,7 +304,7 @@
 	return r.fence, true
 }
 
-// Records returns all records that are known.
+// Records returns all known ownership records.
 func (k *Keeper) Records() []Record {
 	rs := make([]Record, 0, len(k.records))
 	for _, r := range k.records {
@@ -302,29 +313,28 @@
 	return rs
 }
 
-// Owner returns the VM that gives the endpoint its orders, empty where none
-// does. In a new epoch it is the one of the epoch before until a record says otherwise.
+// Owner returns the endpoint's owner, empty if there is none. In a new epoch it is the owner
+// from the previous epoch until a record of the new epoch exists.
 func (k *Keeper) Owner(id ggscore.EndpointID) ggscore.VMID {
 	r := k.records[id]
 	switch {
-	case r != nil && (k.counts(r.Record) || !k.synced):
+	case r != nil && (k.inCurrentEpoch(r.Record) || !k.synced):
 		if r.Released {
 			return ""
 		}
 		return r.Owner
-	case k.owners[id] != "":
-		return k.owners[id]
+	case k.previousOwners[id] != "":
+		return k.previousOwners[id]
 	case r != nil && !r.Released:
 		return r.Owner
 	}
 	return ""
 }
 
-// Epoch returns the epoch of the last reading, and whether there was one.
+// Epoch returns the epoch of the last reading, and whether the store has been read.
 func (k *Keeper) Epoch() (ggscore.StoreEpoch, bool) { return k.epoch, k.synced }
 
-// Stop ends all orders of this VM. The records that it then releases are to be
-// written under the conditions of Beat: a release that takes effect late, after
-// the VM's next process has beaten, would let another VM order while that one
-// may.
+// Stop revokes all rights of this VM to send orders. A caller that then releases the records
+// must write them under the conditions of Beat. Without those conditions, a release that takes
+// effect after the first heartbeat of the VM's next process would let two VMs send orders.
 func (k *Keeper) Stop() { clear(k.rights) }
--- a/core/ggsfencing/keeper_test.go
+++ b/core/ggsfencing/keeper_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	turn    = 3 * time.Second
-	runner  = ggscore.EndpointID("runner")
-	takeout = ggsfencing.DefaultValidity + turn + ggsfencing.DefaultMargin
+	turn         = 3 * time.Second
+	runner       = ggscore.EndpointID("runner")
+	takeoverWait = ggsfencing.DefaultValidity + turn + ggsfencing.DefaultMargin
 )
 
 func at(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 
-// position returns a position of a store that names no epoch.
+// position returns a position in a store without epochs.
 func position(r ggscore.StoreRevision) ggscore.StorePosition {
 	return ggscore.StorePosition{Revision: r}
 }
@@ -30,7 +30,7 @@
 
 func instances() []ggscore.Instance { return []ggscore.Instance{{ID: runner, Domain: "d"}} }
 
-// owner returns a keeper that owns the runner's orders since the start.
+// owner returns the Keeper of a VM that owns the runner.
 func owner(c *qt.C) *ggsfencing.Keeper {
 	k := keeper("a")
 	k.Observe(at(0), position(1), ggsfencing.Reading{})
@@ -41,7 +41,7 @@
 	return k
 }
 
-func TestOrdersEndWithoutBeats(t *testing.T) {
+func TestOrdersEndWithoutHeartbeats(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := owner(c)
@@ -56,10 +56,10 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// An operator's tool rewrites a record, or another VM has taken it over: the
-// owner's beat is refused. Orders that it gave until it had read the store
-// again would take turns with those of the new owner.
-func TestRefusedBeatEndsOrdersAtOnce(t *testing.T) {
+// Guards against orders of a VM that lost its record to an operator's tool or to another VM.
+// Its heartbeat is refused. Orders that it sent until it had read the store again would
+// interleave with those of the new owner.
+func TestRefusedHeartbeatEndsOrdersAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := owner(c)
@@ -68,27 +68,27 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// A VM is killed and never comes back. Its runners would get no orders for
-// ever; taken over too early, the frozen owner's last order would meet those of
-// the next.
-func TestTakeoverWaitsOutTheOwner(t *testing.T) {
+// Guards against endpoints that get no orders for ever because their owner was killed, and
+// against a takeover so early that the last order of a suspended owner arrives among those of
+// the new owner.
+func TestTakeoverWaitsForTheOwnersRightToExpire(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := keeper("b")
 	records := []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}}
-	beats := []ggsfencing.Beat{{VM: "a", Domain: "d", Revision: 20}}
-	k.Observe(at(0), position(30), ggsfencing.Reading{Records: records, Beats: beats})
+	heartbeats := []ggsfencing.Beat{{VM: "a", Domain: "d", Revision: 20}}
+	k.Observe(at(0), position(30), ggsfencing.Reading{Records: records, Beats: heartbeats})
 	k.BeatEnded(at(0), k.Beat(at(0)), position(31), false)
-	c.Assert(k.Claims(at(takeout-1), instances()), qt.HasLen, 0)
+	c.Assert(k.Claims(at(takeoverWait-1), instances()), qt.HasLen, 0)
 
-	cs := k.Claims(at(takeout), instances())
+	cs := k.Claims(at(takeoverWait), instances())
 	c.Assert(cs, qt.DeepEquals, []ggsfencing.Claim{
 		{Endpoint: runner, RecordRevision: 10, Owner: "a", OwnerRevision: 20},
 	})
 
-	beats[0].Revision = 32
-	k.Observe(at(takeout), position(33), ggsfencing.Reading{Records: records, Beats: beats})
-	c.Assert(k.Claims(at(takeout), instances()), qt.HasLen, 0)
+	heartbeats[0].Revision = 32
+	k.Observe(at(takeoverWait), position(33), ggsfencing.Reading{Records: records, Beats: heartbeats})
+	c.Assert(k.Claims(at(takeoverWait), instances()), qt.HasLen, 0)
 }
 
 func TestReleasedRecordIsClaimedAfterATurn(t *testing.T) {
@@ -102,14 +102,14 @@
 	c.Assert(k.Owner(runner), qt.Equals, ggscore.VMID(""))
 }
 
-// VMs are stopped and started in turn. Each came back within a second, and its
-// endpoints got no orders for four: it waited for its own turn to pass.
-func TestReleasedRecordIsTakenBackAtOnce(t *testing.T) {
+// Guards against a rolling restart that leaves endpoints without orders for four seconds. Each
+// VM was back within a second, but waited Turn after its own release.
+func TestOwnReleasedRecordIsClaimedAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := keeper("a")
 	k.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
-	c.Assert(k.Claims(at(0), instances()), qt.HasLen, 0, qt.Commentf("no beat yet"))
+	c.Assert(k.Claims(at(0), instances()), qt.HasLen, 0, qt.Commentf("no heartbeat yet"))
 	k.BeatEnded(at(0), k.Beat(at(0)), position(31), false)
 	cs := k.Claims(at(0), instances())
 	c.Assert(cs, qt.DeepEquals, []ggsfencing.Claim{{Endpoint: runner, RecordRevision: 10}})
@@ -118,9 +118,9 @@
 	c.Assert(ok, qt.IsTrue)
 }
 
-// A process is killed and starts again within a second on the same VM. It goes
-// on with its records once a beat under their condition is acknowledged.
-func TestRestartedOwnerGoesOn(t *testing.T) {
+// A process that is killed and restarts within a second on the same VM keeps its records. It
+// sends orders again once a heartbeat under their condition is acknowledged.
+func TestRestartedOwnerKeepsItsRecords(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := keeper("a")
@@ -140,10 +140,10 @@
 	c.Assert(fence, qt.Equals, ggscore.FenceNumber(10))
 }
 
-// Runners come and go for weeks. The records of those that are gone filled the
-// conditions of the VM's beat, which the store then refused: no runner got orders
-// any more.
-func TestRecordsOfGoneEndpointsAreDropped(t *testing.T) {
+// Guards against records of removed endpoints that exhaust the conditions of the VM's
+// heartbeat after weeks of endpoints coming and going. The store then refused the heartbeat
+// and no endpoint got orders.
+func TestRecordsOfRemovedEndpointsAreDeleted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := owner(c)
@@ -160,8 +160,8 @@
 	c.Assert(k.Records(), qt.HasLen, 0)
 }
 
-// Few VMs are left for many runners. A VM claims no more than its beat can carry
-// conditions for.
+// Guards against a heartbeat with too many conditions when few VMs are left for many
+// endpoints: a VM claims no more records than one transaction can check.
 func TestClaimsAreBounded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -180,9 +180,9 @@
 	c.Assert(k.Claims(now, ready), qt.HasLen, 0)
 }
 
-// A stale answer of the store overtakes a fresh one: it must not bring back an
-// owner that has been replaced.
-func TestOlderReadingIsPassedOver(t *testing.T) {
+// Guards against a stale reading that arrives after a newer one and restores an owner that
+// has been replaced.
+func TestOlderReadingIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := keeper("b")
@@ -191,9 +191,9 @@
 	c.Assert(k.Owner(runner), qt.Equals, ggscore.VMID("c"))
 }
 
-// Runners come up, and each VM that sees them claims all of them: one claim in ten
-// counts. Only a VM whose words the others hear is left to be first.
-func TestClaimsGoToOneVMInTheDomain(t *testing.T) {
+// Guards against new endpoints that every VM claims, so that nine claims in ten fail. An
+// unreachable VM must not be the preferred owner.
+func TestOneVMOfTheDomainClaims(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	vms := []ggsfencing.Beat{
@@ -202,12 +202,12 @@
 		{VM: "far", Domain: "e", Revision: 3},
 		{VM: "gone", Domain: "d", Revision: 4},
 	}
-	heard := []ggscore.VMID{"a", "b", "far"}
+	reachable := []ggscore.VMID{"a", "b", "far"}
 	claims := 0
 	for _, vm := range vms {
 		k := ggsfencing.NewKeeper(ggsfencing.Options{Self: vm.VM, Domain: vm.Domain, Turn: turn})
 		k.Observe(at(0), position(10), ggsfencing.Reading{Beats: vms})
-		k.SetHeard(heard)
+		k.SetHeard(reachable)
 		if vm.VM == "gone" {
 			continue
 		}
@@ -220,17 +220,18 @@
 	c.Assert(claims, qt.Equals, 1)
 }
 
-// Guards against endpoints that nobody controls because the VM that comes first has no room.
-func TestClaimsGoToWideVMsWithRoom(t *testing.T) {
+// Guards against endpoints without an owner because the preferred owner has no room for more
+// records.
+func TestClaimsFavorCapacityAndSkipFullVMs(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	const endpoints = 20
 	vms := []ggsfencing.Beat{{VM: "wide", Domain: "d", Capacity: 40, Revision: 1}}
-	heard := []ggscore.VMID{"wide"}
+	reachable := []ggscore.VMID{"wide"}
 	for i := range 10 {
 		vm := ggscore.VMID(fmt.Sprintf("thin-%d", i))
 		vms = append(vms, ggsfencing.Beat{VM: vm, Domain: "d", Capacity: 1, Revision: 1})
-		heard = append(heard, vm)
+		reachable = append(reachable, vm)
 	}
 	var ready []ggscore.Instance
 	for i := range endpoints {
@@ -239,7 +240,7 @@
 	claims := func(vm ggscore.VMID, most int, records []ggsfencing.Record) int {
 		k := ggsfencing.NewKeeper(ggsfencing.Options{Self: vm, Domain: "d", Turn: turn, MaxRecords: most})
 		k.Observe(at(0), position(10), ggsfencing.Reading{Records: records, Beats: vms})
-		k.SetHeard(heard)
+		k.SetHeard(reachable)
 		return len(k.Claims(at(ggsfencing.DefaultSettle), ready))
 	}
 	c.Assert(claims("wide", endpoints, nil) >= endpoints/2, qt.IsTrue)
@@ -255,8 +256,9 @@
 	c.Assert(claimed >= endpoints-len(records), qt.IsTrue, qt.Commentf("%d", claimed))
 }
 
-// Guards against records of endpoints that are gone, which a copy of the store brought back and nobody drops.
-func TestRecordsOfAnEpochBeforeAreDropped(t *testing.T) {
+// Guards against records of removed endpoints that an older copy of the store restored and that
+// no VM deletes.
+func TestRecordsOfAnEarlierEpochAreDeleted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := keeper("a")
--- a/core/ggsfencing/reading.go
+++ b/core/ggsfencing/reading.go
@@ -7,26 +7,27 @@
 	ggscore "greengageslip/core"
 )
 
-// Observe takes a reading of the store as of a position. One that is older
-// than the last is passed over. The zero position stands for a part of a peer's
-// reading, which says nothing of what it doesn't have and counts until the store is read.
+// Observe applies a reading of the store as of a position. A reading that is older than the
+// last one is ignored. The zero position marks a partial reading from a peer. A partial
+// reading proves nothing about records that are absent from it, and it is only used until
+// this VM has read the store.
 func (k *Keeper) Observe(now time.Time, at ggscore.StorePosition, r Reading) {
-	if at.IsZero() && k.synced || at.Before(ggscore.StorePosition{Epoch: k.epoch, Revision: k.read}) && !at.IsZero() {
+	if at.IsZero() && k.synced || at.Before(ggscore.StorePosition{Epoch: k.epoch, Revision: k.readRevision}) && !at.IsZero() {
 		return
 	}
 	if k.started.IsZero() {
 		k.started = now
 	}
 	if !at.IsZero() && (!k.synced || at.Epoch != k.epoch) {
-		k.enter(now, at.Epoch, r)
+		k.beginEpoch(now, at.Epoch, r)
 	}
-	k.read = at.Revision
-	k.written = r.Settled
+	k.readRevision = at.Revision
+	k.storedSettled = r.Settled
 	k.settled = k.settled || r.Settled == k.epoch
 	seen := make(map[ggscore.EndpointID]bool, len(r.Records))
 	for _, x := range r.Records {
 		seen[x.Endpoint] = true
-		k.see(now, x)
+		k.observeRecord(now, x)
 	}
 	for id, x := range k.records {
 		if !seen[id] && x.Revision <= at.Revision {
@@ -34,67 +35,67 @@
 			delete(k.rights, id)
 		}
 	}
-	k.seeBeats(now, at, r.Beats)
+	k.observeHeartbeats(now, at, r.Beats)
 }
 
-// enter begins an epoch with its first reading.
-func (k *Keeper) enter(now time.Time, e ggscore.StoreEpoch, r Reading) {
+// beginEpoch starts an epoch with its first reading.
+func (k *Keeper) beginEpoch(now time.Time, e ggscore.StoreEpoch, r Reading) {
 	first := !k.synced
-	k.owners = map[ggscore.EndpointID]ggscore.VMID{}
+	k.previousOwners = map[ggscore.EndpointID]ggscore.VMID{}
 	for id := range k.records {
-		k.owners[id] = k.Owner(id)
+		k.previousOwners[id] = k.Owner(id)
 	}
-	k.epoch, k.since, k.synced, k.read, k.own = e, now, true, 0, 0
-	// A store that names no epochs loses nothing.
-	k.settled = e == 0 || first && k.options.FirstStart && k.allOf(e, r.Records)
+	k.epoch, k.epochSince, k.synced, k.readRevision, k.ownRevision = e, now, true, 0, 0
+	// A store without epochs never returns from an older copy, so no earlier right exists.
+	k.settled = e == 0 || first && k.options.FirstStart && k.allWrittenIn(e, r.Records)
 	clear(k.records)
-	clear(k.beats)
+	clear(k.heartbeats)
 }
 
-// allOf reports whether all records were written in the epoch.
-func (k *Keeper) allOf(e ggscore.StoreEpoch, rs []Record) bool {
+func (k *Keeper) allWrittenIn(e ggscore.StoreEpoch, rs []Record) bool {
 	return !slices.ContainsFunc(rs, func(r Record) bool { return r.Epoch != e })
 }
 
-func (k *Keeper) seeBeats(now time.Time, at ggscore.StorePosition, beats []Beat) {
-	alive := make(map[ggscore.VMID]bool, len(beats))
-	for _, b := range beats {
+func (k *Keeper) observeHeartbeats(now time.Time, at ggscore.StorePosition, heartbeats []Beat) {
+	alive := make(map[ggscore.VMID]bool, len(heartbeats))
+	for _, b := range heartbeats {
 		alive[b.VM] = true
-		if h := k.beats[b.VM]; h == nil || h.Revision != b.Revision {
-			k.beats[b.VM] = &beat{Beat: b, since: now}
+		if h := k.heartbeats[b.VM]; h == nil || h.Revision != b.Revision {
+			k.heartbeats[b.VM] = &heartbeat{Beat: b, since: now}
 		}
-		if b.VM == k.options.Self && b.Revision > k.own {
-			k.own = b.Revision
+		if b.VM == k.options.Self && b.Revision > k.ownRevision {
+			k.ownRevision = b.Revision
 		}
 	}
-	for vm, b := range k.beats {
+	for vm, b := range k.heartbeats {
 		if !at.IsZero() && !alive[vm] && b.Revision != 0 {
-			k.beats[vm] = &beat{Beat: Beat{VM: vm}, since: now}
+			k.heartbeats[vm] = &heartbeat{Beat: Beat{VM: vm}, since: now}
 		}
 	}
 }
 
-// see takes a record as it stands in the store.
-func (k *Keeper) see(now time.Time, r Record) {
+// observeRecord applies a record that was read from the store.
+func (k *Keeper) observeRecord(now time.Time, r Record) {
 	h := k.records[r.Endpoint]
 	if h != nil && h.Revision >= r.Revision {
 		return
 	}
 	k.records[r.Endpoint] = &record{Record: r, since: now}
-	if k.counts(r) && (r.Owner != k.options.Self || r.Released) {
+	if k.inCurrentEpoch(r) && (r.Owner != k.options.Self || r.Released) {
 		delete(k.rights, r.Endpoint)
 	}
 }
 
-// counts reports whether a record says who gives orders in the present epoch.
-func (k *Keeper) counts(r Record) bool { return r.Epoch == k.epoch }
+// inCurrentEpoch reports whether a record was written in the current epoch, and so names the
+// current owner.
+func (k *Keeper) inCurrentEpoch(r Record) bool { return r.Epoch == k.epoch }
 
-// waited reports whether no right of an epoch before goes on.
-func (k *Keeper) waited(now time.Time) bool {
-	return k.settled || k.synced && now.Sub(k.since) >= k.wait()
+// earlierRightsExpired reports whether all rights from earlier epochs have expired.
+func (k *Keeper) earlierRightsExpired(now time.Time) bool {
+	return k.settled || k.synced && now.Sub(k.epochSince) >= k.takeoverWait()
 }
 
-// SetListed takes the endpoints that are on the list.
+// SetListed replaces the list of known endpoints.
 func (k *Keeper) SetListed(now time.Time, list []ggscore.Instance) {
 	listed := make(map[ggscore.EndpointID]bool, len(list))
 	for i := range list {
@@ -103,9 +104,9 @@
 	for id, r := range k.records {
 		switch {
 		case listed[id]:
-			r.gone = time.Time{}
-		case r.gone.IsZero():
-			r.gone = now
+			r.unlistedSince = time.Time{}
+		case r.unlistedSince.IsZero():
+			r.unlistedSince = now
 		}
 	}
 }
--- a/core/ggsfencing/world_test.go
+++ b/core/ggsfencing/world_test.go
@@ -12,31 +12,30 @@
 	"greengageslip/core/ggsfencing"
 )
 
-// A world is a store, VMs and endpoints. Writes are answered, lost, or carried out late where
-// their conditions hold by then; readings are stale; VMs stand still; the store comes back from
-// older copies of itself. The endpoints note who gave orders when.
-type world struct {
-	now  time.Time
-	site state
-	past []state
-	late []write
-	// endpoints are those on the list.
+// A simulation has a store, VMs and endpoints. Writes are acknowledged, lost, or applied late
+// if their conditions still hold. Readings may be stale, VMs may be suspended, and the store
+// may return from older copies of itself. Each order is recorded with its sender and time.
+type simulation struct {
+	now       time.Time
+	current   state
+	history   []state
+	delayed   []write
 	endpoints []ggscore.Instance
 	vms       []*vm
 	orders    []order
 }
 
-// A state is what the store has.
+// A state is the content of the store.
 type state struct {
-	epoch    ggscore.StoreEpoch
-	revision ggscore.StoreRevision
-	records  map[ggscore.EndpointID]ggsfencing.Record
-	beats    map[ggscore.VMID]ggsfencing.Beat
-	settled  ggscore.StoreEpoch
+	epoch      ggscore.StoreEpoch
+	revision   ggscore.StoreRevision
+	records    map[ggscore.EndpointID]ggsfencing.Record
+	heartbeats map[ggscore.VMID]ggsfencing.Beat
+	settled    ggscore.StoreEpoch
 }
 
 func (s state) clone() state {
-	s.records, s.beats = maps.Clone(s.records), maps.Clone(s.beats)
+	s.records, s.heartbeats = maps.Clone(s.records), maps.Clone(s.heartbeats)
 	return s
 }
 
@@ -49,58 +48,59 @@
 	for _, x := range s.records {
 		r.Records = append(r.Records, x)
 	}
-	for _, b := range s.beats {
+	for _, b := range s.heartbeats {
 		r.Beats = append(r.Beats, b)
 	}
 	return r
 }
 
-// A write is a transaction to be carried out late.
+// A write is a delayed transaction.
 type write struct {
 	at time.Time
 	transaction
 }
 
-// A transaction is refused where its conditions don't hold. Of revisions zero stands for none.
+// A transaction is refused unless its conditions hold. Revision zero means that the key doesn't
+// exist.
 type transaction struct {
-	// epoch is that of the conditions.
-	epoch   ggscore.StoreEpoch
-	beats   map[ggscore.VMID]ggscore.StoreRevision
-	records map[ggscore.EndpointID]ggscore.StoreRevision
-	// beat is the VM whose beat is written, empty for none.
-	beat   ggscore.VMID
-	put    []ggsfencing.Record
-	drop   []ggsfencing.Record
-	settle bool
+	// epoch is the epoch of the conditions.
+	epoch      ggscore.StoreEpoch
+	heartbeats map[ggscore.VMID]ggscore.StoreRevision
+	records    map[ggscore.EndpointID]ggscore.StoreRevision
+	// heartbeat is the VM whose heartbeat is written, empty for none.
+	heartbeat ggscore.VMID
+	put       []ggsfencing.Record
+	drop      []ggsfencing.Record
+	settle    bool
 }
 
-// apply carries a transaction out, and reports whether its conditions held.
-func (w *world) apply(x transaction) bool {
-	for vm, r := range x.beats {
-		if w.site.beats[vm].Revision != r {
+// apply executes a transaction, and reports whether its conditions held.
+func (w *simulation) apply(x transaction) bool {
+	for vm, r := range x.heartbeats {
+		if w.current.heartbeats[vm].Revision != r {
 			return false
 		}
 	}
 	for id, r := range x.records {
-		if w.site.records[id].Revision != r {
+		if w.current.records[id].Revision != r {
 			return false
 		}
 	}
-	w.site.revision++
-	if x.beat != "" {
-		w.site.beats[x.beat] = ggsfencing.Beat{VM: x.beat, Domain: "d", Revision: w.site.revision}
+	w.current.revision++
+	if x.heartbeat != "" {
+		w.current.heartbeats[x.heartbeat] = ggsfencing.Beat{VM: x.heartbeat, Domain: "d", Revision: w.current.revision}
 	}
 	for _, r := range x.put {
-		r.Revision = w.site.revision
-		w.site.records[r.Endpoint] = r
+		r.Revision = w.current.revision
+		w.current.records[r.Endpoint] = r
 	}
 	for _, r := range x.drop {
-		delete(w.site.records, r.Endpoint)
+		delete(w.current.records, r.Endpoint)
 	}
 	if x.settle {
-		w.site.settled = x.epoch
+		w.current.settled = x.epoch
 	}
-	w.remember()
+	w.recordState()
 	return true
 }
 
@@ -116,9 +116,9 @@
 	k  *ggsfencing.Keeper
 }
 
-func newWorld(vms, endpoints int) *world {
-	w := &world{now: at(0), site: state{
-		epoch: 1, revision: 1, records: map[ggscore.EndpointID]ggsfencing.Record{}, beats: map[ggscore.VMID]ggsfencing.Beat{},
+func newSimulation(vms, endpoints int) *simulation {
+	w := &simulation{now: at(0), current: state{
+		epoch: 1, revision: 1, records: map[ggscore.EndpointID]ggsfencing.Record{}, heartbeats: map[ggscore.VMID]ggsfencing.Beat{},
 	}}
 	for i := range vms {
 		id := ggscore.VMID(fmt.Sprintf("vm-%d", i))
@@ -127,57 +127,57 @@
 	for i := range endpoints {
 		w.endpoints = append(w.endpoints, ggscore.Instance{ID: ggscore.EndpointID(fmt.Sprintf("runner-%d", i)), Domain: "d"})
 	}
-	w.remember()
+	w.recordState()
 	return w
 }
 
-func (w *world) remember() { w.past = append(w.past, w.site.clone()) }
+func (w *simulation) recordState() { w.history = append(w.history, w.current.clone()) }
 
-// comeBack has the store come back from a copy.
-func (w *world) comeBack(k state) {
-	epoch := w.site.epoch + 1
-	w.site = k.clone()
-	w.site.epoch = epoch
-	w.remember()
+// restore restores the store from a copy in a new epoch.
+func (w *simulation) restore(k state) {
+	epoch := w.current.epoch + 1
+	w.current = k.clone()
+	w.current.epoch = epoch
+	w.recordState()
 }
 
-// A fate is what becomes of a transaction.
-type fate int
+// An outcome says whether a transaction is applied and acknowledged.
+type outcome int
 
 const (
-	// answered transactions are carried out and acknowledged.
-	answered fate = iota
+	// acknowledged transactions are applied and acknowledged.
+	acknowledged outcome = iota
 	lost
-	// unanswered ones are carried out, their answers are lost.
-	unanswered
-	// delayed ones are carried out late, and not answered.
+	// unacknowledged transactions are applied, but their acknowledgements are lost.
+	unacknowledged
+	// delayed transactions are applied late and not acknowledged.
 	delayed
 )
 
-// store carries a transaction out by its fate. What the store acknowledges in another epoch
-// than that of the conditions counts as not acknowledged.
-func (w *world) store(f fate, late time.Duration, x transaction, ended func(at ggscore.StorePosition, ok bool)) {
+// store executes a transaction with the given outcome. An acknowledgement from another epoch
+// than that of the conditions is ignored.
+func (w *simulation) store(f outcome, late time.Duration, x transaction, ended func(at ggscore.StorePosition, ok bool)) {
 	switch f {
 	case lost:
-	case unanswered:
+	case unacknowledged:
 		w.apply(x)
 	case delayed:
-		w.late = append(w.late, write{at: w.now.Add(late), transaction: x})
+		w.delayed = append(w.delayed, write{at: w.now.Add(late), transaction: x})
 	default:
-		if ok := w.apply(x); x.epoch == w.site.epoch {
-			ended(w.site.at(), ok)
+		if ok := w.apply(x); x.epoch == w.current.epoch {
+			ended(w.current.at(), ok)
 		}
 	}
 }
 
-func (w *world) beat(v *vm, f fate, late time.Duration) {
+func (w *simulation) heartbeat(v *vm, f outcome, late time.Duration) {
 	p, sent := v.k.Beat(w.now), w.now
 	if _, ok := v.k.Epoch(); !ok {
 		return
 	}
 	x := transaction{
-		epoch: p.Epoch, beats: map[ggscore.VMID]ggscore.StoreRevision{v.id: p.Revision},
-		records: revisions(append(p.Drop, p.Records...)), beat: v.id, drop: p.Drop, settle: p.Settle,
+		epoch: p.Epoch, heartbeats: map[ggscore.VMID]ggscore.StoreRevision{v.id: p.Revision},
+		records: revisions(append(p.Drop, p.Records...)), heartbeat: v.id, drop: p.Drop, settle: p.Settle,
 	}
 	w.store(f, late, x, func(at ggscore.StorePosition, ok bool) { v.k.BeatEnded(sent, p, at, !ok) })
 }
@@ -190,8 +190,8 @@
 	return m
 }
 
-// claim writes the n-th of a VM's claims.
-func (w *world) claim(v *vm, n int, f fate, late time.Duration) {
+// claim writes a VM's claim with index n.
+func (w *simulation) claim(v *vm, n int, f outcome, late time.Duration) {
 	cs := v.k.Claims(w.now, w.endpoints)
 	if n >= len(cs) {
 		return
@@ -203,7 +203,7 @@
 		put:     []ggsfencing.Record{{Endpoint: c.Endpoint, Owner: v.id, Epoch: c.Epoch}},
 	}
 	if c.Owner != "" {
-		x.beats = map[ggscore.VMID]ggscore.StoreRevision{c.Owner: c.OwnerRevision}
+		x.heartbeats = map[ggscore.VMID]ggscore.StoreRevision{c.Owner: c.OwnerRevision}
 	}
 	w.store(f, late, x, func(at ggscore.StorePosition, ok bool) {
 		if ok {
@@ -212,12 +212,12 @@
 	})
 }
 
-// release ends a VM's orders and leaves its records to others, as a planned stop
-// does; the process starts anew.
-func (w *world) release(v *vm, f fate, late time.Duration) {
+// release stops a VM's orders and releases its records, as a planned stop does, and restarts
+// its process.
+func (w *simulation) release(v *vm, f outcome, late time.Duration) {
 	v.k.Stop()
 	p := v.k.Beat(w.now)
-	x := transaction{epoch: p.Epoch, beats: map[ggscore.VMID]ggscore.StoreRevision{v.id: p.Revision}, records: revisions(p.Records)}
+	x := transaction{epoch: p.Epoch, heartbeats: map[ggscore.VMID]ggscore.StoreRevision{v.id: p.Revision}, records: revisions(p.Records)}
 	for _, r := range p.Records {
 		x.put = append(x.put, ggsfencing.Record{Endpoint: r.Endpoint, Owner: v.id, Released: true, Epoch: p.Epoch})
 	}
@@ -225,65 +225,65 @@
 	v.k = keeper(v.id)
 }
 
-// pass has time pass, and writes carried out that were delayed.
-func (w *world) pass(d time.Duration) {
+// advance advances the time and applies the delayed writes that are due.
+func (w *simulation) advance(d time.Duration) {
 	w.now = w.now.Add(d)
-	for i := 0; i < len(w.late); {
-		if w.late[i].at.After(w.now) {
+	for i := 0; i < len(w.delayed); {
+		if w.delayed[i].at.After(w.now) {
 			i++
 			continue
 		}
-		x := w.late[i].transaction
-		w.late = append(w.late[:i:i], w.late[i+1:]...)
+		x := w.delayed[i].transaction
+		w.delayed = append(w.delayed[:i:i], w.delayed[i+1:]...)
 		w.apply(x)
 	}
 }
 
-// read has a VM read the store as it was so many changes ago. Readings of an epoch that has
-// ended arrive late.
-func (w *world) read(v *vm, back int) {
-	s := w.past[len(w.past)-1-min(back, len(w.past)-1)]
+// read makes a VM read the store's state before the last few changes. That state may be from
+// an earlier epoch.
+func (w *simulation) read(v *vm, back int) {
+	s := w.history[len(w.history)-1-min(back, len(w.history)-1)]
 	v.k.Observe(w.now, s.at(), s.reading())
 }
 
-// order has a VM give an endpoint an order that arrives a while later.
-func (w *world) order(v *vm, id ggscore.EndpointID, flight time.Duration) {
+// order makes a VM send an order that arrives after the flight time, if the VM may send it.
+func (w *simulation) order(v *vm, id ggscore.EndpointID, flight time.Duration) {
 	if f, ok := v.k.May(w.now, id); ok {
 		w.orders = append(w.orders, order{at: w.now.Add(flight), endpoint: id, vm: v.id, fence: f})
 	}
 }
 
-// turns returns what is wrong with the orders, empty for nothing.
-func (w *world) turns() string {
+// violation checks all orders, and returns a violated invariant, empty for none.
+func (w *simulation) violation() string {
 	for _, a := range w.orders {
 		for _, b := range w.orders {
 			switch {
 			case a.endpoint != b.endpoint || a.vm == b.vm || b.at.Before(a.at):
 			case b.at.Sub(a.at) < turn:
-				return fmt.Sprintf("%s orders %s at %s, %s %s later", a.vm, a.endpoint, a.at, b.vm, b.at.Sub(a.at))
+				return fmt.Sprintf("%s sends an order to %s at %s, %s sends one only %s later", a.vm, a.endpoint, a.at, b.vm, b.at.Sub(a.at))
 			case b.fence <= a.fence:
-				return fmt.Sprintf("%s orders %s with %d, then %s with %d", a.vm, a.endpoint, a.fence, b.vm, b.fence)
+				return fmt.Sprintf("%s sends an order to %s with fencing token %d, then %s with %d", a.vm, a.endpoint, a.fence, b.vm, b.fence)
 			}
 		}
 	}
 	return ""
 }
 
-// drawFate draws what becomes of a transaction.
-func drawFate(t *rapid.T) (fate, time.Duration) {
-	f := rapid.SampledFrom([]fate{lost, unanswered, delayed, answered, answered, answered}).Draw(t, "fate")
-	return f, time.Duration(rapid.IntRange(1, 15000).Draw(t, "late")) * time.Millisecond
+// drawOutcome draws the outcome and the delay of a transaction.
+func drawOutcome(t *rapid.T) (outcome, time.Duration) {
+	f := rapid.SampledFrom([]outcome{lost, unacknowledged, delayed, acknowledged, acknowledged, acknowledged}).Draw(t, "outcome")
+	return f, time.Duration(rapid.IntRange(1, 15000).Draw(t, "delay")) * time.Millisecond
 }
 
-// step does something at random.
-func (w *world) step(t *rapid.T, acts []string) {
-	w.pass(time.Duration(rapid.IntRange(1, 2500).Draw(t, "pass")) * time.Millisecond)
+// step performs a random act of a random VM.
+func (w *simulation) step(t *rapid.T, acts []string) {
+	w.advance(time.Duration(rapid.IntRange(1, 2500).Draw(t, "advance")) * time.Millisecond)
 	v := rapid.SampledFrom(w.vms).Draw(t, "vm")
 	e := rapid.SampledFrom(w.endpoints).Draw(t, "endpoint")
-	f, late := drawFate(t)
+	f, late := drawOutcome(t)
 	switch rapid.SampledFrom(acts).Draw(t, "act") {
-	case "beat":
-		w.beat(v, f, late)
+	case "heartbeat":
+		w.heartbeat(v, f, late)
 	case "read":
 		w.read(v, rapid.IntRange(0, 3).Draw(t, "stale"))
 	case "claim":
@@ -293,34 +293,34 @@
 	case "release":
 		w.release(v, f, late)
 	case "restart":
-		if rapid.IntRange(0, 4).Draw(t, "really") == 0 {
+		if rapid.IntRange(0, 4).Draw(t, "confirm") == 0 {
 			v.k = keeper(v.id)
 		}
-	case "return":
-		if rapid.IntRange(0, 2).Draw(t, "really") == 0 {
-			w.comeBack(w.past[rapid.IntRange(0, len(w.past)-1).Draw(t, "copy")])
+	case "restore":
+		if rapid.IntRange(0, 2).Draw(t, "confirm") == 0 {
+			w.restore(w.history[rapid.IntRange(0, len(w.history)-1).Draw(t, "copy")])
 		}
 	}
 }
 
-// Two VMs give one runner orders by turns: one was frozen past its right, or a
-// write took effect late. The runner loads what one wants and evicts what the
-// other has promised to its requests.
-func TestNoTwoVMsTakeTurns(t *testing.T) {
+// Guards against two VMs that alternately send orders to one endpoint, because one was
+// suspended until its right expired or a write took effect late. The endpoint would load
+// adapters for one VM and evict adapters that requests of the other depend on.
+func TestOrdersOfTwoVMsDoNotInterleave(t *testing.T) {
 	t.Parallel()
-	usual := []string{"beat", "beat", "read", "claim", "order", "order", "restart", "release"}
+	usual := []string{"heartbeat", "heartbeat", "read", "claim", "order", "order", "restart", "release"}
 	for name, acts := range map[string][]string{
 		"one epoch":      usual,
-		"several epochs": append([]string{"return", "read", "claim"}, usual...),
+		"several epochs": append([]string{"restore", "read", "claim"}, usual...),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rapid.Check(t, func(t *rapid.T) {
-				w := newWorld(rapid.IntRange(2, 4).Draw(t, "vms"), 2)
+				w := newSimulation(rapid.IntRange(2, 4).Draw(t, "vms"), 2)
 				for range 150 {
 					w.step(t, acts)
 				}
-				if s := w.turns(); s != "" {
+				if s := w.violation(); s != "" {
 					t.Fatal(s)
 				}
 			})
