--- a/core/ggsregistry/registry.go
+++ b/core/ggsregistry/registry.go
@@ -1,23 +1,27 @@
-// Package ggsregistry decides which endpoints are on the list, also once the store has come
-// back from an older copy of itself.
+// Package ggsregistry decides which endpoints are on the list, even after the store has
+// returned from an older copy of itself.
+//
+// Its input is each reading of the endpoints' entries in the store. Its outputs are the list
+// of endpoints and the time at which the list may change without a change of the entries.
 //
 // # Usage
 //
 //	r := ggsregistry.NewRegistry()
 //	list := r.Read(now, at, entries) // each reading of the endpoints' entries
-//	due := r.Due(now)                // read again by then, whatever others saw change
+//	due := r.Due(now)                // read again by then, even if nothing changed
 //
-// Within an epoch the entries are the list. A copy lacks the entries of endpoints that came
-// up since, still has those of endpoints that are gone, and shows endpoints as ready that have
-// said that they leave. Endpoints write what was lost again within about two seconds; one that
-// is gone writes nothing. So in a new epoch
+// Within an epoch the list equals the entries. An older copy of the store lacks the entries of
+// endpoints that started after it was made, still has the entries of endpoints that were
+// removed since, and shows leaving endpoints as ready. Live endpoints write lost entries again
+// within about two seconds; removed endpoints write nothing. In a new epoch:
 //
-//   - an endpoint that was seen leaving stays so for its process;
-//   - one that is missing stays for MissingGrace;
-//   - one that was seen to be gone stays so for its process until its entry is written in the
-//     new epoch, or has outlived its process for as long as entries do.
+//   - An endpoint that was seen leaving stays marked as leaving until its process restarts.
+//   - An endpoint whose entry is missing stays on the list for MissingGrace.
+//   - An endpoint that was seen removed stays off the list until it has a new process, its
+//     entry is written in the new epoch, or its entry still exists after CopyTrust.
 //
-// The package holds no clock, no goroutine and no lock.
+// A Registry has no clock, goroutine or lock of its own; the caller passes times and
+// serializes access.
 package ggsregistry
 
 import (
@@ -28,55 +32,57 @@
 )
 
 const (
-	// MissingGrace is how long endpoints whose entries were lost stay on the list.
+	// MissingGrace is how long endpoints whose entries were lost stay on the list. Live
+	// endpoints write their entries again within about that time.
 	MissingGrace = 2 * time.Second
-	// CopyTrust is the time in a new epoch from which an entry that is still there is of a
-	// process that lives: others lapse after three heartbeats.
+	// CopyTrust is how long after the start of an epoch a copied entry may belong to a process
+	// that has ended. By then such entries have expired, after three missed heartbeats.
 	CopyTrust = 10 * time.Second
-	// goneAge is how long an endpoint that left the list is remembered. Copies are seconds old.
-	goneAge = time.Minute
+	// removalMaxAge is how long the removal of an endpoint is remembered. Copies of the store are
+	// only seconds old.
+	removalMaxAge = time.Minute
 )
 
-// An Entry is an endpoint's entry.
+// An Entry is an endpoint's entry in the store.
 type Entry struct {
 	ggscore.Instance
 	Revision ggscore.StoreRevision
 }
 
-// A Registry keeps the list of endpoints.
+// A Registry maintains the list of endpoints across epochs of the store.
 type Registry struct {
 	read  bool
 	epoch ggscore.StoreEpoch
-	// since is the first reading of the epoch, where another was known before.
-	since time.Time
-	list  map[ggscore.EndpointID]ggscore.Instance
-	// missing are the endpoints of the epoch before whose entries were not seen since.
+	// epochSince is the time of the epoch's first reading, zero in the first known epoch.
+	epochSince time.Time
+	list       map[ggscore.EndpointID]ggscore.Instance
+	// missing are the endpoints of the previous epoch whose entries weren't read since.
 	missing map[ggscore.EndpointID]ggscore.Instance
-	// copied are the revisions of the entries in the first reading of the epoch.
+	// copied are the revisions of the entries in the epoch's first reading.
 	copied map[ggscore.EndpointID]ggscore.StoreRevision
-	// leaving are the starts of processes that were seen leaving in an epoch before.
+	// leaving are the start times of processes that were seen leaving in an earlier epoch.
 	leaving map[ggscore.EndpointID]time.Time
-	gone    map[ggscore.EndpointID]departure
+	removed map[ggscore.EndpointID]removal
 }
 
-// A departure is when an endpoint's process left the list.
-type departure struct {
+// A removal records the removal of an endpoint's process from the list.
+type removal struct {
 	born time.Time
 	at   time.Time
 }
 
-// NewRegistry returns a Registry that knows no endpoint.
+// NewRegistry returns an empty Registry.
 func NewRegistry() *Registry {
-	return &Registry{leaving: map[ggscore.EndpointID]time.Time{}, gone: map[ggscore.EndpointID]departure{}}
+	return &Registry{leaving: map[ggscore.EndpointID]time.Time{}, removed: map[ggscore.EndpointID]removal{}}
 }
 
-// Read takes a reading of the entries as of a position, and returns the list.
+// Read applies a reading of the entries as of a position, and returns the list.
 func (r *Registry) Read(now time.Time, at ggscore.StorePosition, es []Entry) []ggscore.Instance {
 	if r.read && at.Epoch > r.epoch {
-		r.enter(now, es)
+		r.beginEpoch(now, es)
 	}
 	r.read, r.epoch = true, max(at.Epoch, r.epoch)
-	if !r.within(now, MissingGrace) {
+	if !r.epochYoungerThan(now, MissingGrace) {
 		clear(r.missing)
 	}
 	list := make(map[ggscore.EndpointID]ggscore.Instance, len(es))
@@ -97,13 +103,13 @@
 		list[id] = i
 		out = append(out, i)
 	}
-	r.remember(now, list)
+	r.setList(now, list)
 	return out
 }
 
-// enter begins an epoch with its first reading.
-func (r *Registry) enter(now time.Time, es []Entry) {
-	r.since, r.missing = now, maps.Clone(r.list)
+// beginEpoch starts an epoch with its first reading.
+func (r *Registry) beginEpoch(now time.Time, es []Entry) {
+	r.epochSince, r.missing = now, maps.Clone(r.list)
 	r.copied = make(map[ggscore.EndpointID]ggscore.StoreRevision, len(es))
 	for _, e := range es {
 		r.copied[e.ID] = e.Revision
@@ -115,41 +121,42 @@
 	}
 }
 
-// within reports whether the epoch has begun so lately, and another was known before.
-func (r *Registry) within(now time.Time, d time.Duration) bool {
-	return !r.since.IsZero() && now.Sub(r.since) < d
+// epochYoungerThan reports whether the epoch began less than d ago. It is false in the first
+// known epoch.
+func (r *Registry) epochYoungerThan(now time.Time, d time.Duration) bool {
+	return !r.epochSince.IsZero() && now.Sub(r.epochSince) < d
 }
 
-// staleCopy reports whether an entry is a copy's of a process that was seen to be gone.
+// staleCopy reports whether an entry was copied from before its process was seen removed.
 func (r *Registry) staleCopy(now time.Time, e Entry) bool {
-	d, ok := r.gone[e.ID]
-	return ok && d.born.Equal(e.Born) && d.at.Before(r.since) && r.copied[e.ID] == e.Revision && r.within(now, CopyTrust)
+	d, ok := r.removed[e.ID]
+	return ok && d.born.Equal(e.Born) && d.at.Before(r.epochSince) && r.copied[e.ID] == e.Revision && r.epochYoungerThan(now, CopyTrust)
 }
 
-// remember takes the list, and notes which endpoints have left it.
-func (r *Registry) remember(now time.Time, list map[ggscore.EndpointID]ggscore.Instance) {
+// setList stores the list and records the endpoints that were removed from it.
+func (r *Registry) setList(now time.Time, list map[ggscore.EndpointID]ggscore.Instance) {
 	for id, i := range r.list {
 		if _, ok := list[id]; !ok {
-			r.gone[id] = departure{born: i.Born, at: now}
+			r.removed[id] = removal{born: i.Born, at: now}
 		}
 	}
-	maps.DeleteFunc(r.gone, func(id ggscore.EndpointID, d departure) bool { return now.Sub(d.at) > goneAge })
+	maps.DeleteFunc(r.removed, func(id ggscore.EndpointID, d removal) bool { return now.Sub(d.at) > removalMaxAge })
 	maps.DeleteFunc(r.leaving, func(id ggscore.EndpointID, _ time.Time) bool {
 		_, listed := list[id]
-		_, left := r.gone[id]
-		return !listed && !left
+		_, removed := r.removed[id]
+		return !listed && !removed
 	})
 	r.list = list
 }
 
-// Due returns when the list changes though no entry does, zero for never.
+// Due returns when the list may change without a change of the entries, zero for never.
 func (r *Registry) Due(now time.Time) time.Time {
 	if len(r.missing) > 0 {
-		return r.since.Add(MissingGrace)
+		return r.epochSince.Add(MissingGrace)
 	}
-	for id, d := range r.gone {
-		if _, ok := r.copied[id]; ok && d.at.Before(r.since) && r.within(now, CopyTrust) {
-			return r.since.Add(CopyTrust)
+	for id, d := range r.removed {
+		if _, ok := r.copied[id]; ok && d.at.Before(r.epochSince) && r.epochYoungerThan(now, CopyTrust) {
+			return r.epochSince.Add(CopyTrust)
 		}
 	}
 	return time.Time{}
--- a/core/ggsregistry/registry_test.go
+++ b/core/ggsregistry/registry_test.go
@@ -20,90 +20,91 @@
 	return ggsregistry.Entry{Instance: ggscore.Instance{ID: "e", Born: time.UnixMilli(born), Leaving: leaving}, Revision: r}
 }
 
-// A reading is one of the list, some time after the start.
+// A reading is a reading of the entries at a time after the start.
 type reading struct {
 	after   time.Duration
 	at      ggscore.StorePosition
 	entries []ggsregistry.Entry
 }
 
-// Guards against endpoints that a copy of the store brings back, or takes from the list, though they said otherwise.
+// Guards against endpoints that an older copy of the store wrongly restores, shows as ready or
+// removes from the list.
 func TestListOfANewEpoch(t *testing.T) {
 	t.Parallel()
 	const (
-		back  = 10 * time.Second
-		short = back + time.Second
+		restored  = 10 * time.Second
+		laterRead = restored + time.Second
 	)
 	ready := entry(5, 1, false)
 	for name, tc := range map[string]struct {
 		readings []reading
-		// listed says that the endpoint is on the list at the end, leaving that it leaves.
+		// listed and leaving are the endpoint's expected state at the end.
 		listed, leaving bool
 	}{
-		"one epoch, leaving is taken back": {
-			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(7, 1, true)}}, {short, position(1, 12), []ggsregistry.Entry{ready}}},
+		"one epoch, leaving is revoked": {
+			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(7, 1, true)}}, {laterRead, position(1, 12), []ggsregistry.Entry{ready}}},
 			listed:   true,
 		},
 		"seen leaving, the copy says ready": {
-			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(7, 1, true)}}, {back, position(2, 6), []ggsregistry.Entry{ready}}},
+			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(7, 1, true)}}, {restored, position(2, 6), []ggsregistry.Entry{ready}}},
 			listed:   true, leaving: true,
 		},
-		"seen leaving, two returns": {
+		"seen leaving, two restores": {
 			readings: []reading{
 				{0, position(1, 9), []ggsregistry.Entry{entry(7, 1, true)}},
-				{back, position(2, 6), []ggsregistry.Entry{ready}},
-				{short, position(3, 6), []ggsregistry.Entry{ready}},
+				{restored, position(2, 6), []ggsregistry.Entry{ready}},
+				{laterRead, position(3, 6), []ggsregistry.Entry{ready}},
 			},
 			listed: true, leaving: true,
 		},
-		"seen leaving, started anew": {
-			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(7, 1, true)}}, {back, position(2, 6), []ggsregistry.Entry{entry(6, 2, false)}}},
+		"seen leaving, restarted": {
+			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(7, 1, true)}}, {restored, position(2, 6), []ggsregistry.Entry{entry(6, 2, false)}}},
 			listed:   true,
 		},
-		"seen gone, the copy has it": {
-			readings: []reading{{0, position(1, 6), []ggsregistry.Entry{ready}}, {time.Second, position(1, 9), nil}, {back, position(2, 6), []ggsregistry.Entry{ready}}},
+		"seen removed, the copy has it": {
+			readings: []reading{{0, position(1, 6), []ggsregistry.Entry{ready}}, {time.Second, position(1, 9), nil}, {restored, position(2, 6), []ggsregistry.Entry{ready}}},
 		},
-		"seen gone, its entry is written again": {
+		"seen removed, its entry is written again": {
 			readings: []reading{
 				{0, position(1, 6), []ggsregistry.Entry{ready}},
 				{time.Second, position(1, 9), nil},
-				{back, position(2, 6), []ggsregistry.Entry{ready}},
-				{short, position(2, 8), []ggsregistry.Entry{entry(8, 1, false)}},
+				{restored, position(2, 6), []ggsregistry.Entry{ready}},
+				{laterRead, position(2, 8), []ggsregistry.Entry{entry(8, 1, false)}},
 			},
 			listed: true,
 		},
-		"seen gone, started anew": {
-			readings: []reading{{0, position(1, 6), []ggsregistry.Entry{ready}}, {time.Second, position(1, 9), nil}, {back, position(2, 6), []ggsregistry.Entry{entry(5, 2, false)}}},
+		"seen removed, restarted": {
+			readings: []reading{{0, position(1, 6), []ggsregistry.Entry{ready}}, {time.Second, position(1, 9), nil}, {restored, position(2, 6), []ggsregistry.Entry{entry(5, 2, false)}}},
 			listed:   true,
 		},
-		"seen gone, its entry outlives it": {
+		"seen removed, its entry does not expire": {
 			readings: []reading{
 				{0, position(1, 6), []ggsregistry.Entry{ready}},
 				{time.Second, position(1, 9), nil},
-				{back, position(2, 6), []ggsregistry.Entry{ready}},
-				{back + ggsregistry.CopyTrust, position(2, 8), []ggsregistry.Entry{ready}},
+				{restored, position(2, 6), []ggsregistry.Entry{ready}},
+				{restored + ggsregistry.CopyTrust, position(2, 8), []ggsregistry.Entry{ready}},
 			},
 			listed: true,
 		},
 		"missing for a moment": {
-			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(8, 1, false)}}, {back, position(2, 6), nil}},
+			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(8, 1, false)}}, {restored, position(2, 6), nil}},
 			listed:   true,
 		},
 		"missing for a moment, leaving": {
-			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(8, 1, true)}}, {back, position(2, 6), nil}},
+			readings: []reading{{0, position(1, 9), []ggsregistry.Entry{entry(8, 1, true)}}, {restored, position(2, 6), nil}},
 			listed:   true, leaving: true,
 		},
 		"still missing": {
 			readings: []reading{
-				{0, position(1, 9), []ggsregistry.Entry{entry(8, 1, false)}}, {back, position(2, 6), nil}, {back + ggsregistry.MissingGrace, position(2, 8), nil},
+				{0, position(1, 9), []ggsregistry.Entry{entry(8, 1, false)}}, {restored, position(2, 6), nil}, {restored + ggsregistry.MissingGrace, position(2, 8), nil},
 			},
 		},
-		"missing, back, then gone": {
+		"missing, back, then removed": {
 			readings: []reading{
 				{0, position(1, 9), []ggsregistry.Entry{entry(8, 1, false)}},
-				{back, position(2, 6), nil},
-				{back + time.Second/2, position(2, 7), []ggsregistry.Entry{entry(7, 1, false)}},
-				{short, position(2, 8), nil},
+				{restored, position(2, 6), nil},
+				{restored + time.Second/2, position(2, 7), []ggsregistry.Entry{entry(7, 1, false)}},
+				{laterRead, position(2, 8), nil},
 			},
 		},
 	} {
@@ -123,8 +124,9 @@
 	}
 }
 
-// Guards against a VM that keeps a missing endpoint because nobody sees the list change.
-func TestListIsDueAgainWhileItMayChangeByItself(t *testing.T) {
+// Guards against a VM that keeps a missing endpoint because no change of the entries triggers
+// another reading.
+func TestDueWhileListMayChangeWithoutEntries(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	r := ggsregistry.NewRegistry()
