--- a/core/ggsepoch/tracker.go
+++ b/core/ggsepoch/tracker.go
@@ -1,28 +1,32 @@
-// Package ggsepoch decides which epoch of the platform's store is the current one, and which
-// of the store's answers count.
+// Package ggsepoch decides which epoch of the platform's store is current, and which of the
+// store's answers are valid.
+//
+// Its inputs are the epochs named by the store's answers and by peers. Its outputs are the
+// current epoch and, for each answer, whether to apply it.
 //
 // # Usage
 //
 //	t := ggsepoch.NewTracker()
 //	sent := t.Current()                  // before a call
-//	a := t.Answer(sent, named, stale)    // the epoch that its answer named
-//	if a.Late { … }                      // the answer is of an epoch that has ended
-//	if a.Changed { … }                   // a.Epoch is a new one
-//	changed := t.Learn(epoch)            // a peer knows of an epoch
+//	a := t.Answer(sent, named, stale)    // the epoch that the call's answer named
+//	if a.Late { … }                      // the answer is from an epoch that has ended
+//	if a.Changed { … }                   // a.Epoch is a new epoch
+//	changed := t.Learn(epoch)            // an epoch that a peer reports
+//
+// The store is linearizable. A call that was sent after an epoch became known can't be
+// answered from an earlier epoch, whatever epoch the answer names.
 //
-// The store is linearizable: an answer to a call that was sent once an epoch was known can't
-// be of an earlier one, whatever it names. The package holds no clock, no goroutine and no
-// lock.
+// A Tracker has no clock, goroutine or lock of its own; the caller serializes access.
 package ggsepoch
 
 import ggscore "greengageslip/core"
 
 const (
-	// MaxEpoch is the greatest epoch that is believed. Fencing numbers have epochs in their
+	// MaxEpoch is the greatest epoch that is accepted. Fencing tokens hold the epoch in their
 	// upper half.
 	MaxEpoch ggscore.StoreEpoch = 1<<31 - 1
-	// maxStep is the greatest rise that is believed: an epoch rises by one each time, and a
-	// VM may have missed some.
+	// maxStep is the greatest increase that is accepted. An epoch increases by one each time,
+	// and a VM may have missed some epochs.
 	maxStep = 1 << 16
 )
 
@@ -38,29 +42,30 @@
 	ReasonFell       Reason = "fell"
 )
 
-// An Answer is what becomes of an answer of the store.
+// An Answer says how to treat an answer of the store.
 type Answer struct {
-	// Epoch is the epoch that the answer is of.
+	// Epoch is the current epoch after the answer.
 	Epoch ggscore.StoreEpoch
 	// Changed says that the epoch wasn't known before.
 	Changed bool
-	// Late says that the answer is of an epoch that has ended: it changes nothing.
+	// Late says that the answer is from an epoch that has ended and must be discarded.
 	Late bool
 	// Ignored says why the epoch that the answer named was ignored.
 	Ignored Reason
 }
 
-// A Tracker knows the current epoch.
+// A Tracker holds the current epoch.
 type Tracker struct{ current ggscore.StoreEpoch }
 
-// NewTracker returns a Tracker that knows no epoch.
+// NewTracker returns a Tracker without a current epoch.
 func NewTracker() *Tracker { return &Tracker{} }
 
 // Current returns the current epoch, zero for none.
 func (t *Tracker) Current() ggscore.StoreEpoch { return t.current }
 
-// Answer takes the epoch that an answer named to a call that was sent when another was current.
-// A stale reading may be of an epoch that ended before it was sent.
+// Answer applies the epoch that an answer named. sent is the epoch that was current when the
+// call was sent. stale marks the answer to a stale read, which may be from an epoch that ended
+// before the call was sent.
 func (t *Tracker) Answer(sent, named ggscore.StoreEpoch, stale bool) Answer {
 	a := Answer{Epoch: t.current, Late: sent < t.current}
 	switch {
@@ -68,7 +73,7 @@
 		a.Ignored = ReasonAbsent
 	case named == ggscore.UnreadableEpoch:
 		a.Ignored = ReasonUnreadable
-	case named > t.most():
+	case named > t.maxAccepted():
 		a.Ignored = ReasonTooHigh
 	case named > t.current:
 		t.current = named
@@ -83,17 +88,18 @@
 	return a
 }
 
-// Learn takes an epoch that a peer knows, and reports whether it is new.
+// Learn applies an epoch that a peer reports, and returns whether it is new.
 func (t *Tracker) Learn(e ggscore.StoreEpoch) bool {
-	if e <= t.current || e > t.most() {
+	if e <= t.current || e > t.maxAccepted() {
 		return false
 	}
 	t.current = e
 	return true
 }
 
-// most returns the greatest epoch that is believed now. Before the first any may be.
-func (t *Tracker) most() ggscore.StoreEpoch {
+// maxAccepted returns the greatest epoch that is accepted now. The first epoch may be any up to
+// MaxEpoch.
+func (t *Tracker) maxAccepted() ggscore.StoreEpoch {
 	if t.current == 0 {
 		return MaxEpoch
 	}
--- a/core/ggsepoch/tracker_test.go
+++ b/core/ggsepoch/tracker_test.go
@@ -9,8 +9,8 @@
 	"greengageslip/core/ggsepoch"
 )
 
-// Guards against answers of an epoch that has ended, and against names of epochs that can't be.
-func TestAnswersCountByTheirEpoch(t *testing.T) {
+// Guards against the use of answers from an epoch that has ended, and against impossible epochs.
+func TestAnswersAreValidatedByEpoch(t *testing.T) {
 	t.Parallel()
 	const known = 7
 	for name, tc := range map[string]struct {
@@ -18,17 +18,17 @@
 		stale       bool
 		want        ggsepoch.Answer
 	}{
-		"same epoch":               {known, known, false, ggsepoch.Answer{Epoch: known}},
-		"next epoch":               {known, known + 1, false, ggsepoch.Answer{Epoch: known + 1, Changed: true}},
-		"several epochs on":        {known, known + 5, false, ggsepoch.Answer{Epoch: known + 5, Changed: true}},
-		"late answer":              {known - 1, known - 1, false, ggsepoch.Answer{Epoch: known, Late: true}},
-		"sent before, of this one": {known - 1, known, false, ggsepoch.Answer{Epoch: known}},
-		"sent before, names none":  {known - 1, 0, false, ggsepoch.Answer{Epoch: known, Late: true, Ignored: ggsepoch.ReasonAbsent}},
-		"names none":               {known, 0, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonAbsent}},
-		"unreadable":               {known, ggscore.UnreadableEpoch, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonUnreadable}},
-		"too high":                 {known, 1 << 30, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonTooHigh}},
-		"fell":                     {known, known - 1, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonFell}},
-		"stale reading":            {known, known - 1, true, ggsepoch.Answer{Epoch: known, Late: true}},
+		"same epoch":                   {known, known, false, ggsepoch.Answer{Epoch: known}},
+		"next epoch":                   {known, known + 1, false, ggsepoch.Answer{Epoch: known + 1, Changed: true}},
+		"several epochs later":         {known, known + 5, false, ggsepoch.Answer{Epoch: known + 5, Changed: true}},
+		"late answer":                  {known - 1, known - 1, false, ggsepoch.Answer{Epoch: known, Late: true}},
+		"sent before, from this epoch": {known - 1, known, false, ggsepoch.Answer{Epoch: known}},
+		"sent before, names none":      {known - 1, 0, false, ggsepoch.Answer{Epoch: known, Late: true, Ignored: ggsepoch.ReasonAbsent}},
+		"names none":                   {known, 0, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonAbsent}},
+		"unreadable":                   {known, ggscore.UnreadableEpoch, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonUnreadable}},
+		"too high":                     {known, 1 << 30, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonTooHigh}},
+		"decreased":                    {known, known - 1, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonFell}},
+		"stale reading":                {known, known - 1, true, ggsepoch.Answer{Epoch: known, Late: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -41,7 +41,7 @@
 	}
 }
 
-// Guards against a peer's datagram that takes a VM to an epoch which the store never reaches.
+// Guards against a peer's datagram that sets a VM to an epoch which the store never reaches.
 func TestEpochsOfPeersAreBounded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
