--- a/core/ggspath/path.go
+++ b/core/ggspath/path.go
@@ -1,12 +1,13 @@
-// Package ggspath finds the route of a request by its host and path.
+// Package ggspath selects the route of a request by its host and path, and a service of the
+// route by weight.
 //
 // # Usage
 //
 //	t := ggspath.NewTable(config)
 //	r := t.Find("calls.example", "/deposits/release")
-//	s := t.Pick(r, rand.Float64())
+//	s := ggspath.Pick(r, rand.Float64())
 //
-// A Table is immutable, so any number of goroutines may use it.
+// A Table is immutable and safe for concurrent use.
 package ggspath
 
 import (
@@ -17,10 +18,10 @@
 	ggscore "greengageslip/core"
 )
 
-// A Table holds the routes of a configuration.
+// A Table is a lookup table for the routes of a configuration.
 type Table struct {
 	Config *ggscore.RoutingConfig
-	// hosts has each host's routes, longest prefix first.
+	// hosts maps lower-case hosts to their routes, longest prefix first.
 	hosts map[string][]*ggscore.Route
 }
 
@@ -38,8 +39,8 @@
 	return t
 }
 
-// Find returns the route of the host whose prefix is the longest that begins
-// the path, or nil.
+// Find returns the host's route with the longest prefix of the path, nil for none. The host may
+// include a port and is matched case-insensitively.
 func (t *Table) Find(host, path string) *ggscore.Route {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// Pick returns the service that a draw between 0 and 1 falls on by the
-// weights of the route's targets.
+// Pick selects one of the route's targets in proportion to their weights, by a random number
+// draw between 0 and 1. It returns the target's service, empty if the route has no targets.
 func Pick(r *ggscore.Route, draw float64) ggscore.Service {
 	total := 0
 	for _, g := range r.Targets {
