--- a/core/claim.go
+++ b/core/claim.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// A ClaimID names one claim of an idempotency key. It is unique for ever.
+// A ClaimID identifies one claim of an idempotency key. It is never reused.
 type ClaimID string
 
-// A ClaimAnswer says what a request for a claim met.
+// A ClaimAnswer is the result of a request for a claim.
 type ClaimAnswer int
 
 // The answers to a request for a claim.
 const (
-	// ClaimGranted means that the caller, and nobody else, may dispatch.
+	// ClaimGranted means that only the caller may dispatch the request.
 	ClaimGranted ClaimAnswer = iota
-	// ClaimReplay means that the key's request ended with Result.
+	// ClaimReplay means that the key's request has ended with Result.
 	ClaimReplay
 	// ClaimInProgress means that another holds the claim.
 	ClaimInProgress
-	// ClaimReused means that the key came with another body before.
+	// ClaimReused means that the key was used with another body before.
 	ClaimReused
-	// ClaimExpired means that the key is too old to tell whether it ran.
+	// ClaimExpired means that the key is too old to know whether its request ran.
 	ClaimExpired
 )
 
@@ -31,12 +31,12 @@
 	Key    IdempotencyKey
 	// Body is the digest of operation and body.
 	Body Digest
-	// Issued is when the caller made the key, or zero where the key's text says
-	// it. Where the text doesn't, it is part of the key: repeats carry the same.
+	// Issued is when the caller created the key, zero if the key's text contains the time. A
+	// non-zero Issued is part of the key, so retries carry the same value.
 	Issued time.Time
-	// FirstSend is the caller's word that it never sent the key before. Without
-	// it a refusal for want of the platform's service can't say "not run",
-	// since an earlier sending may have run.
+	// FirstSend is the caller's assertion that it never sent the key before. Without it, a
+	// refusal because the platform's service is unavailable can't say "not run", since an
+	// earlier attempt may have run.
 	FirstSend bool
 }
 
@@ -45,38 +45,37 @@
 	Answer ClaimAnswer
 	ID     ClaimID
 	Result ClaimResult
-	// Before is when a granted claim may no longer be dispatched. Every copy of
-	// the request carries it, so that no late copy outlives its key.
+	// Before is the time from which a granted claim may no longer be dispatched. Every copy of
+	// the request carries it, so that no late copy is dispatched after its key has expired.
 	Before time.Time
 }
 
-// A ClaimResult is what is recorded of a request that has ended. An outcome
-// of notRun releases the key.
+// A ClaimResult is the recorded result of a request that has ended. The outcome notRun releases
+// the key.
 type ClaimResult struct {
 	Outcome     Outcome
 	Status      int
 	ContentType string
-	// Body is the answer where it was small enough; Whole says so.
+	// Body is the answer's body if it was small enough to record. Whole says that it was.
 	Body  []byte
 	Whole bool
 }
 
-// A Claimer records the claims of idempotency keys in one place for all
-// regions. A failure of Begin means that the claim isn't held and that nothing
-// may be dispatched; it is a *Failure to answer with, or wraps one. Finish
-// doesn't wait for the record.
+// A Claimer records the claims of idempotency keys in one place for all regions. An error from
+// Begin means that the claim isn't held and that nothing may be dispatched; it is or wraps a
+// *Failure to answer with. Finish doesn't wait until the result is recorded.
 type Claimer interface {
 	Begin(ctx context.Context, r ClaimRequest) (ClaimDecision, error)
 	Finish(ctx context.Context, id ClaimID, r ClaimResult) error
 }
 
-// An OwnerGuard checks, immediately before an order or a dispatch is written,
-// that this process may still give it. It returns the fencing number to send.
+// An OwnerGuard checks, immediately before an order or a dispatch is written to a connection,
+// that this process may still send it. It returns the fencing token to send.
 type OwnerGuard interface {
 	Check(now time.Time, id EndpointID, a AdapterRef, k OrderKind) (FenceNumber, error)
 }
 
-// A ReportObserver is told of runners' reports.
+// A ReportObserver receives runners' reports.
 type ReportObserver interface {
 	Observe(r RunnerReport)
 }
--- a/core/doc.go
+++ b/core/doc.go
@@ -1,5 +1,5 @@
-// Package ggscore holds the domain of greengageslip: its types, its typed
-// errors and the interfaces that the other libraries implement.
+// Package ggscore defines the domain of greengageslip: its types, its typed errors and the
+// interfaces that the other libraries implement.
 //
 // # Usage
 //
@@ -7,8 +7,7 @@
 //	key := ggscore.KeyOf("section", "market/cr")
 //	var store ggscore.Store = ggsplatform.NewClient(addr)
 //
-// Domain types carry no codec tags: the packages below greengageslip/io map
-// them by hand to their wire forms. Decisions stand in packages below this
-// one; they are pure, so the time and all events come in as arguments and
-// orders come out.
+// Domain types carry no codec tags: the packages below greengageslip/io map them by hand to
+// their wire formats. The packages below this one make the decisions. They are pure: they take
+// the time and all events as arguments and return the actions to perform.
 package ggscore
--- a/core/document.go
+++ b/core/document.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// A Revision numbers accepted states of the whole document. It only grows.
+// A Revision numbers the accepted states of the whole document. It never decreases.
 type Revision uint64
 
 // A SectionName names a section of the document, such as "market/cr".
 type SectionName string
 
-// A Digest is a SHA-256 of a section's text.
+// A Digest is a SHA-256 digest, such as that of a section's text.
 type Digest [32]byte
 
 // A Document is the operators' document in one accepted state. It is
@@ -25,14 +25,15 @@
 	Name Service
 	Kind ServiceKind
 	Base BaseModel
-	// Slots, AdapterSlots and ChecksFence describe each of its endpoints.
+	// Slots, AdapterSlots and ChecksFence describe each endpoint of the service, as the fields
+	// of Endpoint do.
 	Slots        int
 	AdapterSlots int
 	ChecksFence  bool
 	Operations   map[string]OperationSpec
 }
 
-// An OperationSpec describes a call of a plain service.
+// An OperationSpec describes an operation of a plain service.
 type OperationSpec struct {
 	Name          string
 	Operation     Operation
@@ -42,13 +43,13 @@
 // A MarketSpec is the section of one market.
 type MarketSpec struct {
 	Name Market
-	// Weight is its share when markets compete.
+	// Weight is the market's relative share when markets compete for capacity.
 	Weight int
-	// RequestsPerSecond and Burst limit it; zero means no limit.
+	// RequestsPerSecond and Burst limit the market's requests; zero means no limit.
 	RequestsPerSecond float64
 	Burst             int
 	Adapters          map[string]AdapterSpec
-	// Uses says how the market uses each service.
+	// Uses defines how the market uses each service.
 	Uses map[Service]UseSpec
 }
 
@@ -57,34 +58,33 @@
 	Name     string
 	Base     BaseModel
 	Versions []Version
-	// Current is the version that a request gets that names none.
+	// Current is the version for requests that name none.
 	Current Version
 }
 
-// A UseSpec says how a market uses a service.
+// A UseSpec defines how a market uses a service.
 type UseSpec struct {
 	Priority Priority
-	// Deadline bounds the wait for an answer's first byte.
+	// Deadline bounds the time until an answer's first byte.
 	Deadline time.Duration
-	// Deferrable is the wait allowed for a fuller batch.
+	// Deferrable is how long a request may wait for a fuller batch.
 	Deferrable time.Duration
 }
 
-// A PolicySpec sets what spans the deployment.
+// A PolicySpec holds the settings of the whole deployment.
 type PolicySpec struct {
-	// StallWeight moves the policy between short load stalls (1) and full
-	// batches (0).
+	// StallWeight, from 0 to 1, trades full batches (0) for short load stalls (1).
 	StallWeight float64
 	// LoadsPerSecond, LoadsAtFullSpeed and LoadsInTransit are the weight
 	// store's limits for the whole deployment.
 	LoadsPerSecond   float64
 	LoadsAtFullSpeed int
 	LoadsInTransit   int
-	// LoadTime is how long a load takes at full speed.
+	// LoadTime is the duration of a load at full speed.
 	LoadTime time.Duration
-	// CrossRegionPrice is the stall that a crossing of regions must save.
+	// CrossRegionPrice is the minimum stall that sending a request to another region must save.
 	CrossRegionPrice time.Duration
-	// CrossRegionBytesPerSecond bounds traffic between regions.
+	// CrossRegionBytesPerSecond bounds the traffic between regions.
 	CrossRegionBytesPerSecond float64
 	// KeyRetention is how long idempotency keys are kept.
 	KeyRetention time.Duration
--- a/core/endpoint.go
+++ b/core/endpoint.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A VMRole says what runs on a VM.
+// A VMRole is the kind of process on a VM.
 type VMRole int
 
 // The roles of VMs.
@@ -14,7 +14,7 @@
 	RoleEndpoint
 )
 
-// A VMState is a VM's state on the platform's list.
+// A VMState is a VM's state in the platform's list.
 type VMState int
 
 // The states of VMs.
@@ -23,9 +23,9 @@
 	VMLeaving
 )
 
-// A VM is an entry on the platform's lagging list. For an entry VM, Addr is
-// the control address of its dispatcher; for an endpoint it is the address
-// that serves requests, and Service names what it serves.
+// A VM is an entry in the platform's list of VMs, which is updated with a delay. For an entry VM,
+// Addr is the control address of its dispatcher. For an endpoint, Addr is the address that
+// serves requests, and Service names the service.
 type VM struct {
 	ID      VMID
 	Role    VMRole
@@ -36,7 +36,7 @@
 	Service Service
 }
 
-// A ServiceKind separates model engines from plain services.
+// A ServiceKind distinguishes model services from plain services.
 type ServiceKind int
 
 // The kinds of services.
@@ -53,12 +53,12 @@
 	Region  Region
 	Domain  Domain
 	Addr    netip.AddrPort
-	// Slots is the number of requests that it serves at once (an engine's
-	// batch size).
+	// Slots is the number of requests that the endpoint serves at once (an engine's batch
+	// size).
 	Slots int
 	// AdapterSlots is the number of adapters that a runner holds at once.
 	AdapterSlots int
-	// ChecksFence says that it refuses orders with an old fencing number.
+	// ChecksFence says that the endpoint refuses orders with an old fencing token.
 	ChecksFence bool
 	Leaving     bool
 }
@@ -69,7 +69,7 @@
 	Running int
 }
 
-// A RunnerReport is what a runner says of itself. It lags.
+// A RunnerReport is a runner's status report. It may be out of date.
 type RunnerReport struct {
 	Endpoint EndpointID
 	// Incarnation changes whenever the engine restarts.
--- a/core/errors.go
+++ b/core/errors.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// A BadAdapterRefError says that a text names no adapter.
+// A BadAdapterRefError says that a text isn't a valid adapter reference.
 type BadAdapterRefError struct{ Text string }
 
 // Error implements error.
@@ -13,8 +13,8 @@
 	return fmt.Sprintf("bad adapter reference %q: want name or name@version", e.Text)
 }
 
-// A ConflictError says that a compare-and-swap met another revision. Nothing
-// was written.
+// A ConflictError says that a compare-and-swap failed because the key is at another revision.
+// Nothing was written.
 type ConflictError struct {
 	Key  Key
 	Want StoreRevision
@@ -23,11 +23,11 @@
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("conflict on %s: revision %d, expected %d", e.Key, e.Have, e.Want)
+	return fmt.Sprintf("write of %s refused: key is at revision %d, expected %d", e.Key, e.Have, e.Want)
 }
 
-// An AmbiguousWriteError says that a write's answer was lost: it may have
-// taken effect, or may yet do so.
+// An AmbiguousWriteError says that a write's answer was lost. The write may have taken effect,
+// or may still do so.
 type AmbiguousWriteError struct {
 	Key   Key
 	Cause error
@@ -35,14 +35,14 @@
 
 // Error implements error.
 func (e *AmbiguousWriteError) Error() string {
-	return fmt.Sprintf("write of %s is ambiguous: %v", e.Key, e.Cause)
+	return fmt.Sprintf("write of %s not acknowledged and may have taken effect: %v", e.Key, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *AmbiguousWriteError) Unwrap() error { return e.Cause }
 
-// A StoreAwayError says that the platform's service did not take a call. The
-// call had no effect.
+// A StoreAwayError says that the platform's service was unavailable for a call. The call had no
+// effect.
 type StoreAwayError struct{ Cause error }
 
 // Error implements error.
@@ -53,12 +53,14 @@
 // Unwrap returns the cause.
 func (e *StoreAwayError) Unwrap() error { return e.Cause }
 
-// A StoreBusyError says that the platform's service refused a call for its
-// rate. The call had no effect.
+// A StoreBusyError says that the platform's service refused a call because its rate limit was
+// exceeded. The call had no effect.
 type StoreBusyError struct{}
 
 // Error implements error.
-func (e *StoreBusyError) Error() string { return "platform service over its rate" }
+func (e *StoreBusyError) Error() string {
+	return "platform service refused the call: rate limit exceeded"
+}
 
 // A LeaseLapsedError says that a lease is no longer held.
 type LeaseLapsedError struct {
@@ -69,11 +71,11 @@
 
 // Error implements error.
 func (e *LeaseLapsedError) Error() string {
-	return fmt.Sprintf("lease %d of %s with fencing number %d lapsed", e.Lease, e.Owner, e.Fence)
+	return fmt.Sprintf("lease %d of %s with fencing token %d has expired", e.Lease, e.Owner, e.Fence)
 }
 
-// A FencedError says that an endpoint refused an order because it has seen a
-// greater fencing number.
+// A FencedError says that an endpoint refused an order because the endpoint has seen a greater
+// fencing token.
 type FencedError struct {
 	Have FenceNumber
 	Seen FenceNumber
@@ -81,11 +83,11 @@
 
 // Error implements error.
 func (e *FencedError) Error() string {
-	return fmt.Sprintf("fencing number %d refused: endpoint has seen %d", e.Have, e.Seen)
+	return fmt.Sprintf("order with fencing token %d refused: endpoint has seen %d", e.Have, e.Seen)
 }
 
-// An AmbiguousOrderError says that an order to an endpoint may have taken
-// effect, or may yet do so.
+// An AmbiguousOrderError says that an order to an endpoint may have taken effect, or may still
+// do so.
 type AmbiguousOrderError struct {
 	Addr  netip.AddrPort
 	Cause error
@@ -93,14 +95,13 @@
 
 // Error implements error.
 func (e *AmbiguousOrderError) Error() string {
-	return fmt.Sprintf("order to %s is ambiguous: %v", e.Addr, e.Cause)
+	return fmt.Sprintf("order to %s not acknowledged and may have taken effect: %v", e.Addr, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *AmbiguousOrderError) Unwrap() error { return e.Cause }
 
-// An OrderRefusedError says that an endpoint refused an order, which had no
-// effect.
+// An OrderRefusedError says that an endpoint refused an order. The order had no effect.
 type OrderRefusedError struct {
 	Addr   netip.AddrPort
 	Status int
@@ -112,9 +113,9 @@
 	return fmt.Sprintf("order refused by %s with status %d: %s", e.Addr, e.Status, e.Detail)
 }
 
-// A CallError says that a call of an endpoint failed. NotSent is set only
-// where no byte of the request can have reached the endpoint, or where the
-// endpoint itself answered that it did not run the request.
+// A CallError says that a call to an endpoint failed. NotSent is set only if no byte of the
+// request can have reached the endpoint, or if the endpoint itself answered that it did not run
+// the request.
 type CallError struct {
 	Addr    netip.AddrPort
 	NotSent bool
@@ -124,13 +125,13 @@
 
 // Error implements error.
 func (e *CallError) Error() string {
-	return fmt.Sprintf("call of %s failed (%s, notSent=%t): %v", e.Addr, e.Kind, e.NotSent, e.Cause)
+	return fmt.Sprintf("call to %s failed (%s, notSent=%t): %v", e.Addr, e.Kind, e.NotSent, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Outcome returns what is known of the request's run.
+// Outcome returns whether the request is known not to have run.
 func (e *CallError) Outcome() Outcome {
 	if e.NotSent {
 		return OutcomeNotRun
--- a/core/heartbeat.go
+++ b/core/heartbeat.go
@@ -2,52 +2,54 @@
 
 import "time"
 
-// A Heartbeat is what a VM tells its peers of itself and of its requests.
+// A Heartbeat is the state of a VM and its requests that the VM sends to its peers by gossip.
 type Heartbeat struct {
 	VM VMID
-	// Sequence numbers the heartbeats of one process, whose start is Started.
+	// Sequence numbers the heartbeats of one process. Started is the process's start.
 	Sequence uint64
 	Started  int64
-	// Relay says how far the receiver passes the heartbeat on.
+	// Relay says how far the receiver relays the heartbeat.
 	Relay Relay
-	// Carrier is the relay that counts what is told once: ends of requests, uses and
-	// samples. It is empty where each receiver does.
+	// Carrier is the relay that counts what is sent only once: ends of requests, uses and
+	// samples. It is empty if each receiver counts them itself.
 	Carrier VMID
 	News    News
-	// InFlight has the endpoints with requests of the VM, or whose requests ended since
-	// its last heartbeat.
+	// InFlight has the endpoints with requests of the VM in flight, or with requests that
+	// ended since the VM's last heartbeat.
 	InFlight []InFlight
 	Holdings []Holding
 	Uses     []Use
-	// Samples and Tallies tell how endpoints read.
+	// Samples and Tallies measure how endpoints process prompts.
 	Samples []TurnSample
 	Tallies []TurnTally
-	// Modes say whether prompts wait, by the VM.
+	// Modes are the VM's decisions whether prompts wait for each other.
 	Modes []TurnMode
-	// Limits are the rate limits that endpoints named or lifted lately.
+	// Limits are the rate limits that endpoints recently announced or lifted.
 	Limits []EndpointLimit
-	// Departures are the endpoints that said in answers that they leave.
+	// Departures are the endpoints that announced in answers that they leave.
 	Departures []Departure
 }
 
-// A News says how far the store was read.
+// A News describes the state of the store that a VM has read.
 type News struct {
-	// Epoch is the store's epoch that the VM knows.
+	// Epoch is the current store epoch that the VM knows.
 	Epoch StoreEpoch
-	// ListedAt and OperatedAt are the points in the store's history by which the list of
-	// endpoints and the operators' entries were seen to change last.
+	// ListedAt and OperatedAt are the positions of the last changes that were read in the list
+	// of endpoints and in the operators' entries.
 	ListedAt   StorePosition
 	OperatedAt StorePosition
-	// ListAge and OperatorsAge are the times since they were read.
+	// ListAge and OperatorsAge are the times since the list and the entries were last read.
 	ListAge      time.Duration
 	OperatorsAge time.Duration
-	// Config is the version of the configuration in force, Versions the sum of those of
-	// adapters: they may be greater than the store's, which may have lost the newest.
+	// Config is the version of the configuration in use, and Versions is the sum of the
+	// adapters' versions. Both may be greater than in the store, which may have lost the
+	// newest.
 	Config   uint64
 	Versions uint64
 }
 
-// Merge returns the newest of two readings. Ages are those of readings in the newer epoch.
+// Merge combines the newest values of two VMs. The ages are those of readings in the newer
+// epoch.
 func (n News) Merge(o News) News {
 	if n.Epoch < o.Epoch {
 		n, o = o, n
@@ -64,14 +66,14 @@
 	return m
 }
 
-// Aged returns the reading after some time has passed.
+// Aged returns n with its ages increased by d.
 func (n News) Aged(d time.Duration) News {
 	n.ListAge, n.OperatorsAge = n.ListAge+d, n.OperatorsAge+d
 	return n
 }
 
-// An InFlight is the number of requests at an endpoint, and how many have ended and
-// failed there since it was last told.
+// An InFlight is the number of requests in flight at an endpoint, and the numbers of requests
+// that have ended and failed there since the previous heartbeat or summary.
 type InFlight struct {
 	Endpoint EndpointID
 	Count    int
@@ -79,20 +81,20 @@
 	Failed   int
 }
 
-// A Holding is what an endpoint holds by the word of its controller.
+// A Holding is the set of adapters that an endpoint holds, as reported by its owner.
 type Holding struct {
 	Endpoint EndpointID
-	// Held is what the endpoint holds, where Whole says that it is told.
+	// Held are the adapters that the endpoint holds. It is only valid if Whole is set.
 	Held  []AdapterVersion
 	Whole bool
-	// Waiting is the number of adapters that wait to be loaded there, Room that of
-	// those that would find a place at once.
+	// Waiting is the number of adapters that wait to be loaded, and Room is the number of
+	// further adapters that could be loaded at once.
 	Waiting int
 	Room    int
 }
 
-// A Use is an adapter at an endpoint that requests use. Count is the number of those
-// sent since it was last told, Active says that some are under way.
+// A Use is an adapter at an endpoint that requests use. Count is the number of such requests
+// sent since the previous heartbeat or summary, and Active says that some are in flight.
 type Use struct {
 	Endpoint EndpointID
 	Target   ModelAdapter
@@ -100,27 +102,27 @@
 	Active   bool
 }
 
-// A Demand is the number of requests for an adapter since it was last told.
+// A Demand is the number of requests for an adapter since the previous summary.
 type Demand struct {
 	Target ModelAdapter
 	Count  int
 }
 
-// A Summary sums up the heartbeats of a failure domain, or of all for Fleet.
+// A Summary aggregates the heartbeats of a failure domain, or of all domains if Fleet is set.
 type Summary struct {
-	// From is the relay that made it, Sequence numbers those of its process, whose start
-	// is Started.
+	// From is the relay that made the summary. Sequence numbers the summaries of the relay's
+	// process, and Started is the process's start.
 	From   VMID
 	Domain Domain
 	Fleet  bool
-	// Settling says that the relay has become one so lately that heartbeats or summaries
+	// Settling says that the relay took over its role so recently that heartbeats or summaries
 	// may be missing from its counts.
 	Settling bool
 	Sequence uint64
 	Started  int64
 	News     News
-	// Included has the newest heartbeats of the domain's VMs that are counted. Live are
-	// the VMs whose heartbeats arrive, where LiveWhole says that they are told.
+	// Included has the newest counted heartbeat of each VM of the domain. Live are the VMs
+	// whose heartbeats arrive; it is only valid if LiveWhole is set.
 	Included  []IncludedHeartbeat
 	Live      []VMHash
 	LiveWhole bool
@@ -130,18 +132,19 @@
 	Demand    []Demand
 	Samples   []TurnSample
 	Tallies   []TurnTally
-	// Modes are those of Decider, the first of the VMs.
+	// Modes are the modes of Decider, the first of the VMs.
 	Decider VMID
 	Modes   []TurnMode
 	Limits  []EndpointLimit
-	// Departures are the endpoints that said in answers that they leave.
+	// Departures are the endpoints that announced in answers that they leave.
 	Departures []Departure
 }
 
-// A VMHash stands for a VM in summaries, which name hundreds.
+// A VMHash identifies a VM in summaries. It is shorter than a VMID because a summary lists
+// hundreds of VMs.
 type VMHash uint32
 
-// An IncludedHeartbeat is a heartbeat that a summary counts.
+// An IncludedHeartbeat identifies a heartbeat that a summary counts.
 type IncludedHeartbeat struct {
 	VM       VMHash
 	Sequence uint64
--- a/core/heartbeat_test.go
+++ b/core/heartbeat_test.go
@@ -9,7 +9,7 @@
 	ggscore "greengageslip/core"
 )
 
-// Guards against a list that counts as read lately because a VM read it in an epoch that has ended.
+// Guards against a list that counts as recently read because a VM read it in an earlier epoch.
 func TestAgesAreOfTheNewerEpoch(t *testing.T) {
 	t.Parallel()
 	old := ggscore.News{Epoch: 1, ListAge: time.Second, OperatorsAge: time.Second, Config: 7}
--- a/core/instance.go
+++ b/core/instance.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// An Instance is an endpoint as it describes itself. The description lags.
+// An Instance is an endpoint's description of itself. It may be out of date.
 type Instance struct {
 	ID      EndpointID
 	Service Service
@@ -15,21 +15,21 @@
 	Addr    netip.AddrPort
 	Slots   int
 	Leaving bool
-	// Born is when the process started. An instance that starts again under
-	// its old identity knows nothing of before.
+	// Born is when the process started. An instance that restarts under its old identity has
+	// lost its previous state.
 	Born time.Time
 	// Sequence counts the orders that the instance has accepted since Born.
 	Sequence uint64
 	Models   []ResidentModel
 }
 
-// A ResidentModel is a base model on an instance with the adapters beside it.
+// A ResidentModel is a base model on an instance with its resident adapters.
 type ResidentModel struct {
 	Name     BaseModel
 	Adapters []ResidentVersion
 }
 
-// A ResidentVersion is an adapter of an instance in one version.
+// A ResidentVersion is an adapter on an instance in one version.
 type ResidentVersion struct {
 	Adapter string
 	Version uint64
@@ -50,87 +50,85 @@
 	return string(m.Model) + "/" + m.Adapter
 }
 
-// A RequestMeta is what a caller says of its request beside method, path and
-// body.
+// A RequestMeta is the metadata of a caller's request, read from its headers.
 type RequestMeta struct {
 	ID RequestID
-	// Deadline is how long the caller waits, zero where it didn't say.
+	// Deadline is how long the caller waits, zero if unknown.
 	Deadline time.Duration
 	Model    ModelAdapter
-	// PromptTokens is the size of the prompt, zero where the caller didn't say.
+	// PromptTokens is the size of the prompt, zero if unknown.
 	PromptTokens int
 }
 
-// A ForwardMeta is what the system adds to a request that it passes on.
+// A ForwardMeta is the metadata that the system adds to a forwarded request.
 type ForwardMeta struct {
 	Endpoint EndpointID
-	// Left is the time that is left for the answer.
+	// Left is the remaining time for the answer.
 	Left time.Duration
-	// Version is the adapter's version that has to answer, zero for any.
+	// Version is the adapter version that must serve the request, zero for any.
 	Version uint64
-	// Priority is the route's; an endpoint serves a lower number first.
+	// Priority is the route's priority; an endpoint serves lower numbers first.
 	Priority Priority
 }
 
-// A LoadReport is what an instance says of its load in an answer.
+// A LoadReport is an instance's load as reported in an answer.
 type LoadReport struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// An AnswerMeta is what an instance says beside status and body.
+// An AnswerMeta is the metadata of an instance's answer, read from its headers.
 type AnswerMeta struct {
 	Request RequestID
-	// Signed says that the answer bears the mark of an instance's own work.
+	// Signed says that the answer's headers show that an instance itself produced the answer.
 	Signed bool
 	// NotRun says that the instance did not run the request and never will.
 	NotRun bool
-	// Load is nil where the instance didn't tell it.
+	// Load is nil if the answer doesn't report it.
 	Load *LoadReport
-	// Limit is nil where the instance names none.
+	// Limit is nil if the answer doesn't report one.
 	Limit *RateLimit
 	// Leaving says that the instance is about to stop.
 	Leaving bool
-	// RetryAfter is how long an instance that refused wants nothing from this VM, zero where
-	// it didn't say.
+	// RetryAfter is how long this VM should send no requests after a refusal, zero if unknown.
 	RetryAfter time.Duration
 }
 
-// A RateLimit is what an instance takes from all VMs together for as long as its
-// answers name it.
+// A RateLimit is the request rate that an instance accepts from all VMs together. It applies for
+// as long as the instance's answers report it.
 type RateLimit struct{ RequestsPerSecond float64 }
 
-// An EndpointLimit is what an endpoint said last of its rate limit.
+// An EndpointLimit is the rate limit that an endpoint last reported.
 type EndpointLimit struct {
 	Endpoint EndpointID
-	// Limit is nil where the endpoint no longer names one.
+	// Limit is nil if the endpoint no longer reports one.
 	Limit *RateLimit
-	// Age is the time since it said so.
+	// Age is the time since the endpoint's report.
 	Age time.Duration
 }
 
-// A Departure is an endpoint that said in an answer that it leaves, whatever its entry says.
+// A Departure is an endpoint that announced in an answer that it leaves. It takes precedence over
+// the endpoint's entry.
 type Departure struct {
 	Endpoint EndpointID
-	// Born tells its process from others under the same identity.
+	// Born distinguishes the endpoint's process from others under the same identity.
 	Born time.Time
 }
 
-// An EndpointThrottle says whether this VM may send to endpoints that name a rate limit.
+// An EndpointThrottle decides whether this VM may send requests to endpoints with a rate limit.
 type EndpointThrottle interface {
-	// Limit returns the limit that an endpoint names, nil for none.
+	// Limit returns the endpoint's rate limit, nil for none.
 	Limit(id EndpointID) *RateLimit
 	Allows(now time.Time, id EndpointID) bool
 	// Wait returns the time until a request may be sent.
 	Wait(now time.Time, id EndpointID) time.Duration
 }
 
-// A Dialect reads and writes the headers that callers, the system and
-// instances understand.
+// A Dialect translates between headers and metadata for callers, the system and instances.
 type Dialect interface {
 	Request(h http.Header) RequestMeta
-	// Forward returns the headers to pass on.
+	// Forward returns the headers of the forwarded request.
 	Forward(h http.Header, f ForwardMeta) http.Header
 	Answer(status int, h http.Header) AnswerMeta
 }
@@ -143,61 +141,59 @@
 	Target   ModelAdapter
 	// Version is the adapter's version, zero for the newest.
 	Version uint64
-	// Expected is the number of orders that the instance has to have accepted
-	// before this one. An order that is carried out late does nothing once
-	// another was accepted.
+	// Expected is the number of orders that the instance must have accepted before this one.
+	// An order that arrives late has no effect once the instance has accepted another one.
 	Expected uint64
 	Holder   VMID
 	Fence    FenceNumber
 }
 
-// A PlacementAnswer says what an instance answered to an order.
+// A PlacementAnswer is an instance's answer to an order.
 type PlacementAnswer int
 
 // The answers to orders.
 const (
-	// PlacementUnknown means that no answer came: the order may be carried out,
-	// also later. It is the zero value, the careful one.
+	// PlacementUnknown means that no answer arrived. The order may have been executed, or may
+	// still be. It is the zero value because it is the safe assumption.
 	PlacementUnknown PlacementAnswer = iota
-	// PlacementAccepted means that the order is being carried out.
+	// PlacementAccepted means that the order is being executed.
 	PlacementAccepted
-	// PlacementHolds means that what the order asks for is so already.
+	// PlacementHolds means that the instance is already in the ordered state.
 	PlacementHolds
-	// PlacementConflict means that the instance has accepted other orders than
-	// expected, or is busy with one.
+	// PlacementConflict means that the number of accepted orders differs from the expected
+	// one, or that the instance is executing another order.
 	PlacementConflict
-	// PlacementFenced means that a newer holder has given orders.
+	// PlacementFenced means that a newer holder has sent orders.
 	PlacementFenced
 	// PlacementMisdirected means that another instance has the address.
 	PlacementMisdirected
-	// PlacementRefused means that the order can't be carried out.
+	// PlacementRefused means that the order can't be executed.
 	PlacementRefused
 )
 
-// An InstanceStatus is an instance's report on itself, some 100 ms old.
+// An InstanceStatus is an instance's report on itself. It is some 100 ms old.
 type InstanceStatus struct {
 	Sequence uint64
 	Models   []ResidentModel
-	// Coming lists adapters on their way to the instance.
+	// Coming are the adapters in transit to the instance.
 	Coming []ModelAdapter
 }
 
-// An InstanceOrderer gives orders to instances and asks for their status.
+// An InstanceOrderer sends orders to instances and requests their status.
 type InstanceOrderer interface {
 	Order(ctx context.Context, o PlacementOrder) (PlacementAnswer, error)
 	Status(ctx context.Context, id EndpointID, addr netip.AddrPort) (InstanceStatus, error)
 }
 
-// An AdapterVersion names the version of an adapter that requests have to
-// begin on.
+// An AdapterVersion is an adapter in the version that requests have to start on.
 type AdapterVersion struct {
 	Target  ModelAdapter
 	Version uint64
 }
 
-// An AdapterDemand tells how much an adapter is asked for.
+// An AdapterDemand estimates the demand for adapters.
 type AdapterDemand interface {
-	// Missed returns the requests a second that would miss the adapter if the
-	// endpoint gave it up. It only compares adapters with each other.
+	// Missed returns the rate of requests, per second, that would miss the adapter if the
+	// endpoint evicted it. It is only meaningful in comparison with other adapters.
 	Missed(now time.Time, id EndpointID, a ModelAdapter) float64
 }
--- a/core/lease.go
+++ b/core/lease.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// A FenceNumber orders the owners of an endpoint: a later owner's is greater.
+// A FenceNumber is a fencing token. Each later owner of an endpoint has a greater one.
 type FenceNumber uint64
 
-// A Lease is an ownership as its holder knows it. Expires is on the holder's
-// monotonic clock and already less the margin for the platform's clock.
+// A Lease is an ownership as its holder knows it. Expires is on the holder's monotonic clock,
+// with the margin for the platform's clock already subtracted.
 type Lease struct {
 	Owner   VMID
 	Fence   FenceNumber
--- a/core/names.go
+++ b/core/names.go
@@ -12,8 +12,7 @@
 // cut off together.
 type Domain string
 
-// A Region names a part of the deployment. Traffic between regions is bounded
-// and has a price.
+// A Region names a region of the deployment. Traffic between regions is limited and has a cost.
 type Region string
 
 // A VMID names a VM.
@@ -22,10 +21,10 @@
 // An EndpointID names an endpoint: a runner or a plain service's instance.
 type EndpointID string
 
-// A RequestID names one request inside the system. It is unique for ever.
+// A RequestID identifies one request inside the system. It is never reused.
 type RequestID string
 
-// A BaseModel names what a runner serves and an adapter is made for.
+// A BaseModel names a base model that runners serve and adapters extend.
 type BaseModel string
 
 // A Version names an immutable version of an adapter.
@@ -37,7 +36,7 @@
 	Version Version
 }
 
-// ParseAdapterRef parses "name@version"; the version may be missing.
+// ParseAdapterRef parses "name" or "name@version".
 func ParseAdapterRef(s string) (AdapterRef, error) {
 	n, v, found := strings.Cut(s, "@")
 	if n == "" || (found && v == "") || strings.Contains(v, "@") {
@@ -46,10 +45,10 @@
 	return AdapterRef{Name: n, Version: Version(v)}, nil
 }
 
-// IsZero reports whether r names nothing.
+// IsZero reports whether r is the zero reference.
 func (r AdapterRef) IsZero() bool { return r == AdapterRef{} }
 
-// String returns "name@version", or the name alone where no version is set.
+// String returns "name@version", or the name alone if no version is set.
 func (r AdapterRef) String() string {
 	if r.Version == "" {
 		return r.Name
--- a/core/policy.go
+++ b/core/policy.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// A Mechanism is a part of an edge's decisions that can be switched off, so that what
-// it is worth can be measured again.
+// A Mechanism is a part of an edge's decisions that can be disabled, so that its effect can be
+// measured.
 type Mechanism string
 
 // The mechanisms.
 const (
-	// MechanismTurns lets prompts begin at an endpoint one after the other.
+	// MechanismTurns makes prompts start one after the other at an endpoint.
 	MechanismTurns Mechanism = "turns"
-	// MechanismHomes has all VMs load an adapter at the same endpoints.
+	// MechanismHomes makes all VMs load an adapter at the same endpoints, its homes.
 	MechanismHomes Mechanism = "homes"
 	// MechanismCopies gives popular adapters more homes.
 	MechanismCopies Mechanism = "copies"
 	// MechanismRelease evicts rare adapters as soon as their requests have ended.
 	MechanismRelease Mechanism = "release"
-	// MechanismDemand evicts the adapter that is missed least by the demand of all
-	// VMs, and not the longest unused.
+	// MechanismDemand evicts the adapter with the lowest demand of all VMs, rather than the
+	// least recently used one.
 	MechanismDemand Mechanism = "demand"
-	// MechanismWantedFirst loads the most wanted adapter first.
+	// MechanismWantedFirst loads the adapter with the highest demand first.
 	MechanismWantedFirst Mechanism = "wantedFirst"
-	// MechanismFailures counts failures as delay.
+	// MechanismFailures counts failures as additional delay.
 	MechanismFailures Mechanism = "failures"
-	// MechanismBreakers leaves out endpoints that fail in a row.
+	// MechanismBreakers excludes endpoints after consecutive failures.
 	MechanismBreakers Mechanism = "breakers"
-	// MechanismRegions counts the way to another region as delay.
+	// MechanismRegions counts the latency to another region as delay.
 	MechanismRegions Mechanism = "regions"
-	// MechanismQuestions asks for loads under way beside the orders.
+	// MechanismQuestions polls for loads in transit concurrently with other orders.
 	MechanismQuestions Mechanism = "questions"
-	// MechanismWarm prefers endpoints that keep an adapter in their own memory.
+	// MechanismWarm prefers endpoints that still have an adapter in their own memory.
 	MechanismWarm Mechanism = "warm"
 )
 
@@ -41,8 +41,8 @@
 	}
 }
 
-// A Policy says which mechanisms an edge goes by. The zero value has all on.
+// A Policy selects the mechanisms of an edge. The zero value enables all.
 type Policy struct{ Off []Mechanism }
 
-// On reports whether a mechanism is on.
+// On reports whether a mechanism is enabled.
 func (p Policy) On(m Mechanism) bool { return !slices.Contains(p.Off, m) }
--- a/core/position_test.go
+++ b/core/position_test.go
@@ -8,7 +8,7 @@
 	ggscore "greengageslip/core"
 )
 
-// Guards against revisions of two epochs that are compared with each other.
+// Guards against a comparison of revisions from different epochs.
 func TestPositionsAreOrderedByEpochFirst(t *testing.T) {
 	t.Parallel()
 	at := func(e ggscore.StoreEpoch, r ggscore.StoreRevision) ggscore.StorePosition {
--- a/core/relay.go
+++ b/core/relay.go
@@ -1,16 +1,16 @@
 package ggscore
 
-// A Relay says how far the receiver of a VM's word passes it on.
+// A Relay says how far the receiver relays a VM's gossip message.
 type Relay int
 
-// The reaches of a word. Each includes those before it.
+// The ranges of relaying. Each includes the ones before it.
 const (
-	// RelayNone is a word that is passed on to nobody.
+	// RelayNone messages aren't relayed.
 	RelayNone Relay = iota
-	// RelayDomain is passed on to the VMs of the receiver's failure domain.
+	// RelayDomain messages are relayed to the VMs of the receiver's failure domain.
 	RelayDomain
-	// RelayDomains is also passed on to the other failure domains of its region.
+	// RelayDomains messages are also relayed to the other failure domains of its region.
 	RelayDomains
-	// RelayRegions is also passed on to the other regions.
+	// RelayRegions messages are also relayed to the other regions.
 	RelayRegions
 )
--- a/core/request.go
+++ b/core/request.go
@@ -15,10 +15,10 @@
 	PriorityDeferrable
 )
 
-// A Request is one caller's request, resolved on one revision of the document.
+// A Request is one caller's request, resolved against one revision of the document.
 type Request struct {
 	ID RequestID
-	// Attempt numbers a request's offers to dispatchers.
+	// Attempt numbers the attempts to submit the request to a dispatcher.
 	Attempt  int
 	Market   Market
 	Service  Service
@@ -28,20 +28,20 @@
 	Priority Priority
 	// Arrived is when the gateway admitted the request, by its own clock.
 	Arrived time.Time
-	// Budget is the time that was left for the request's first byte when it
-	// was handed over. Durations cross processes, instants don't.
+	// Budget is the time that remained for the answer's first byte when the request was handed
+	// over. Processes exchange durations because their clocks differ.
 	Budget time.Duration
-	// Deferrable is the wait that the request allows for a fuller batch.
+	// Deferrable is how long the request may wait for a fuller batch.
 	Deferrable time.Duration
-	// NonIdempotent marks a request that runs at most once. Key is then set.
+	// NonIdempotent marks a request that must run at most once. Key is then set.
 	NonIdempotent bool
 	Key           IdempotencyKey
-	// FirstSend is the caller's word that it never sent the key before.
+	// FirstSend is the caller's assertion that it never sent the key before.
 	FirstSend bool
 	Revision  Revision
 	Operation Operation
 	Body      []byte
-	// Stream says that the caller reads the answer piece by piece.
+	// Stream says that the caller reads the answer chunk by chunk.
 	Stream bool
 }
 
@@ -51,18 +51,18 @@
 	Path   string
 }
 
-// An Outcome says what became of a request.
+// An Outcome says whether a request ran.
 type Outcome int
 
-// The outcomes of requests. The zero value is the careful one: anything that
-// isn't proved otherwise is unknown.
+// The outcomes of requests. The zero value is unknown, which is the safe assumption unless
+// another outcome is proved.
 const (
 	OutcomeUnknown Outcome = iota
 	OutcomeDone
 	OutcomeNotRun
 )
 
-// String returns the outcome's name in public answers.
+// String returns the outcome's name in answers to callers.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeDone:
@@ -74,22 +74,22 @@
 	return "unknown"
 }
 
-// A Chunk is one piece of an answer. Pieces of an answer are numbered from
-// zero, and exactly the last has Final set.
+// A Chunk is one piece of an answer. The chunks of an answer are numbered from zero, and only
+// the last has Final set.
 type Chunk struct {
 	Seq   int
 	Data  []byte
 	Final bool
-	// Status, ContentType and Served stand on the first piece.
+	// Status, ContentType and Served are set on the first chunk.
 	Status      int
 	ContentType string
-	// Served is the adapter that the engine says it ran.
+	// Served is the adapter that the engine reports it ran.
 	Served AdapterRef
-	// Failure is set on a final piece that ends an answer short.
+	// Failure is set on a final chunk that ends an incomplete answer.
 	Failure *Failure
 }
 
-// A Failure is an error as callers see it, and as it crosses processes.
+// A Failure is an error as sent to callers and between processes.
 type Failure struct {
 	Kind       FailureKind
 	Outcome    Outcome
@@ -102,7 +102,7 @@
 	return string(f.Kind) + ": " + f.Detail
 }
 
-// A FailureKind classifies failures in public answers.
+// A FailureKind classifies failures in answers to callers.
 type FailureKind string
 
 // The kinds of failures.
@@ -129,6 +129,6 @@
 	FailureInternal       FailureKind = "internal"
 )
 
-// An IdempotencyKey is the key that a caller gives to a non-idempotent
-// request. Its scope is one market.
+// An IdempotencyKey is the key that a caller assigns to a non-idempotent request. Its scope is
+// one market.
 type IdempotencyKey string
--- a/core/schedule.go
+++ b/core/schedule.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// An OrderKind says what an Order asks for.
+// An OrderKind is the action that an Order requests.
 type OrderKind int
 
 // The kinds of orders.
@@ -13,12 +13,12 @@
 	OrderLoad
 	// OrderUnload evicts Adapter from Endpoint.
 	OrderUnload
-	// OrderRefuse answers Request with Failure; the request has not run.
+	// OrderRefuse answers Request with Failure. The request has not run.
 	OrderRefuse
 )
 
-// An Order is one thing that a scheduler wants done. The caller does it and
-// reports back.
+// An Order is one action that a scheduler requests. The caller performs the action and reports
+// its end to the scheduler.
 type Order struct {
 	Kind     OrderKind
 	Endpoint EndpointID
@@ -32,14 +32,14 @@
 
 // The ends of runs and orders.
 const (
-	// EndDone means that it succeeded.
+	// EndDone means that the run or the order succeeded.
 	EndDone EndKind = iota
-	// EndFailed means that it failed and is known to have had no effect.
+	// EndFailed means that the run or the order failed and is known to have had no effect.
 	EndFailed
-	// EndUnknown means that it may or may not have had an effect.
+	// EndUnknown means that the run or the order may have had an effect.
 	EndUnknown
-	// EndAdapterMissing means that the engine didn't hold the adapter, so
-	// that the request did not run.
+	// EndAdapterMissing means that the engine didn't hold the adapter, so the request did not
+	// run.
 	EndAdapterMissing
 )
 
@@ -48,34 +48,34 @@
 
 // The modes of ownership.
 const (
-	// ModeNone forbids everything: another VM may be the owner.
+	// ModeNone forbids everything, because another VM may be the owner.
 	ModeNone OwnerMode = iota
-	// ModeResidentOnly allows requests for protected adapters, no orders.
+	// ModeResidentOnly allows requests for protected adapters, but no orders.
 	ModeResidentOnly
 	// ModeFull allows everything.
 	ModeFull
 )
 
-// A RequestScheduler takes requests and their ends.
+// A RequestScheduler handles requests and their ends.
 type RequestScheduler interface {
 	Submit(now time.Time, r *Request) []Order
 	Cancel(now time.Time, id RequestID) []Order
 	RequestEnded(now time.Time, id RequestID, e EndKind) []Order
 }
 
-// An EndpointScheduler takes what is known of endpoints.
+// An EndpointScheduler handles changes and reports of endpoints.
 type EndpointScheduler interface {
-	// SetEndpoint adds or changes an endpoint. A leaving one gets no new work.
+	// SetEndpoint adds or changes an endpoint. A leaving endpoint gets no new requests.
 	SetEndpoint(now time.Time, e Endpoint, m OwnerMode) []Order
 	RemoveEndpoint(now time.Time, id EndpointID) []Order
 	Report(now time.Time, r RunnerReport) []Order
-	// Protect names the adapters that may not be evicted from an endpoint,
-	// since an earlier owner may still use them; nil ends the protection.
+	// Protect sets the adapters that may not be evicted from an endpoint because an earlier
+	// owner may still use them; nil ends the protection.
 	Protect(now time.Time, id EndpointID, refs []AdapterRef) []Order
 }
 
-// A LoadScheduler takes the ends of loads and evictions, and this owner's
-// share of the weight store's limits.
+// A LoadScheduler handles the ends of loads and evictions, and this owner's share of the weight
+// store's limits.
 type LoadScheduler interface {
 	LoadEnded(now time.Time, id EndpointID, a AdapterRef, e EndKind) []Order
 	UnloadEnded(now time.Time, id EndpointID, a AdapterRef, e EndKind) []Order
@@ -88,21 +88,21 @@
 	InTransit      int
 }
 
-// A Scheduler decides for the endpoints of one owner. It is pure: it holds no
-// clock, no goroutine and no lock. Every request that was submitted ends in
-// exactly one OrderRefuse, or in one or more OrderDispatch of which all but the
-// last were reported as EndFailed or EndAdapterMissing.
+// A Scheduler schedules requests and loads for the endpoints of one owner. It is pure: it has no
+// clock, goroutine or lock. Every submitted request results in exactly one OrderRefuse, or in
+// one or more OrderDispatch of which all but the last were reported as EndFailed or
+// EndAdapterMissing.
 type Scheduler interface {
 	RequestScheduler
 	EndpointScheduler
 	LoadScheduler
-	// Tick does what is due at now. NextTick says when it is wanted next.
+	// Tick returns the orders that are due at now. NextTick returns when to call Tick next.
 	Tick(now time.Time) []Order
 	NextTick() time.Time
 	Summary(now time.Time) []RunnerSummary
 }
 
-// A RunnerSummary is what a dispatcher tells gateways of one endpoint.
+// A RunnerSummary is the state of one endpoint that a dispatcher reports to gateways.
 type RunnerSummary struct {
 	Endpoint EndpointID
 	Service  Service
@@ -111,13 +111,13 @@
 	Slots    int
 	Running  int
 	Queued   int
-	// AdapterSlots, Resident and Loading stand for runners only.
+	// AdapterSlots, Resident and Loading are set for runners only.
 	AdapterSlots int
 	Resident     []AdapterRef
 	Loading      []AdapterRef
 }
 
-// A DispatcherSummary is what a dispatcher tells gateways of itself.
+// A DispatcherSummary is the state that a dispatcher reports to gateways.
 type DispatcherSummary struct {
 	VM      VMID
 	Region  Region
@@ -129,7 +129,7 @@
 	Runners     []RunnerSummary
 }
 
-// String returns the mode's name in dumps.
+// String returns the mode's name in state dumps.
 func (m OwnerMode) String() string {
 	switch m {
 	case ModeFull:
--- a/core/serving.go
+++ b/core/serving.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// A RouteKind says what may be repeated on a route.
+// A RouteKind says whether requests on a route may be repeated.
 type RouteKind int
 
 // The kinds of routes.
 const (
-	// RouteUnsafe requests run at most once. It is the zero value, so that what
-	// isn't known is treated with the most care.
+	// RouteUnsafe requests run at most once. It is the zero value because it is the safe
+	// assumption for an unknown kind.
 	RouteUnsafe RouteKind = iota
 	// RouteSafe requests may run any number of times.
 	RouteSafe
-	// RouteStreaming answers are events; they run at most once unless the route
-	// is resumable.
+	// RouteStreaming requests are answered with a stream of events. They run at most once
+	// unless the route is resumable.
 	RouteStreaming
 )
 
-// String returns the kind's name in metrics and dumps.
+// String returns the kind's name in metrics and state dumps.
 func (k RouteKind) String() string {
 	switch k {
 	case RouteSafe:
@@ -32,29 +32,29 @@
 	return "unsafe"
 }
 
-// A Route sends requests of a host below a path prefix to services.
+// A Route maps requests for a host and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Resumable says that a broken stream may go on at another endpoint.
+	// Resumable says that a broken stream may be resumed at another endpoint.
 	Resumable bool
-	// Timeout is the longest time that a request is kept waiting.
+	// Timeout is the longest time that a request waits.
 	Timeout time.Duration
-	// Target is the time within which callers want the answer, of streams the first
-	// piece, and GapAim the longest pause between a stream's pieces that they want.
-	// Both are zero where the configuration doesn't say.
+	// Target is the target latency of the answer, or of the first chunk for streams. GapAim is
+	// the target for the longest gap between a stream's chunks. Both are zero if not
+	// configured.
 	Target time.Duration
 	GapAim time.Duration
-	// Priority orders routes; a lower number is served first.
+	// Priority orders the routes' requests; a lower number is served first.
 	Priority Priority
 	// MaxAttempts is the number of endpoints that one request may run on.
 	MaxAttempts int
 	Targets     []RouteTarget
 }
 
-// A RouteTarget is a service and its share of a route's requests.
+// A RouteTarget is a service and its relative share of a route's requests.
 type RouteTarget struct {
 	Service Service
 	Weight  int
@@ -73,8 +73,7 @@
 	AdapterBytes int64
 }
 
-// GapAim returns the shortest pause between pieces that a route to a service wants,
-// zero where none wants one.
+// GapAim returns the smallest GapAim of the routes to a service, zero if none is configured.
 func (c *RoutingConfig) GapAim(s Service) time.Duration {
 	var aim time.Duration
 	for i := range c.Routes {
@@ -92,13 +91,13 @@
 // An EngineSpec describes a model service's runners.
 type EngineSpec struct {
 	Models []ModelSpec
-	// Bytes is the memory for models and adapters together.
+	// Bytes is the runner's memory for models and adapters together.
 	Bytes        int64
 	AdapterSlots int
 }
 
-// Places returns the number of adapters of its first model that a runner has
-// room for beside it: it crashes when it is ordered to load more.
+// Places returns the number of adapters that a runner has slots and memory for beside its first
+// model. A runner that is ordered to load more crashes.
 func (e *EngineSpec) Places() int {
 	n := e.AdapterSlots
 	if len(e.Models) > 0 && e.Bytes > 0 && e.Models[0].AdapterBytes > 0 {
@@ -110,8 +109,7 @@
 // A BackendSpec describes the endpoints of a service.
 type BackendSpec struct {
 	Service Service
-	// MaxConns is the number of connections that an endpoint takes from all
-	// callers together.
+	// MaxConns is the number of connections that an endpoint accepts from all callers together.
 	MaxConns int
 	// Engine is nil for plain services.
 	Engine *EngineSpec
--- a/core/serving_test.go
+++ b/core/serving_test.go
@@ -8,8 +8,8 @@
 	ggscore "greengageslip/core"
 )
 
-// A runner has places for 18 adapters, and memory for fewer beside its model.
-// Ordered to load more than its memory holds it crashes, with all that it runs.
+// Guards against orders to load more adapters than fit into a runner's memory beside its model,
+// even if it has a slot for each. The runner would crash with all its requests.
 func TestPlaces(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/core/turn.go
+++ b/core/turn.go
@@ -2,42 +2,45 @@
 
 import "time"
 
-// A PromptTurn is the time from which an endpoint may read a request's prompt.
+// A PromptTurn reserves a time from which an endpoint may process a request's prompt.
 type PromptTurn struct {
 	VM VMID
-	// Number tells apart the turns of a VM.
+	// Number distinguishes the turns of a VM.
 	Number   uint64
 	Service  Service
 	Endpoint EndpointID
-	// Begin is when the endpoint may get the prompt.
+	// Begin is the earliest time at which the prompt may be sent to the endpoint.
 	Begin time.Time
-	// Tokens are those of the prompt that the endpoint has to read.
+	// Tokens is the number of prompt tokens that the endpoint has to process.
 	Tokens int
 }
 
-// A TurnEstimate is what a prompt is expected to meet at an endpoint.
+// A TurnEstimate is the estimated delay of a prompt at an endpoint.
 type TurnEstimate struct {
-	// Wait is the time until its turn, Ready that until the endpoint has read it.
+	// Wait is the time until the prompt's turn, and Ready is the time until the endpoint has
+	// processed the prompt.
 	Wait  time.Duration
 	Ready time.Duration
 }
 
-// A TurnExpecter tells what a prompt would meet at an endpoint. Zero tokens stand for
-// a prompt of usual size.
+// A TurnExpecter estimates the delay of a prompt at an endpoint. Zero tokens mean a prompt of
+// usual size.
 type TurnExpecter interface {
 	Expect(now time.Time, s Service, id EndpointID, tokens int) TurnEstimate
 }
 
-// A TurnSample is a first piece that tells how fast endpoints of a service read: its
-// endpoint read nothing else.
+// A TurnSample is a measured time to the first chunk of an answer, from an endpoint that
+// processed no other prompt meanwhile. It shows how fast endpoints of the service process
+// prompts.
 type TurnSample struct {
 	Service Service
 	Tokens  int
 	Took    time.Duration
 }
 
-// A TurnTally counts streams of a service, and those that were hurt: prompts made them
-// pause for longer than callers want, or they waited too long for their turn.
+// A TurnTally counts the streams of a service, and those that missed their targets (Hurt).
+// Either prompts of other requests made a stream pause for longer than callers want, or the
+// stream waited too long for its turn.
 type TurnTally struct {
 	Service Service
 	Streams int
@@ -48,19 +51,19 @@
 type TurnMode struct {
 	Service Service
 	Waits   bool
-	// Without is the part of streams that was hurt before they did.
+	// Without is the fraction of streams that missed their targets before prompts waited.
 	Without float64
 }
 
-// A TurnShape is what was learnt of how endpoints of a service read. Unknown parts are
-// zero.
+// A TurnShape is the measured prompt-processing speed of a service's endpoints. Unknown fields
+// are zero.
 type TurnShape struct {
 	Service Service
-	// PerToken is the time to read a token, Start that of the first piece of an empty
-	// prompt.
+	// PerToken is the processing time per prompt token, and Start is the time to the first
+	// chunk for an empty prompt.
 	PerToken time.Duration
 	Start    time.Duration
-	// Quiet is the pause of a stream whose endpoint reads nothing.
+	// Quiet is the gap between a stream's chunks while its endpoint processes no prompt.
 	Quiet time.Duration
 	Mode  TurnMode
 }
--- a/core/txn.go
+++ b/core/txn.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A TxnCondition holds while the key is at the revision, zero meaning that it
+// A TxnCondition holds while the key is at the revision. Revision zero means that the key
 // doesn't exist.
 type TxnCondition struct {
 	Key      Key
@@ -19,39 +19,38 @@
 	Value []byte
 }
 
-// A Txn is a set of writes that take effect together, and only while all
-// conditions hold.
+// A Txn is a set of writes and deletes that take effect atomically, and only if all conditions
+// hold.
 type Txn struct {
-	// Epoch is the one in which the conditions' revisions were read. In another one they may
-	// hold by chance.
+	// Epoch is the epoch in which the conditions' revisions were read. In another epoch the
+	// conditions may hold by chance.
 	Epoch      StoreEpoch
 	Conditions []TxnCondition
 	Writes     []TxnWrite
 	Deletes    []Key
 }
 
-// A Txner carries out transactions. A condition that doesn't hold gives a
-// *TxnConflictError; a lost answer an *AmbiguousWriteError. The position's epoch is that of
-// the answer, also where that is an error.
+// A Txner executes transactions. A condition that doesn't hold gives a *TxnConflictError, and a
+// lost answer gives an *AmbiguousWriteError. The returned position's epoch is the epoch of the
+// answer, even if the answer is an error.
 type Txner interface {
 	Txn(ctx context.Context, t Txn) (StorePosition, error)
 }
 
-// A Snapshotter reads what lies below a prefix. The position is the store's at
-// the first page. A stale reading is cheaper and may be seconds old. The position's epoch is
-// that of the answer, also where that is an error.
+// A Snapshotter reads all entries below a prefix. The position is the store's position at the
+// first page. A stale reading is cheaper and may be seconds old. The returned position's epoch
+// is the epoch of the answer, even if the answer is an error.
 type Snapshotter interface {
 	Snapshot(ctx context.Context, prefix Key, stale bool) ([]Entry, StorePosition, error)
 }
 
-// A HistoryWatcher waits for changes like a Watcher, in a store whose history may change.
-// The position's epoch is that of the answer, also where that is an error.
+// A HistoryWatcher waits for changes like a Watcher, in a store whose epoch may change. The
+// returned position's epoch is the epoch of the answer, even if the answer is an error.
 type HistoryWatcher interface {
 	Watch(ctx context.Context, prefix Key, after StorePosition, wait time.Duration) ([]Entry, StorePosition, error)
 }
 
-// A TxnConflictError says that a transaction's condition didn't hold. Nothing
-// was written.
+// A TxnConflictError says that a condition of a transaction didn't hold. Nothing was written.
 type TxnConflictError struct{ Entries []Entry }
 
 // Error implements error.
@@ -59,11 +58,11 @@
 	return fmt.Sprintf("transaction refused: one of %d keys is at another revision", len(e.Entries))
 }
 
-// A HistoryGoneError says that the store doesn't have the changes after a
-// position: what lies below the prefix has to be read whole.
+// A HistoryGoneError says that the store no longer has the changes after a position. All entries
+// below the prefix have to be read again.
 type HistoryGoneError struct{ After StorePosition }
 
 // Error implements error.
 func (e *HistoryGoneError) Error() string {
-	return fmt.Sprintf("history after %s is gone", e.After)
+	return fmt.Sprintf("store no longer has the changes after %s", e.After)
 }
