--- a/core/claim.go
+++ b/core/claim.go
@@ -72,7 +72,7 @@
 // An OwnerGuard checks, immediately before an order or a dispatch is written to a connection,
 // that this process may still send it. It returns the fencing token to send.
 type OwnerGuard interface {
-	Check(now time.Time, id EndpointID, a AdapterRef, k OrderKind) (FenceNumber, error)
+	Check(now time.Time, id EndpointID, a AdapterRef, k OrderKind) (FencingToken, error)
 }
 
 // A ReportObserver receives runners' reports.
--- a/core/engine.go
+++ b/core/engine.go
@@ -23,8 +23,8 @@
 // may have taken effect is an *AmbiguousOrderError. An outdated fencing token gives a
 // *FencedError.
 type AdapterOrderer interface {
-	Load(ctx context.Context, addr netip.AddrPort, a AdapterRef, f FenceNumber) error
-	Unload(ctx context.Context, addr netip.AddrPort, a AdapterRef, f FenceNumber) error
+	Load(ctx context.Context, addr netip.AddrPort, a AdapterRef, f FencingToken) error
+	Unload(ctx context.Context, addr netip.AddrPort, a AdapterRef, f FencingToken) error
 }
 
 // A RunnerReporter requests a runner's report.
--- a/core/errors.go
+++ b/core/errors.go
@@ -41,17 +41,17 @@
 // Unwrap returns the cause.
 func (e *AmbiguousWriteError) Unwrap() error { return e.Cause }
 
-// A StoreAwayError says that the platform's service was unavailable for a call. The call had no
+// A StoreUnavailableError says that the platform's service was unavailable for a call. The call had no
 // effect.
-type StoreAwayError struct{ Cause error }
+type StoreUnavailableError struct{ Cause error }
 
 // Error implements error.
-func (e *StoreAwayError) Error() string {
+func (e *StoreUnavailableError) Error() string {
 	return fmt.Sprintf("platform service away: %v", e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *StoreAwayError) Unwrap() error { return e.Cause }
+func (e *StoreUnavailableError) Unwrap() error { return e.Cause }
 
 // A StoreBusyError says that the platform's service refused a call because its rate limit was
 // exceeded. The call had no effect.
@@ -62,23 +62,23 @@
 	return "platform service refused the call: rate limit exceeded"
 }
 
-// A LeaseLapsedError says that a lease is no longer held.
-type LeaseLapsedError struct {
+// A LeaseExpiredError says that a lease is no longer held.
+type LeaseExpiredError struct {
 	Owner VMID
 	Lease LeaseID
-	Fence FenceNumber
+	Fence FencingToken
 }
 
 // Error implements error.
-func (e *LeaseLapsedError) Error() string {
+func (e *LeaseExpiredError) Error() string {
 	return fmt.Sprintf("lease %d of %s with fencing token %d has expired", e.Lease, e.Owner, e.Fence)
 }
 
 // A FencedError says that an endpoint refused an order because the endpoint has seen a greater
 // fencing token.
 type FencedError struct {
-	Have FenceNumber
-	Seen FenceNumber
+	Have FencingToken
+	Seen FencingToken
 }
 
 // Error implements error.
--- a/core/ggsclaim/decision.go
+++ b/core/ggsclaim/decision.go
@@ -133,7 +133,7 @@
 		o = ggscore.OutcomeNotRun
 	}
 	return &ggscore.Failure{
-		Kind: ggscore.FailurePlatformAway, Outcome: o,
+		Kind: ggscore.FailurePlatformUnavailable, Outcome: o,
 		Detail: "the idempotency key can't be claimed now; this attempt was not dispatched", RetryAfter: d.RetryAfter,
 	}
 }
--- a/core/ggsepoch/tracker.go
+++ b/core/ggsepoch/tracker.go
@@ -39,7 +39,7 @@
 	ReasonAbsent     Reason = "absent"
 	ReasonUnreadable Reason = "unreadable"
 	ReasonTooHigh    Reason = "tooHigh"
-	ReasonFell       Reason = "fell"
+	ReasonDecreased  Reason = "fell"
 )
 
 // An Answer says how to treat an answer of the store.
@@ -83,13 +83,13 @@
 	case !a.Late && stale:
 		a.Late = true
 	case !a.Late:
-		a.Ignored = ReasonFell
+		a.Ignored = ReasonDecreased
 	}
 	return a
 }
 
-// Learn applies an epoch that a peer reports, and returns whether it is new.
-func (t *Tracker) Learn(e ggscore.StoreEpoch) bool {
+// ObservePeer applies an epoch that a peer reports, and returns whether it is new.
+func (t *Tracker) ObservePeer(e ggscore.StoreEpoch) bool {
 	if e <= t.current || e > t.maxAccepted() {
 		return false
 	}
--- a/core/ggsepoch/tracker_test.go
+++ b/core/ggsepoch/tracker_test.go
@@ -27,14 +27,14 @@
 		"names none":                   {known, 0, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonAbsent}},
 		"unreadable":                   {known, ggscore.UnreadableEpoch, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonUnreadable}},
 		"too high":                     {known, 1 << 30, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonTooHigh}},
-		"decreased":                    {known, known - 1, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonFell}},
+		"decreased":                    {known, known - 1, false, ggsepoch.Answer{Epoch: known, Ignored: ggsepoch.ReasonDecreased}},
 		"stale reading":                {known, known - 1, true, ggsepoch.Answer{Epoch: known, Late: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			k := ggsepoch.NewTracker()
-			c.Assert(k.Learn(known), qt.IsTrue)
+			c.Assert(k.ObservePeer(known), qt.IsTrue)
 			c.Check(k.Answer(tc.sent, tc.named, tc.stale), qt.Equals, tc.want)
 			c.Check(k.Current(), qt.Equals, tc.want.Epoch)
 		})
@@ -46,10 +46,10 @@
 	t.Parallel()
 	c := qt.New(t)
 	k := ggsepoch.NewTracker()
-	c.Check(k.Learn(ggsepoch.MaxEpoch+1), qt.IsFalse)
-	c.Check(k.Learn(3), qt.IsTrue)
-	c.Check(k.Learn(3), qt.IsFalse)
-	c.Check(k.Learn(2), qt.IsFalse)
-	c.Check(k.Learn(ggsepoch.MaxEpoch), qt.IsFalse)
+	c.Check(k.ObservePeer(ggsepoch.MaxEpoch+1), qt.IsFalse)
+	c.Check(k.ObservePeer(3), qt.IsTrue)
+	c.Check(k.ObservePeer(3), qt.IsFalse)
+	c.Check(k.ObservePeer(2), qt.IsFalse)
+	c.Check(k.ObservePeer(ggsepoch.MaxEpoch), qt.IsFalse)
 	c.Check(k.Current(), qt.Equals, ggscore.StoreEpoch(3))
 }
--- a/core/ggsfencing/claims.go
+++ b/core/ggsfencing/claims.go
@@ -17,12 +17,12 @@
 // orders since the release, because its claim would have replaced the record. With a delay,
 // a rolling restart would leave the endpoints of one VM after the other without orders for
 // longer than Turn.
-func (k *Keeper) Claims(now time.Time, ready []ggscore.Instance) []Claim {
+func (k *OwnershipTracker) Claims(now time.Time, ready []ggscore.Instance) []Claim {
 	if !k.synced || k.ownRevision == 0 {
 		return nil
 	}
-	settled := now.Sub(k.started) >= k.options.Settle
-	room := k.options.MaxRecords - len(k.Beat(now).Records)
+	settled := now.Sub(k.started) >= k.options.ClaimDelay
+	room := k.options.MaxRecords - len(k.NextHeartbeat(now).Records)
 	var cs []Claim
 	for i := range ready {
 		if len(cs) >= room {
@@ -42,7 +42,7 @@
 
 // renewal returns the claim of an endpoint that no other VM may send orders to: this VM holds
 // a right from an earlier epoch, or released the record in the current epoch.
-func (k *Keeper) renewal(now time.Time, id ggscore.EndpointID) (Claim, bool) {
+func (k *OwnershipTracker) renewal(now time.Time, id ggscore.EndpointID) (Claim, bool) {
 	c := Claim{Endpoint: id, Epoch: k.epoch}
 	r := k.records[id]
 	if r != nil {
@@ -56,7 +56,7 @@
 
 // claim returns the claim of an endpoint, and whether its previous owner can no longer send
 // orders.
-func (k *Keeper) claim(now time.Time, id ggscore.EndpointID) (Claim, bool) {
+func (k *OwnershipTracker) claim(now time.Time, id ggscore.EndpointID) (Claim, bool) {
 	c := Claim{Endpoint: id, Epoch: k.epoch}
 	r := k.records[id]
 	if r == nil {
@@ -68,7 +68,7 @@
 		return c, now.Sub(r.since) >= k.takeoverWait()
 	}
 	if r.Released {
-		return c, now.Sub(r.since) >= k.options.Turn+k.options.Margin
+		return c, now.Sub(r.since) >= k.options.MinOrderGap+k.options.Margin
 	}
 	if r.Owner == k.options.Self {
 		return Claim{}, false
@@ -84,8 +84,8 @@
 	return c, now.Sub(since) >= k.takeoverWait()
 }
 
-// SetHeard replaces the set of VMs whose gossip heartbeats arrive.
-func (k *Keeper) SetHeard(vms []ggscore.VMID) {
+// SetReachable replaces the set of VMs whose gossip heartbeats arrive.
+func (k *OwnershipTracker) SetReachable(vms []ggscore.VMID) {
 	k.reachable = make(map[ggscore.VMID]bool, len(vms))
 	for _, vm := range vms {
 		k.reachable[vm] = true
@@ -96,7 +96,7 @@
 // reachable VMs with fewer than MaxRecords endpoints. VMs in the endpoint's failure domain
 // take precedence, and rendezvous hashing selects one of them. If two VMs both select
 // themselves, the conditions of the store's transaction let only one claim succeed.
-func (k *Keeper) preferredOwner(i *ggscore.Instance) ggscore.VMID {
+func (k *OwnershipTracker) preferredOwner(i *ggscore.Instance) ggscore.VMID {
 	owned := k.ownedCounts()
 	best, bestWeight, bestLocal := k.options.Self, 0.0, false
 	for vm, b := range k.heartbeats {
@@ -121,7 +121,7 @@
 }
 
 // ownedCounts returns the number of endpoints that each VM owns.
-func (k *Keeper) ownedCounts() map[ggscore.VMID]int {
+func (k *OwnershipTracker) ownedCounts() map[ggscore.VMID]int {
 	n := make(map[ggscore.VMID]int, len(k.heartbeats))
 	for _, r := range k.records {
 		if !r.Released {
@@ -131,8 +131,8 @@
 	return n
 }
 
-// ClaimEnded records that the store acknowledged a claim that was sent at the given time.
-func (k *Keeper) ClaimEnded(sent time.Time, c Claim, at ggscore.StorePosition) {
+// ClaimAcknowledged records that the store acknowledged a claim that was sent at the given time.
+func (k *OwnershipTracker) ClaimAcknowledged(sent time.Time, c Claim, at ggscore.StorePosition) {
 	if c.Epoch != k.epoch || at.Epoch != k.epoch {
 		return
 	}
--- a/core/ggsfencing/explore_test.go
+++ b/core/ggsfencing/explore_test.go
@@ -62,7 +62,7 @@
 func (x *exploration) sendOrders() string {
 	for _, e := range x.endpoints {
 		for _, v := range x.vms {
-			f, ok := v.k.May(x.now, e.ID)
+			f, ok := v.k.AuthorizeOrder(x.now, e.ID)
 			if !ok {
 				continue
 			}
@@ -133,7 +133,7 @@
 		x.sync(v)
 	}
 	for _, e := range x.endpoints {
-		if !slices.ContainsFunc(x.vms, func(v *vm) bool { _, ok := v.k.May(x.now, e.ID); return ok }) {
+		if !slices.ContainsFunc(x.vms, func(v *vm) bool { _, ok := v.k.AuthorizeOrder(x.now, e.ID); return ok }) {
 			return fmt.Sprintf("%s has no owner", e.ID)
 		}
 	}
--- a/core/ggsfencing/export_test.go
+++ b/core/ggsfencing/export_test.go
@@ -7,7 +7,7 @@
 )
 
 // Clone returns an independent copy.
-func (k *Keeper) Clone() *Keeper {
+func (k *OwnershipTracker) Clone() *OwnershipTracker {
 	c := *k
 	c.records = make(map[ggscore.EndpointID]*record, len(k.records))
 	for id, r := range k.records {
--- a/core/ggsfencing/keeper.go
+++ b/core/ggsfencing/keeper.go
@@ -67,12 +67,12 @@
 	// DefaultMargin covers an order in flight when the validity ends. It equals the order's
 	// timeout of 1 s.
 	DefaultMargin = time.Second
-	// DefaultSettle is how long a new VM waits before its first claims, so that VMs that
+	// DefaultClaimDelay is how long a new VM waits before its first claims, so that VMs that
 	// start together share the endpoints.
-	DefaultSettle = 1500 * time.Millisecond
-	// DefaultForget is how long an endpoint is off the list before its record is deleted. It
+	DefaultClaimDelay = 1500 * time.Millisecond
+	// DefaultRecordRetention is how long an endpoint is off the list before its record is deleted. It
 	// exceeds the wait before a takeover, so no order can be recent by then.
-	DefaultForget = 20 * time.Second
+	DefaultRecordRetention = 20 * time.Second
 	// DefaultMaxRecords bounds the records of a VM. A store transaction takes at most 32
 	// conditions: one is for the VM's own heartbeat and maxDrops are for deleted records.
 	DefaultMaxRecords = 27
@@ -82,12 +82,12 @@
 type Options struct {
 	Self   ggscore.VMID
 	Domain ggscore.Domain
-	// Turn is the minimum time between the orders of two VMs to one endpoint.
-	Turn     time.Duration
-	Validity time.Duration
-	Margin   time.Duration
-	Settle   time.Duration
-	Forget   time.Duration
+	// MinOrderGap is the minimum time between the orders of two VMs to one endpoint.
+	MinOrderGap     time.Duration
+	Validity        time.Duration
+	Margin          time.Duration
+	ClaimDelay      time.Duration
+	RecordRetention time.Duration
 	// MaxRecords bounds the endpoints that this VM owns.
 	MaxRecords int
 	// FirstStart says that the deployment starts for the first time, so no VM has sent orders
@@ -111,15 +111,15 @@
 
 // A Reading is the ownership state in the store.
 type Reading struct {
-	Records []Record
-	Beats   []Beat
-	// Settled is the last epoch in which a VM has waited until all earlier rights expired,
+	Records    []Record
+	Heartbeats []Heartbeat
+	// SettledEpoch is the last epoch in which a VM has waited until all earlier rights expired,
 	// zero for none.
-	Settled ggscore.StoreEpoch
+	SettledEpoch ggscore.StoreEpoch
 }
 
-// A Beat is a VM's heartbeat in the store.
-type Beat struct {
+// A Heartbeat is a VM's heartbeat in the store.
+type Heartbeat struct {
 	VM     ggscore.VMID
 	Domain ggscore.Domain
 	// Capacity is the VM's relative share of endpoints.
@@ -127,16 +127,16 @@
 	Revision ggscore.StoreRevision
 }
 
-// A BeatPlan is a heartbeat to write under the condition that the VM's previous heartbeat and
+// A HeartbeatPlan is a heartbeat to write under the condition that the VM's previous heartbeat and
 // the records still have the given revisions in the given epoch.
-type BeatPlan struct {
+type HeartbeatPlan struct {
 	Epoch    ggscore.StoreEpoch
 	Revision ggscore.StoreRevision
 	Records  []Record
 	// Drop are records of removed endpoints, to be deleted in the same transaction.
 	Drop []Record
-	// Settle says to mark the epoch as settled in the same transaction.
-	Settle bool
+	// MarkSettled says to mark the epoch as settled in the same transaction.
+	MarkSettled bool
 }
 
 // A Claim is a record to write under the condition that the record and its owner's heartbeat
@@ -150,9 +150,9 @@
 	OwnerRevision ggscore.StoreRevision
 }
 
-// A Keeper tracks the ownership records and heartbeats that one VM has read, and this VM's
+// A OwnershipTracker tracks the ownership records and heartbeats that one VM has read, and this VM's
 // rights to send orders.
-type Keeper struct {
+type OwnershipTracker struct {
 	options Options
 	started time.Time
 	// epoch and readRevision are the position of the last reading, and epochSince is the time
@@ -187,24 +187,24 @@
 }
 
 type heartbeat struct {
-	Beat
+	Heartbeat
 	since time.Time
 }
 
 // A right permits this VM to send orders to an endpoint until a time.
 type right struct {
 	until time.Time
-	fence ggscore.FenceNumber
+	fence ggscore.FencingToken
 }
 
-// NewKeeper returns a Keeper without records or rights.
-func NewKeeper(o Options) *Keeper {
+// NewOwnershipTracker returns a Keeper without records or rights.
+func NewOwnershipTracker(o Options) *OwnershipTracker {
 	o.Validity = cmp.Or(o.Validity, DefaultValidity)
 	o.Margin = cmp.Or(o.Margin, DefaultMargin)
-	o.Settle = cmp.Or(o.Settle, DefaultSettle)
-	o.Forget = cmp.Or(o.Forget, DefaultForget)
+	o.ClaimDelay = cmp.Or(o.ClaimDelay, DefaultClaimDelay)
+	o.RecordRetention = cmp.Or(o.RecordRetention, DefaultRecordRetention)
 	o.MaxRecords = cmp.Or(o.MaxRecords, DefaultMaxRecords)
-	return &Keeper{
+	return &OwnershipTracker{
 		options: o, records: map[ggscore.EndpointID]*record{}, heartbeats: map[ggscore.VMID]*heartbeat{},
 		rights: map[ggscore.EndpointID]right{}, previousOwners: map[ggscore.EndpointID]ggscore.VMID{},
 	}
@@ -212,17 +212,17 @@
 
 // takeoverWait is the time after which a right has expired and its last order is at least Turn
 // old.
-func (k *Keeper) takeoverWait() time.Duration {
-	return k.options.Validity + k.options.Turn + k.options.Margin
+func (k *OwnershipTracker) takeoverWait() time.Duration {
+	return k.options.Validity + k.options.MinOrderGap + k.options.Margin
 }
 
-// Beat returns the next heartbeat to write. It deletes the records of removed endpoints.
+// NextHeartbeat returns the next heartbeat to write. It deletes the records of removed endpoints.
 // Otherwise those records would exhaust the conditions of the heartbeat's transaction as
 // endpoints come and go, until the store refused every heartbeat and no endpoint got orders.
-func (k *Keeper) Beat(now time.Time) BeatPlan {
-	p := BeatPlan{Epoch: k.epoch, Revision: k.ownRevision, Settle: k.synced && k.storedSettled != k.epoch && k.earlierRightsExpired(now)}
+func (k *OwnershipTracker) NextHeartbeat(now time.Time) HeartbeatPlan {
+	p := HeartbeatPlan{Epoch: k.epoch, Revision: k.ownRevision, MarkSettled: k.synced && k.storedSettled != k.epoch && k.earlierRightsExpired(now)}
 	for _, r := range k.records {
-		removed := !r.unlistedSince.IsZero() && now.Sub(r.unlistedSince) >= k.options.Forget
+		removed := !r.unlistedSince.IsZero() && now.Sub(r.unlistedSince) >= k.options.RecordRetention
 		switch {
 		case r.Owner != k.options.Self || r.Released:
 		case removed && len(p.Drop) < maxDrops:
@@ -235,10 +235,10 @@
 	return p
 }
 
-// BeatEnded records the store's answer to a heartbeat that was sent at the given time. After a
+// HeartbeatAnswered records the store's answer to a heartbeat that was sent at the given time. After a
 // refusal, the caller has to read the store again. Another VM may own one of the heartbeat's
 // records by then, so no order is sent for any of them until a later heartbeat is acknowledged.
-func (k *Keeper) BeatEnded(sent time.Time, p BeatPlan, at ggscore.StorePosition, refused bool) {
+func (k *OwnershipTracker) HeartbeatAnswered(sent time.Time, p HeartbeatPlan, at ggscore.StorePosition, refused bool) {
 	if p.Epoch != k.epoch || at.Epoch != k.epoch {
 		return
 	}
@@ -261,13 +261,13 @@
 		delete(k.rights, r.Endpoint)
 	}
 	k.ownRevision = max(k.ownRevision, at.Revision)
-	if p.Settle {
+	if p.MarkSettled {
 		k.storedSettled = p.Epoch
 	}
 }
 
 // extend extends the right for a record to Validity after its heartbeat or claim was sent.
-func (k *Keeper) extend(sent time.Time, r Record) {
+func (k *OwnershipTracker) extend(sent time.Time, r Record) {
 	until := sent.Add(k.options.Validity)
 	if o := k.rights[r.Endpoint]; o.until.After(until) {
 		until = o.until
@@ -280,12 +280,12 @@
 
 // fence returns the fencing token of a record. Tokens increase from epoch to epoch even though
 // revisions may decrease.
-func fence(r Record) ggscore.FenceNumber {
-	return ggscore.FenceNumber(uint64(r.Epoch)<<epochShift | uint64(r.Revision))
+func fence(r Record) ggscore.FencingToken {
+	return ggscore.FencingToken(uint64(r.Epoch)<<epochShift | uint64(r.Revision))
 }
 
-// Owns reports whether this VM owns any endpoint.
-func (k *Keeper) Owns() bool {
+// OwnsAny reports whether this VM owns any endpoint.
+func (k *OwnershipTracker) OwnsAny() bool {
 	for _, r := range k.records {
 		if r.Owner == k.options.Self && !r.Released && k.inCurrentEpoch(r.Record) {
 			return true
@@ -294,9 +294,9 @@
 	return false
 }
 
-// May returns the fencing token for an order to the endpoint, and whether this VM may send
+// AuthorizeOrder returns the fencing token for an order to the endpoint, and whether this VM may send
 // the order now.
-func (k *Keeper) May(now time.Time, id ggscore.EndpointID) (ggscore.FenceNumber, bool) {
+func (k *OwnershipTracker) AuthorizeOrder(now time.Time, id ggscore.EndpointID) (ggscore.FencingToken, bool) {
 	r, ok := k.rights[id]
 	if !ok || !now.Before(r.until) {
 		return 0, false
@@ -305,7 +305,7 @@
 }
 
 // Records returns all known ownership records.
-func (k *Keeper) Records() []Record {
+func (k *OwnershipTracker) Records() []Record {
 	rs := make([]Record, 0, len(k.records))
 	for _, r := range k.records {
 		rs = append(rs, r.Record)
@@ -315,7 +315,7 @@
 
 // Owner returns the endpoint's owner, empty if there is none. In a new epoch it is the owner
 // from the previous epoch until a record of the new epoch exists.
-func (k *Keeper) Owner(id ggscore.EndpointID) ggscore.VMID {
+func (k *OwnershipTracker) Owner(id ggscore.EndpointID) ggscore.VMID {
 	r := k.records[id]
 	switch {
 	case r != nil && (k.inCurrentEpoch(r.Record) || !k.synced):
@@ -332,9 +332,9 @@
 }
 
 // Epoch returns the epoch of the last reading, and whether the store has been read.
-func (k *Keeper) Epoch() (ggscore.StoreEpoch, bool) { return k.epoch, k.synced }
+func (k *OwnershipTracker) Epoch() (ggscore.StoreEpoch, bool) { return k.epoch, k.synced }
 
 // Stop revokes all rights of this VM to send orders. A caller that then releases the records
 // must write them under the conditions of Beat. Without those conditions, a release that takes
 // effect after the first heartbeat of the VM's next process would let two VMs send orders.
-func (k *Keeper) Stop() { clear(k.rights) }
+func (k *OwnershipTracker) Stop() { clear(k.rights) }
--- a/core/ggsfencing/keeper_test.go
+++ b/core/ggsfencing/keeper_test.go
@@ -24,20 +24,20 @@
 	return ggscore.StorePosition{Revision: r}
 }
 
-func keeper(self ggscore.VMID) *ggsfencing.Keeper {
-	return ggsfencing.NewKeeper(ggsfencing.Options{Self: self, Domain: "d", Turn: turn})
+func keeper(self ggscore.VMID) *ggsfencing.OwnershipTracker {
+	return ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: self, Domain: "d", MinOrderGap: turn})
 }
 
 func instances() []ggscore.Instance { return []ggscore.Instance{{ID: runner, Domain: "d"}} }
 
 // owner returns the Keeper of a VM that owns the runner.
-func owner(c *qt.C) *ggsfencing.Keeper {
+func owner(c *qt.C) *ggsfencing.OwnershipTracker {
 	k := keeper("a")
 	k.Observe(at(0), position(1), ggsfencing.Reading{})
-	k.BeatEnded(at(0), k.Beat(at(0)), position(5), false)
-	cs := k.Claims(at(ggsfencing.DefaultSettle), instances())
+	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(5), false)
+	cs := k.Claims(at(ggsfencing.DefaultClaimDelay), instances())
 	c.Assert(cs, qt.HasLen, 1)
-	k.ClaimEnded(at(2*time.Second), cs[0], position(10))
+	k.ClaimAcknowledged(at(2*time.Second), cs[0], position(10))
 	return k
 }
 
@@ -45,14 +45,14 @@
 	t.Parallel()
 	c := qt.New(t)
 	k := owner(c)
-	fence, ok := k.May(at(2*time.Second), runner)
+	fence, ok := k.AuthorizeOrder(at(2*time.Second), runner)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(fence, qt.Equals, ggscore.FenceNumber(10))
+	c.Assert(fence, qt.Equals, ggscore.FencingToken(10))
 
-	k.BeatEnded(at(4*time.Second), k.Beat(at(0)), position(11), false)
-	_, ok = k.May(at(4*time.Second+ggsfencing.DefaultValidity-1), runner)
+	k.HeartbeatAnswered(at(4*time.Second), k.NextHeartbeat(at(0)), position(11), false)
+	_, ok = k.AuthorizeOrder(at(4*time.Second+ggsfencing.DefaultValidity-1), runner)
 	c.Assert(ok, qt.IsTrue)
-	_, ok = k.May(at(4*time.Second+ggsfencing.DefaultValidity), runner)
+	_, ok = k.AuthorizeOrder(at(4*time.Second+ggsfencing.DefaultValidity), runner)
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -63,8 +63,8 @@
 	t.Parallel()
 	c := qt.New(t)
 	k := owner(c)
-	k.BeatEnded(at(4*time.Second), k.Beat(at(0)), position(0), true)
-	_, ok := k.May(at(4*time.Second), runner)
+	k.HeartbeatAnswered(at(4*time.Second), k.NextHeartbeat(at(0)), position(0), true)
+	_, ok := k.AuthorizeOrder(at(4*time.Second), runner)
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -76,9 +76,9 @@
 	c := qt.New(t)
 	k := keeper("b")
 	records := []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}}
-	heartbeats := []ggsfencing.Beat{{VM: "a", Domain: "d", Revision: 20}}
-	k.Observe(at(0), position(30), ggsfencing.Reading{Records: records, Beats: heartbeats})
-	k.BeatEnded(at(0), k.Beat(at(0)), position(31), false)
+	heartbeats := []ggsfencing.Heartbeat{{VM: "a", Domain: "d", Revision: 20}}
+	k.Observe(at(0), position(30), ggsfencing.Reading{Records: records, Heartbeats: heartbeats})
+	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(31), false)
 	c.Assert(k.Claims(at(takeoverWait-1), instances()), qt.HasLen, 0)
 
 	cs := k.Claims(at(takeoverWait), instances())
@@ -87,7 +87,7 @@
 	})
 
 	heartbeats[0].Revision = 32
-	k.Observe(at(takeoverWait), position(33), ggsfencing.Reading{Records: records, Beats: heartbeats})
+	k.Observe(at(takeoverWait), position(33), ggsfencing.Reading{Records: records, Heartbeats: heartbeats})
 	c.Assert(k.Claims(at(takeoverWait), instances()), qt.HasLen, 0)
 }
 
@@ -96,7 +96,7 @@
 	c := qt.New(t)
 	k := keeper("b")
 	k.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
-	k.BeatEnded(at(0), k.Beat(at(0)), position(31), false)
+	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(31), false)
 	c.Assert(k.Claims(at(turn), instances()), qt.HasLen, 0)
 	c.Assert(k.Claims(at(turn+ggsfencing.DefaultMargin), instances()), qt.HasLen, 1)
 	c.Assert(k.Owner(runner), qt.Equals, ggscore.VMID(""))
@@ -110,11 +110,11 @@
 	k := keeper("a")
 	k.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
 	c.Assert(k.Claims(at(0), instances()), qt.HasLen, 0, qt.Commentf("no heartbeat yet"))
-	k.BeatEnded(at(0), k.Beat(at(0)), position(31), false)
+	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(31), false)
 	cs := k.Claims(at(0), instances())
 	c.Assert(cs, qt.DeepEquals, []ggsfencing.Claim{{Endpoint: runner, RecordRevision: 10}})
-	k.ClaimEnded(at(0), cs[0], position(32))
-	_, ok := k.May(at(0), runner)
+	k.ClaimAcknowledged(at(0), cs[0], position(32))
+	_, ok := k.AuthorizeOrder(at(0), runner)
 	c.Assert(ok, qt.IsTrue)
 }
 
@@ -125,19 +125,19 @@
 	c := qt.New(t)
 	k := keeper("a")
 	k.Observe(at(0), position(30), ggsfencing.Reading{
-		Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}},
-		Beats:   []ggsfencing.Beat{{VM: "a", Domain: "d", Revision: 20}},
+		Records:    []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}},
+		Heartbeats: []ggsfencing.Heartbeat{{VM: "a", Domain: "d", Revision: 20}},
 	})
-	_, ok := k.May(at(0), runner)
+	_, ok := k.AuthorizeOrder(at(0), runner)
 	c.Assert(ok, qt.IsFalse)
-	p := k.Beat(at(0))
-	c.Assert(p, qt.DeepEquals, ggsfencing.BeatPlan{
+	p := k.NextHeartbeat(at(0))
+	c.Assert(p, qt.DeepEquals, ggsfencing.HeartbeatPlan{
 		Revision: 20, Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}},
 	})
-	k.BeatEnded(at(0), p, position(31), false)
-	fence, ok := k.May(at(0), runner)
+	k.HeartbeatAnswered(at(0), p, position(31), false)
+	fence, ok := k.AuthorizeOrder(at(0), runner)
 	c.Assert(ok, qt.IsTrue)
-	c.Assert(fence, qt.Equals, ggscore.FenceNumber(10))
+	c.Assert(fence, qt.Equals, ggscore.FencingToken(10))
 }
 
 // Guards against records of removed endpoints that exhaust the conditions of the VM's
@@ -148,15 +148,15 @@
 	c := qt.New(t)
 	k := owner(c)
 	k.SetListed(at(0), instances())
-	c.Assert(k.Beat(at(time.Hour)).Records, qt.HasLen, 1)
+	c.Assert(k.NextHeartbeat(at(time.Hour)).Records, qt.HasLen, 1)
 	k.SetListed(at(time.Hour), nil)
-	p := k.Beat(at(time.Hour + ggsfencing.DefaultForget - 1))
+	p := k.NextHeartbeat(at(time.Hour + ggsfencing.DefaultRecordRetention - 1))
 	c.Assert(p.Records, qt.HasLen, 1)
 	c.Assert(p.Drop, qt.HasLen, 0)
-	p = k.Beat(at(time.Hour + ggsfencing.DefaultForget))
+	p = k.NextHeartbeat(at(time.Hour + ggsfencing.DefaultRecordRetention))
 	c.Assert(p.Records, qt.HasLen, 0)
 	c.Assert(p.Drop, qt.DeepEquals, []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}})
-	k.BeatEnded(at(time.Hour+ggsfencing.DefaultForget), p, position(40), false)
+	k.HeartbeatAnswered(at(time.Hour+ggsfencing.DefaultRecordRetention), p, position(40), false)
 	c.Assert(k.Records(), qt.HasLen, 0)
 }
 
@@ -167,16 +167,16 @@
 	c := qt.New(t)
 	k := keeper("a")
 	k.Observe(at(0), position(1), ggsfencing.Reading{})
-	k.BeatEnded(at(0), k.Beat(at(0)), position(5), false)
+	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(5), false)
 	var ready []ggscore.Instance
 	for i := range 100 {
 		ready = append(ready, ggscore.Instance{ID: ggscore.EndpointID(rune('a' + i)), Domain: "d"})
 	}
-	now := at(ggsfencing.DefaultSettle)
+	now := at(ggsfencing.DefaultClaimDelay)
 	for n, cl := range k.Claims(now, ready) {
-		k.ClaimEnded(now, cl, position(ggscore.StoreRevision(10+n)))
+		k.ClaimAcknowledged(now, cl, position(ggscore.StoreRevision(10+n)))
 	}
-	c.Assert(k.Beat(now).Records, qt.HasLen, ggsfencing.DefaultMaxRecords)
+	c.Assert(k.NextHeartbeat(now).Records, qt.HasLen, ggsfencing.DefaultMaxRecords)
 	c.Assert(k.Claims(now, ready), qt.HasLen, 0)
 }
 
@@ -196,7 +196,7 @@
 func TestOneVMOfTheDomainClaims(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	vms := []ggsfencing.Beat{
+	vms := []ggsfencing.Heartbeat{
 		{VM: "a", Domain: "d", Revision: 1},
 		{VM: "b", Domain: "d", Revision: 2},
 		{VM: "far", Domain: "e", Revision: 3},
@@ -205,13 +205,13 @@
 	reachable := []ggscore.VMID{"a", "b", "far"}
 	claims := 0
 	for _, vm := range vms {
-		k := ggsfencing.NewKeeper(ggsfencing.Options{Self: vm.VM, Domain: vm.Domain, Turn: turn})
-		k.Observe(at(0), position(10), ggsfencing.Reading{Beats: vms})
-		k.SetHeard(reachable)
+		k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm.VM, Domain: vm.Domain, MinOrderGap: turn})
+		k.Observe(at(0), position(10), ggsfencing.Reading{Heartbeats: vms})
+		k.SetReachable(reachable)
 		if vm.VM == "gone" {
 			continue
 		}
-		n := len(k.Claims(at(ggsfencing.DefaultSettle), instances()))
+		n := len(k.Claims(at(ggsfencing.DefaultClaimDelay), instances()))
 		if vm.Domain != "d" {
 			c.Assert(n, qt.Equals, 0, qt.Commentf("%s", vm.VM))
 		}
@@ -226,11 +226,11 @@
 	t.Parallel()
 	c := qt.New(t)
 	const endpoints = 20
-	vms := []ggsfencing.Beat{{VM: "wide", Domain: "d", Capacity: 40, Revision: 1}}
+	vms := []ggsfencing.Heartbeat{{VM: "wide", Domain: "d", Capacity: 40, Revision: 1}}
 	reachable := []ggscore.VMID{"wide"}
 	for i := range 10 {
 		vm := ggscore.VMID(fmt.Sprintf("thin-%d", i))
-		vms = append(vms, ggsfencing.Beat{VM: vm, Domain: "d", Capacity: 1, Revision: 1})
+		vms = append(vms, ggsfencing.Heartbeat{VM: vm, Domain: "d", Capacity: 1, Revision: 1})
 		reachable = append(reachable, vm)
 	}
 	var ready []ggscore.Instance
@@ -238,10 +238,10 @@
 		ready = append(ready, ggscore.Instance{ID: ggscore.EndpointID(fmt.Sprintf("r%d", i)), Domain: "d"})
 	}
 	claims := func(vm ggscore.VMID, most int, records []ggsfencing.Record) int {
-		k := ggsfencing.NewKeeper(ggsfencing.Options{Self: vm, Domain: "d", Turn: turn, MaxRecords: most})
-		k.Observe(at(0), position(10), ggsfencing.Reading{Records: records, Beats: vms})
-		k.SetHeard(reachable)
-		return len(k.Claims(at(ggsfencing.DefaultSettle), ready))
+		k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, Domain: "d", MinOrderGap: turn, MaxRecords: most})
+		k.Observe(at(0), position(10), ggsfencing.Reading{Records: records, Heartbeats: vms})
+		k.SetReachable(reachable)
+		return len(k.Claims(at(ggsfencing.DefaultClaimDelay), ready))
 	}
 	c.Assert(claims("wide", endpoints, nil) >= endpoints/2, qt.IsTrue)
 
@@ -265,8 +265,8 @@
 	copied := ggsfencing.Record{Endpoint: runner, Owner: "a", Epoch: 1, Revision: 10}
 	k.Observe(at(0), ggscore.StorePosition{Epoch: 2, Revision: 20}, ggsfencing.Reading{Records: []ggsfencing.Record{copied}})
 	k.SetListed(at(0), nil)
-	c.Check(k.Beat(at(ggsfencing.DefaultForget-1)).Drop, qt.HasLen, 0)
-	p := k.Beat(at(ggsfencing.DefaultForget))
+	c.Check(k.NextHeartbeat(at(ggsfencing.DefaultRecordRetention-1)).Drop, qt.HasLen, 0)
+	p := k.NextHeartbeat(at(ggsfencing.DefaultRecordRetention))
 	c.Check(p.Records, qt.HasLen, 0)
 	c.Check(p.Drop, qt.DeepEquals, []ggsfencing.Record{copied})
 }
--- a/core/ggsfencing/reading.go
+++ b/core/ggsfencing/reading.go
@@ -11,7 +11,7 @@
 // last one is ignored. The zero position marks a partial reading from a peer. A partial
 // reading proves nothing about records that are absent from it, and it is only used until
 // this VM has read the store.
-func (k *Keeper) Observe(now time.Time, at ggscore.StorePosition, r Reading) {
+func (k *OwnershipTracker) Observe(now time.Time, at ggscore.StorePosition, r Reading) {
 	if at.IsZero() && k.synced || at.Before(ggscore.StorePosition{Epoch: k.epoch, Revision: k.readRevision}) && !at.IsZero() {
 		return
 	}
@@ -22,8 +22,8 @@
 		k.beginEpoch(now, at.Epoch, r)
 	}
 	k.readRevision = at.Revision
-	k.storedSettled = r.Settled
-	k.settled = k.settled || r.Settled == k.epoch
+	k.storedSettled = r.SettledEpoch
+	k.settled = k.settled || r.SettledEpoch == k.epoch
 	seen := make(map[ggscore.EndpointID]bool, len(r.Records))
 	for _, x := range r.Records {
 		seen[x.Endpoint] = true
@@ -35,11 +35,11 @@
 			delete(k.rights, id)
 		}
 	}
-	k.observeHeartbeats(now, at, r.Beats)
+	k.observeHeartbeats(now, at, r.Heartbeats)
 }
 
 // beginEpoch starts an epoch with its first reading.
-func (k *Keeper) beginEpoch(now time.Time, e ggscore.StoreEpoch, r Reading) {
+func (k *OwnershipTracker) beginEpoch(now time.Time, e ggscore.StoreEpoch, r Reading) {
 	first := !k.synced
 	k.previousOwners = map[ggscore.EndpointID]ggscore.VMID{}
 	for id := range k.records {
@@ -52,16 +52,16 @@
 	clear(k.heartbeats)
 }
 
-func (k *Keeper) allWrittenIn(e ggscore.StoreEpoch, rs []Record) bool {
+func (k *OwnershipTracker) allWrittenIn(e ggscore.StoreEpoch, rs []Record) bool {
 	return !slices.ContainsFunc(rs, func(r Record) bool { return r.Epoch != e })
 }
 
-func (k *Keeper) observeHeartbeats(now time.Time, at ggscore.StorePosition, heartbeats []Beat) {
+func (k *OwnershipTracker) observeHeartbeats(now time.Time, at ggscore.StorePosition, heartbeats []Heartbeat) {
 	alive := make(map[ggscore.VMID]bool, len(heartbeats))
 	for _, b := range heartbeats {
 		alive[b.VM] = true
 		if h := k.heartbeats[b.VM]; h == nil || h.Revision != b.Revision {
-			k.heartbeats[b.VM] = &heartbeat{Beat: b, since: now}
+			k.heartbeats[b.VM] = &heartbeat{Heartbeat: b, since: now}
 		}
 		if b.VM == k.options.Self && b.Revision > k.ownRevision {
 			k.ownRevision = b.Revision
@@ -69,13 +69,13 @@
 	}
 	for vm, b := range k.heartbeats {
 		if !at.IsZero() && !alive[vm] && b.Revision != 0 {
-			k.heartbeats[vm] = &heartbeat{Beat: Beat{VM: vm}, since: now}
+			k.heartbeats[vm] = &heartbeat{Heartbeat: Heartbeat{VM: vm}, since: now}
 		}
 	}
 }
 
 // observeRecord applies a record that was read from the store.
-func (k *Keeper) observeRecord(now time.Time, r Record) {
+func (k *OwnershipTracker) observeRecord(now time.Time, r Record) {
 	h := k.records[r.Endpoint]
 	if h != nil && h.Revision >= r.Revision {
 		return
@@ -88,15 +88,15 @@
 
 // inCurrentEpoch reports whether a record was written in the current epoch, and so names the
 // current owner.
-func (k *Keeper) inCurrentEpoch(r Record) bool { return r.Epoch == k.epoch }
+func (k *OwnershipTracker) inCurrentEpoch(r Record) bool { return r.Epoch == k.epoch }
 
 // earlierRightsExpired reports whether all rights from earlier epochs have expired.
-func (k *Keeper) earlierRightsExpired(now time.Time) bool {
+func (k *OwnershipTracker) earlierRightsExpired(now time.Time) bool {
 	return k.settled || k.synced && now.Sub(k.epochSince) >= k.takeoverWait()
 }
 
 // SetListed replaces the list of known endpoints.
-func (k *Keeper) SetListed(now time.Time, list []ggscore.Instance) {
+func (k *OwnershipTracker) SetListed(now time.Time, list []ggscore.Instance) {
 	listed := make(map[ggscore.EndpointID]bool, len(list))
 	for i := range list {
 		listed[list[i].ID] = true
--- a/core/ggsfencing/world_test.go
+++ b/core/ggsfencing/world_test.go
@@ -30,7 +30,7 @@
 	epoch      ggscore.StoreEpoch
 	revision   ggscore.StoreRevision
 	records    map[ggscore.EndpointID]ggsfencing.Record
-	heartbeats map[ggscore.VMID]ggsfencing.Beat
+	heartbeats map[ggscore.VMID]ggsfencing.Heartbeat
 	settled    ggscore.StoreEpoch
 }
 
@@ -44,12 +44,12 @@
 }
 
 func (s state) reading() ggsfencing.Reading {
-	r := ggsfencing.Reading{Settled: s.settled}
+	r := ggsfencing.Reading{SettledEpoch: s.settled}
 	for _, x := range s.records {
 		r.Records = append(r.Records, x)
 	}
 	for _, b := range s.heartbeats {
-		r.Beats = append(r.Beats, b)
+		r.Heartbeats = append(r.Heartbeats, b)
 	}
 	return r
 }
@@ -88,7 +88,7 @@
 	}
 	w.current.revision++
 	if x.heartbeat != "" {
-		w.current.heartbeats[x.heartbeat] = ggsfencing.Beat{VM: x.heartbeat, Domain: "d", Revision: w.current.revision}
+		w.current.heartbeats[x.heartbeat] = ggsfencing.Heartbeat{VM: x.heartbeat, Domain: "d", Revision: w.current.revision}
 	}
 	for _, r := range x.put {
 		r.Revision = w.current.revision
@@ -108,17 +108,17 @@
 	at       time.Time
 	endpoint ggscore.EndpointID
 	vm       ggscore.VMID
-	fence    ggscore.FenceNumber
+	fence    ggscore.FencingToken
 }
 
 type vm struct {
 	id ggscore.VMID
-	k  *ggsfencing.Keeper
+	k  *ggsfencing.OwnershipTracker
 }
 
 func newSimulation(vms, endpoints int) *simulation {
 	w := &simulation{now: at(0), current: state{
-		epoch: 1, revision: 1, records: map[ggscore.EndpointID]ggsfencing.Record{}, heartbeats: map[ggscore.VMID]ggsfencing.Beat{},
+		epoch: 1, revision: 1, records: map[ggscore.EndpointID]ggsfencing.Record{}, heartbeats: map[ggscore.VMID]ggsfencing.Heartbeat{},
 	}}
 	for i := range vms {
 		id := ggscore.VMID(fmt.Sprintf("vm-%d", i))
@@ -171,15 +171,15 @@
 }
 
 func (w *simulation) heartbeat(v *vm, f outcome, late time.Duration) {
-	p, sent := v.k.Beat(w.now), w.now
+	p, sent := v.k.NextHeartbeat(w.now), w.now
 	if _, ok := v.k.Epoch(); !ok {
 		return
 	}
 	x := transaction{
 		epoch: p.Epoch, heartbeats: map[ggscore.VMID]ggscore.StoreRevision{v.id: p.Revision},
-		records: revisions(append(p.Drop, p.Records...)), heartbeat: v.id, drop: p.Drop, settle: p.Settle,
+		records: revisions(append(p.Drop, p.Records...)), heartbeat: v.id, drop: p.Drop, settle: p.MarkSettled,
 	}
-	w.store(f, late, x, func(at ggscore.StorePosition, ok bool) { v.k.BeatEnded(sent, p, at, !ok) })
+	w.store(f, late, x, func(at ggscore.StorePosition, ok bool) { v.k.HeartbeatAnswered(sent, p, at, !ok) })
 }
 
 func revisions(rs []ggsfencing.Record) map[ggscore.EndpointID]ggscore.StoreRevision {
@@ -207,7 +207,7 @@
 	}
 	w.store(f, late, x, func(at ggscore.StorePosition, ok bool) {
 		if ok {
-			v.k.ClaimEnded(sent, c, at)
+			v.k.ClaimAcknowledged(sent, c, at)
 		}
 	})
 }
@@ -216,7 +216,7 @@
 // its process.
 func (w *simulation) release(v *vm, f outcome, late time.Duration) {
 	v.k.Stop()
-	p := v.k.Beat(w.now)
+	p := v.k.NextHeartbeat(w.now)
 	x := transaction{epoch: p.Epoch, heartbeats: map[ggscore.VMID]ggscore.StoreRevision{v.id: p.Revision}, records: revisions(p.Records)}
 	for _, r := range p.Records {
 		x.put = append(x.put, ggsfencing.Record{Endpoint: r.Endpoint, Owner: v.id, Released: true, Epoch: p.Epoch})
@@ -248,7 +248,7 @@
 
 // order makes a VM send an order that arrives after the flight time, if the VM may send it.
 func (w *simulation) order(v *vm, id ggscore.EndpointID, flight time.Duration) {
-	if f, ok := v.k.May(w.now, id); ok {
+	if f, ok := v.k.AuthorizeOrder(w.now, id); ok {
 		w.orders = append(w.orders, order{at: w.now.Add(flight), endpoint: id, vm: v.id, fence: f})
 	}
 }
--- a/core/ggsowner/group.go
+++ b/core/ggsowner/group.go
@@ -94,7 +94,7 @@
 // *NotProtectedError and *PinnedError.
 func (g *Group) Check(
 	now time.Time, l *Lease, id ggscore.EndpointID, a ggscore.AdapterRef, k ggscore.OrderKind,
-) (ggscore.FenceNumber, error) {
+) (ggscore.FencingToken, error) {
 	m := g.Mode(now, l)
 	if m == ggscore.ModeNone || (m == ggscore.ModeResidentOnly && k != ggscore.OrderDispatch) {
 		return 0, &NotOwnerError{Endpoint: id, Mode: m}
--- a/core/ggsowner/group_test.go
+++ b/core/ggsowner/group_test.go
@@ -104,7 +104,7 @@
 	c.Assert(d.group.Mode(s.now, d.lease), qt.Equals, ggscore.ModeResidentOnly)
 	s.runSteps(0)
 	c.Assert(d.group.Mode(s.now, d.lease), qt.Equals, ggscore.ModeFull)
-	c.Assert(s.record.Fence, qt.Equals, ggscore.FenceNumber(2))
+	c.Assert(s.record.Fence, qt.Equals, ggscore.FencingToken(2))
 }
 
 // Two owners order loads at the same time: a candidate reads that the first owner's
@@ -152,7 +152,7 @@
 	s.renew(1, true)
 	s.pollRecord(1)
 	c.Assert(s.dispatchers[1].group.Mode(s.now, s.dispatchers[1].lease), qt.Equals, ggscore.ModeFull)
-	c.Assert(s.record.Fence, qt.Equals, ggscore.FenceNumber(2))
+	c.Assert(s.record.Fence, qt.Equals, ggscore.FencingToken(2))
 	c.Assert(s.order(t, 0, a, ggscore.OrderDispatch), qt.IsNil)
 	var p *PinnedError
 	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.ErrorAs, &p)
--- a/core/ggsowner/record.go
+++ b/core/ggsowner/record.go
@@ -70,7 +70,7 @@
 	// Lease is the owner's lease. The owner may give orders other than dispatches
 	// only while it holds this lease.
 	Lease ggscore.LeaseID
-	Fence ggscore.FenceNumber
+	Fence ggscore.FencingToken
 	// Released says that the owner gives no more orders and accepts no new
 	// requests. The adapters of its requests in flight are in Pins.
 	Released bool
--- a/core/ggsowner/world_test.go
+++ b/core/ggsowner/world_test.go
@@ -41,7 +41,7 @@
 	dispatchers []*dispatcher
 	resident    AdapterSet
 	// fences maps each fencing token to its owner.
-	fences map[ggscore.FenceNumber]Holder
+	fences map[ggscore.FencingToken]Holder
 }
 
 const runner = ggscore.EndpointID("runner")
@@ -52,7 +52,7 @@
 		leases:    map[ggscore.LeaseID]time.Time{},
 		leaseKeys: map[ggscore.VMID]ggscore.LeaseID{},
 		resident:  AdapterSet{runner: nil},
-		fences:    map[ggscore.FenceNumber]Holder{},
+		fences:    map[ggscore.FencingToken]Holder{},
 	}
 	for i := range n {
 		s.dispatchers = append(s.dispatchers, nil)
--- a/core/ggsplace/choose.go
+++ b/core/ggsplace/choose.go
@@ -211,7 +211,7 @@
 	if q.Engine == nil || t.options.Turns == nil || !t.options.Policy.On(ggscore.MechanismTurns) {
 		return load
 	}
-	return max(t.options.Turns.Expect(now, q.Service, e.ID, q.PromptTokens).Ready, load)
+	return max(t.options.Turns.Estimate(now, q.Service, e.ID, q.PromptTokens).Ready, load)
 }
 
 // Retry-after times for refused callers. Load that fills endpoints comes in bursts of seconds,
--- a/core/ggsplace/departures.go
+++ b/core/ggsplace/departures.go
@@ -12,7 +12,7 @@
 // Born time) and takes precedence over the registry entry.
 func (t *Table) RecordDeparture(d ggscore.Departure) bool {
 	e := t.endpoints[d.Endpoint]
-	if e == nil || !e.Born.Equal(d.Born) {
+	if e == nil || !e.StartedAt.Equal(d.StartedAt) {
 		return false
 	}
 	changed := !e.Leaving
@@ -25,7 +25,7 @@
 	var ds []ggscore.Departure
 	for id, e := range t.endpoints {
 		if e.leaveAnnounced {
-			ds = append(ds, ggscore.Departure{Endpoint: id, Born: e.Born})
+			ds = append(ds, ggscore.Departure{Endpoint: id, StartedAt: e.StartedAt})
 		}
 	}
 	slices.SortFunc(ds, func(a, b ggscore.Departure) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
--- a/core/ggsplace/departures_test.go
+++ b/core/ggsplace/departures_test.go
@@ -18,9 +18,9 @@
 	t.Parallel()
 	born, again := time.UnixMilli(1_000), time.UnixMilli(9_000)
 	entry := func(born time.Time) ggscore.Instance {
-		return ggscore.Instance{ID: "p0", Service: plain, Domain: "d0", Slots: 6, Born: born}
+		return ggscore.Instance{ID: "p0", Service: plain, Domain: "d0", Slots: 6, StartedAt: born}
 	}
-	announced := ggscore.Departure{Endpoint: "p0", Born: born}
+	announced := ggscore.Departure{Endpoint: "p0", StartedAt: born}
 	for name, tc := range map[string]struct {
 		announced  []ggscore.Departure
 		after      []ggscore.Instance
@@ -32,8 +32,8 @@
 		"entry unchanged":  {announced: []ggscore.Departure{announced}, after: []ggscore.Instance{entry(born)}, changed: true, departures: 1},
 		"entry removed":    {announced: []ggscore.Departure{announced}, changed: true},
 		"restarted":        {announced: []ggscore.Departure{announced}, after: []ggscore.Instance{entry(again)}, changed: true, accepts: true},
-		"another process":  {announced: []ggscore.Departure{{Endpoint: "p0", Born: again}}, after: []ggscore.Instance{entry(born)}, accepts: true},
-		"unknown endpoint": {announced: []ggscore.Departure{{Endpoint: "p9", Born: born}}, after: []ggscore.Instance{entry(born)}, accepts: true},
+		"another process":  {announced: []ggscore.Departure{{Endpoint: "p0", StartedAt: again}}, after: []ggscore.Instance{entry(born)}, accepts: true},
+		"unknown endpoint": {announced: []ggscore.Departure{{Endpoint: "p9", StartedAt: born}}, after: []ggscore.Instance{entry(born)}, accepts: true},
 		"announced twice":  {announced: []ggscore.Departure{announced, announced}, after: []ggscore.Instance{entry(born)}, departures: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/core/ggsplace/homes.go
+++ b/core/ggsplace/homes.go
@@ -110,8 +110,8 @@
 // as popular.
 const otherCopyWeight = 0.3
 
-// Missed implements ggscore.AdapterDemand.
-func (t *Table) Missed(now time.Time, id ggscore.EndpointID, a ggscore.ModelAdapter) float64 {
+// MissRate implements ggscore.AdapterDemand.
+func (t *Table) MissRate(now time.Time, id ggscore.EndpointID, a ggscore.ModelAdapter) float64 {
 	rate := t.demand.LongTerm(now, a)
 	if self := t.endpoints[id]; self != nil {
 		for _, e := range t.services[self.Service] {
--- a/core/ggsplace/load_test.go
+++ b/core/ggsplace/load_test.go
@@ -158,7 +158,7 @@
 		q.runner, q.since = n.byID[c.Instance.ID], now
 		q.tried = append(q.tried, q.runner.id)
 		held := q.runner.ledger.Holds(q.target, 0)
-		if !held && q.runner.ledger.Crowded(q.target) {
+		if !held && q.runner.ledger.QueueFull(q.target) {
 			continue
 		}
 		if !held {
@@ -226,7 +226,7 @@
 
 func (n *peakSim) report(now time.Time, r *simRunner) {
 	n.table.SetHeld(now, r.id, r.ledger.Resident())
-	n.table.SetLoadCapacity(r.id, r.ledger.Waiting(), r.ledger.Room(now))
+	n.table.SetLoadCapacity(r.id, r.ledger.Waiting(), r.ledger.FreeCapacity(now))
 }
 
 // executeOrders executes the orders that are due at a runner.
@@ -236,7 +236,7 @@
 		if !ok {
 			return
 		}
-		r.ledger.Ended(now, s, n.execute(now, r, s))
+		r.ledger.HandleAnswer(now, s, n.execute(now, r, s))
 		n.report(now, r)
 	}
 }
@@ -251,11 +251,11 @@
 		return ggscore.PlacementAccepted
 	case s.Unload:
 		delete(r.held, t)
-		return ggscore.PlacementHolds
+		return ggscore.PlacementSatisfied
 	case r.held[t] || inProgress && !now.Before(done):
 		delete(r.loading, t)
 		r.held[t] = true
-		return ggscore.PlacementHolds
+		return ggscore.PlacementSatisfied
 	case inProgress:
 		return ggscore.PlacementAccepted
 	case r.warm[t]:
--- a/core/ggsplace/table.go
+++ b/core/ggsplace/table.go
@@ -56,7 +56,7 @@
 	Seed    uint64
 	// Turns estimates when endpoints prefill a prompt. Without it, only requests in flight
 	// count.
-	Turns ggscore.TurnExpecter
+	Turns ggscore.TurnEstimator
 	// Throttle enforces the rate limits of endpoints. Without it, none is enforced.
 	Throttle ggscore.EndpointThrottle
 	Policy   ggscore.Policy
@@ -137,7 +137,7 @@
 	for _, n := range list {
 		seen[n.ID] = true
 		e := t.endpoints[n.ID]
-		if e == nil || !e.Born.Equal(n.Born) || e.Addr != n.Addr {
+		if e == nil || !e.StartedAt.Equal(n.StartedAt) || e.Addr != n.Addr {
 			e = &endpoint{missing: map[ggscore.ModelAdapter]time.Time{}, warm: map[ggscore.ModelAdapter]warmAdapter{}}
 			t.endpoints[n.ID] = e
 			t.breakers.Remove(n.ID)
--- a/core/ggsplace/table_test.go
+++ b/core/ggsplace/table_test.go
@@ -347,8 +347,8 @@
 	tb.SetHeld(at(0), "r10", held[:1])
 	tb.RecordRequests(at(0), adapter(1), 4)
 	tb.RecordRequests(at(0), adapter(2), 4)
-	c.Assert(tb.Missed(at(time.Second), "r00", adapter(1)) < tb.Missed(at(time.Second), "r00", adapter(2)), qt.IsTrue)
-	c.Assert(tb.Missed(at(time.Second), "r00", adapter(3)), qt.Equals, 0.0)
+	c.Assert(tb.MissRate(at(time.Second), "r00", adapter(1)) < tb.MissRate(at(time.Second), "r00", adapter(2)), qt.IsTrue)
+	c.Assert(tb.MissRate(at(time.Second), "r00", adapter(3)), qt.Equals, 0.0)
 }
 
 // Guards against counting a peer's requests twice, or for ever after the peer fell silent. A
--- a/core/ggsregistry/registry.go
+++ b/core/ggsregistry/registry.go
@@ -35,9 +35,9 @@
 	// MissingGrace is how long endpoints whose entries were lost stay on the list. Live
 	// endpoints write their entries again within about that time.
 	MissingGrace = 2 * time.Second
-	// CopyTrust is how long after the start of an epoch a copied entry may belong to a process
+	// StaleCopyPeriod is how long after the start of an epoch a copied entry may belong to a process
 	// that has ended. By then such entries have expired, after three missed heartbeats.
-	CopyTrust = 10 * time.Second
+	StaleCopyPeriod = 10 * time.Second
 	// removalMaxAge is how long the removal of an endpoint is remembered. Copies of the store are
 	// only seconds old.
 	removalMaxAge = time.Minute
@@ -93,7 +93,7 @@
 			continue
 		}
 		i := e.Instance
-		if born, ok := r.leaving[i.ID]; ok && born.Equal(i.Born) {
+		if born, ok := r.leaving[i.ID]; ok && born.Equal(i.StartedAt) {
 			i.Leaving = true
 		}
 		list[i.ID] = i
@@ -116,7 +116,7 @@
 	}
 	for id, i := range r.list {
 		if i.Leaving {
-			r.leaving[id] = i.Born
+			r.leaving[id] = i.StartedAt
 		}
 	}
 }
@@ -130,14 +130,14 @@
 // staleCopy reports whether an entry was copied from before its process was seen removed.
 func (r *Registry) staleCopy(now time.Time, e Entry) bool {
 	d, ok := r.removed[e.ID]
-	return ok && d.born.Equal(e.Born) && d.at.Before(r.epochSince) && r.copied[e.ID] == e.Revision && r.epochYoungerThan(now, CopyTrust)
+	return ok && d.born.Equal(e.StartedAt) && d.at.Before(r.epochSince) && r.copied[e.ID] == e.Revision && r.epochYoungerThan(now, StaleCopyPeriod)
 }
 
 // setList stores the list and records the endpoints that were removed from it.
 func (r *Registry) setList(now time.Time, list map[ggscore.EndpointID]ggscore.Instance) {
 	for id, i := range r.list {
 		if _, ok := list[id]; !ok {
-			r.removed[id] = removal{born: i.Born, at: now}
+			r.removed[id] = removal{born: i.StartedAt, at: now}
 		}
 	}
 	maps.DeleteFunc(r.removed, func(id ggscore.EndpointID, d removal) bool { return now.Sub(d.at) > removalMaxAge })
@@ -155,8 +155,8 @@
 		return r.epochSince.Add(MissingGrace)
 	}
 	for id, d := range r.removed {
-		if _, ok := r.copied[id]; ok && d.at.Before(r.epochSince) && r.epochYoungerThan(now, CopyTrust) {
-			return r.epochSince.Add(CopyTrust)
+		if _, ok := r.copied[id]; ok && d.at.Before(r.epochSince) && r.epochYoungerThan(now, StaleCopyPeriod) {
+			return r.epochSince.Add(StaleCopyPeriod)
 		}
 	}
 	return time.Time{}
--- a/core/ggsregistry/registry_test.go
+++ b/core/ggsregistry/registry_test.go
@@ -17,7 +17,7 @@
 }
 
 func entry(r ggscore.StoreRevision, born int64, leaving bool) ggsregistry.Entry {
-	return ggsregistry.Entry{Instance: ggscore.Instance{ID: "e", Born: time.UnixMilli(born), Leaving: leaving}, Revision: r}
+	return ggsregistry.Entry{Instance: ggscore.Instance{ID: "e", StartedAt: time.UnixMilli(born), Leaving: leaving}, Revision: r}
 }
 
 // A reading is a reading of the entries at a time after the start.
@@ -82,7 +82,7 @@
 				{0, position(1, 6), []ggsregistry.Entry{ready}},
 				{time.Second, position(1, 9), nil},
 				{restored, position(2, 6), []ggsregistry.Entry{ready}},
-				{restored + ggsregistry.CopyTrust, position(2, 8), []ggsregistry.Entry{ready}},
+				{restored + ggsregistry.StaleCopyPeriod, position(2, 8), []ggsregistry.Entry{ready}},
 			},
 			listed: true,
 		},
--- a/core/ggsrelay/node.go
+++ b/core/ggsrelay/node.go
@@ -143,10 +143,10 @@
 	if len(vms) == 0 {
 		return "", nil
 	}
-	h.Carrier = vms[h.Sequence%uint64(len(vms))]
+	h.CountingRelay = vms[h.Sequence%uint64(len(vms))]
 	n.sent[h.Sequence%sentHistory] = h
 	n.table.heartbeat(now, n.options.Self.VM, h)
-	return h.Carrier, slices.DeleteFunc(vms, func(vm ggscore.VMID) bool { return vm == n.options.Self.VM })
+	return h.CountingRelay, slices.DeleteFunc(vms, func(vm ggscore.VMID) bool { return vm == n.options.Self.VM })
 }
 
 // Heartbeat records the heartbeat of another VM of this VM's domain.
--- a/core/ggsrelay/node_test.go
+++ b/core/ggsrelay/node_test.go
@@ -236,7 +236,7 @@
 	}
 	s.departures = func(vm ggscore.VMID) []ggscore.Departure {
 		if vm == "vm-017" {
-			return []ggscore.Departure{{Endpoint: "leaves", Born: time.UnixMilli(1)}}
+			return []ggscore.Departure{{Endpoint: "leaves", StartedAt: time.UnixMilli(1)}}
 		}
 		return nil
 	}
--- a/core/ggsrelay/sim_test.go
+++ b/core/ggsrelay/sim_test.go
@@ -149,13 +149,13 @@
 		InFlight: []ggscore.InFlight{{Endpoint: endpointOf(n.member.VM), Count: int(s.now.Milliseconds())}},
 		Uses:     []ggscore.Use{{Endpoint: "shared", Target: ggscore.ModelAdapter{Model: "m", Adapter: "a"}, Count: 1, Active: true}},
 	}
-	h.News.Epoch = n.epoch
+	h.Progress.Epoch = n.epoch
 	h.Limits, h.Departures = s.limits(n.member.VM), s.departures(n.member.VM)
 	if n.sequence%9 == 0 {
 		h.Holdings = []ggscore.Holding{{Endpoint: endpointOf(n.member.VM), Whole: true}}
 	}
 	carrier, to := n.Report(clock(s.now), h)
-	h.Carrier = carrier
+	h.CountingRelay = carrier
 	for _, vm := range to {
 		s.send(n, vm, func(o *simNode) { o.Heartbeat(clock(s.now), h) })
 	}
@@ -204,7 +204,7 @@
 
 func (s *sim) apply(n *simNode, v ggsrelay.View) {
 	n.appliedAt = s.now
-	n.epoch = max(n.epoch, v.News.Epoch)
+	n.epoch = max(n.epoch, v.Progress.Epoch)
 	if v.CountsValid {
 		clear(n.inFlight)
 		for _, f := range v.InFlight {
@@ -218,7 +218,7 @@
 		n.demand += d.Count
 	}
 	for _, d := range v.Departures {
-		n.departures[d.Endpoint] = d.Born
+		n.departures[d.Endpoint] = d.StartedAt
 	}
 	for _, l := range v.Limits {
 		n.limits[l.Endpoint] = l
--- a/core/ggsrelay/table.go
+++ b/core/ggsrelay/table.go
@@ -70,7 +70,7 @@
 	for _, p := range []*pendingUpdates{t.domainPending, t.fleetPending} {
 		p.addHoldings(hs)
 		p.addUses(h.Uses)
-		if h.Carrier != "" && h.Carrier != self {
+		if h.CountingRelay != "" && h.CountingRelay != self {
 			continue
 		}
 		p.addEnded(h.InFlight)
@@ -179,13 +179,13 @@
 
 // stateSummary returns a summary of this VM's domain with the states that are sent each time.
 func (t *table) stateSummary(now time.Time) ggscore.Summary {
-	s := ggscore.Summary{News: unknownNews()}
+	s := ggscore.Summary{Progress: unknownNews()}
 	for vm, h := range t.heartbeats {
 		s.Included = append(s.Included, ggscore.IncludedHeartbeat{VM: Hash(vm), Sequence: h.Sequence})
 		if now.Sub(h.receivedAt) <= maxLiveAge {
 			s.Live = append(s.Live, Hash(vm))
 		}
-		s.News = s.News.Merge(h.News.Aged(now.Sub(h.receivedAt)))
+		s.Progress = s.Progress.Merge(h.Progress.Aged(now.Sub(h.receivedAt)))
 		s.Limits = mergeLimits(s.Limits, h.Limits, now.Sub(h.receivedAt))
 		s.Departures = mergeDepartures(s.Departures, h.Departures)
 		if s.Decider == "" || vm < s.Decider {
@@ -199,7 +199,7 @@
 func (t *table) addRemoteState(now time.Time, s *ggscore.Summary) {
 	for _, d := range t.domains {
 		s.Live = append(s.Live, d.live...)
-		s.News = s.News.Merge(d.News.Aged(now.Sub(d.receivedAt)))
+		s.Progress = s.Progress.Merge(d.Progress.Aged(now.Sub(d.receivedAt)))
 		s.Limits = mergeLimits(s.Limits, d.Limits, now.Sub(d.receivedAt))
 		s.Departures = mergeDepartures(s.Departures, d.Departures)
 		if d.Decider != "" && (s.Decider == "" || d.Decider < s.Decider) {
@@ -211,7 +211,9 @@
 // unknownAge is the age that stands for a list that was never read.
 const unknownAge = time.Hour
 
-func unknownNews() ggscore.News { return ggscore.News{ListAge: unknownAge, OperatorsAge: unknownAge} }
+func unknownNews() ggscore.StoreProgress {
+	return ggscore.StoreProgress{ListAge: unknownAge, OperatorsAge: unknownAge}
+}
 
 func sortState(s *ggscore.Summary) {
 	slices.SortFunc(s.Included, func(a, b ggscore.IncludedHeartbeat) int { return cmp.Compare(a.VM, b.VM) })
@@ -236,7 +238,7 @@
 
 func mergeDepartures(ds, others []ggscore.Departure) []ggscore.Departure {
 	for _, d := range others {
-		if !slices.ContainsFunc(ds, func(o ggscore.Departure) bool { return o.Endpoint == d.Endpoint && o.Born.Equal(d.Born) }) {
+		if !slices.ContainsFunc(ds, func(o ggscore.Departure) bool { return o.Endpoint == d.Endpoint && o.StartedAt.Equal(d.StartedAt) }) {
 			ds = append(ds, d)
 		}
 	}
--- a/core/ggsresident/answers.go
+++ b/core/ggsresident/answers.go
@@ -6,8 +6,8 @@
 	ggscore "greengageslip/core"
 )
 
-// Ended applies the answer to an order.
-func (l *Ledger) Ended(now time.Time, s Step, a ggscore.PlacementAnswer) {
+// HandleAnswer applies the answer to an order.
+func (l *Ledger) HandleAnswer(now time.Time, s Step, a ggscore.PlacementAnswer) {
 	if h := l.held[s.Target]; s.Poll && h != nil {
 		h.polling = false
 		if a != ggscore.PlacementUnknown {
@@ -20,7 +20,7 @@
 	switch a {
 	case ggscore.PlacementAccepted:
 		l.accepted(now, s)
-	case ggscore.PlacementHolds:
+	case ggscore.PlacementSatisfied:
 		l.confirmed(now, s)
 	case ggscore.PlacementMisdirected:
 		l.synced, l.misdirectedAt = false, now
@@ -52,7 +52,7 @@
 		return
 	}
 	l.lostAnswers++
-	s.Again = true
+	s.Repeat = true
 	l.lostOrder, l.repeatAt = &s, now.Add(backoff(l.lostAnswers))
 }
 
@@ -89,8 +89,8 @@
 // expects, and doesn't count it.
 func (l *Ledger) accepted(now time.Time, s Step) {
 	if h := l.held[s.Target]; s.Poll && h != nil {
-		h.pollAt = now.Add(l.options.Poll)
-		if slow := h.orderedAt.Add(l.options.LoadTime - l.options.Poll/2); h.inTransit && slow.After(h.pollAt) {
+		h.pollAt = now.Add(l.options.PollInterval)
+		if slow := h.orderedAt.Add(l.options.LoadTime - l.options.PollInterval/2); h.inTransit && slow.After(h.pollAt) {
 			h.pollAt = slow
 		}
 		return
@@ -108,11 +108,11 @@
 	}
 	h.orderedAt, h.target = now, s.Version
 	if s.Unload {
-		h.evicting, h.pollAt = true, now.Add(l.options.Poll)
+		h.evicting, h.pollAt = true, now.Add(l.options.PollInterval)
 		return
 	}
 	h.inTransit = true
-	h.pollAt = now.Add(l.options.LoadTime - l.options.Poll/2)
+	h.pollAt = now.Add(l.options.LoadTime - l.options.PollInterval/2)
 	if l.loadedBefore[s.Target] {
 		h.pollAt = now.Add(warmLoadPoll)
 	}
@@ -148,7 +148,7 @@
 		l.unclearSince = now
 	}
 	if h := l.held[s.Target]; h != nil {
-		h.pollAt = now.Add(l.options.Poll)
+		h.pollAt = now.Add(l.options.PollInterval)
 	}
 	if s.Target.Adapter == "" {
 		l.modelPollAt = now.Add(l.options.LoadTime)
--- a/core/ggsresident/ledger.go
+++ b/core/ggsresident/ledger.go
@@ -36,15 +36,15 @@
 
 // Defaults of Options.
 const (
-	// DefaultTransit is the number of adapters that an endpoint loads at once.
-	DefaultTransit = 4
+	// DefaultMaxInTransit is the number of adapters that an endpoint loads at once.
+	DefaultMaxInTransit = 4
 	// DefaultLoadTime is how long an adapter takes to load from the weight store.
 	DefaultLoadTime = 250 * time.Millisecond
-	// DefaultPoll is the interval between polls for an adapter in transit. A poll costs
+	// DefaultPollInterval is the interval between polls for an adapter in transit. A poll costs
 	// little, but a late one delays the requests that wait for the adapter.
-	DefaultPoll = 20 * time.Millisecond
-	// DefaultForget is how long an adapter stays wanted after the last request for it.
-	DefaultForget = 3 * time.Second
+	DefaultPollInterval = 20 * time.Millisecond
+	// WantRetention is how long an adapter stays wanted after the last request for it.
+	WantRetention = 3 * time.Second
 	// minIdleTime is how long an adapter has to be unused before it is evicted. An eviction of
 	// an adapter in use blocks all other orders until the adapter's requests have ended, and
 	// new requests for the adapter are refused. Uses by other VMs are known after a heartbeat
@@ -84,16 +84,16 @@
 	// least recently used adapter is evicted.
 	Demand ggscore.AdapterDemand
 	// Slots is the number of adapters that the endpoint holds at once.
-	Slots    int
-	Transit  int
-	LoadTime time.Duration
-	Poll     time.Duration
+	Slots        int
+	MaxInTransit int
+	LoadTime     time.Duration
+	PollInterval time.Duration
 	// Unanswered are the unanswered orders to the endpoint's current and earlier processes.
 	Unanswered *Unanswered
-	// NewsDelay is the extra delivery time of VMs' use reports, compared with a heartbeat that
+	// ReportDelay is the extra delivery time of VMs' use reports, compared with a heartbeat that
 	// is sent directly.
-	NewsDelay time.Duration
-	Policy    ggscore.Policy
+	ReportDelay time.Duration
+	Policy      ggscore.Policy
 }
 
 // A Step is an order to send.
@@ -104,8 +104,8 @@
 	Expected uint64
 	// Poll says that the step polls for the completion of an accepted order.
 	Poll bool
-	// Again says that the step repeats an order whose answer was lost.
-	Again bool
+	// Repeat says that the step repeats an order whose answer was lost.
+	Repeat bool
 }
 
 // A Ledger tracks the models and adapters of one endpoint, the adapters that requests wait for,
@@ -164,9 +164,9 @@
 
 // NewLedger returns a Ledger that needs a Sync before it returns orders.
 func NewLedger(o Options) *Ledger {
-	o.Transit = cmp.Or(o.Transit, DefaultTransit)
+	o.MaxInTransit = cmp.Or(o.MaxInTransit, DefaultMaxInTransit)
 	o.LoadTime = cmp.Or(o.LoadTime, DefaultLoadTime)
-	o.Poll = cmp.Or(o.Poll, DefaultPoll)
+	o.PollInterval = cmp.Or(o.PollInterval, DefaultPollInterval)
 	if o.Unanswered == nil {
 		o.Unanswered = &Unanswered{}
 	}
@@ -185,18 +185,18 @@
 	return l.unclearSince.IsZero() || now.Sub(l.unclearSince) < resyncAfter
 }
 
-// Moved reports whether another endpoint has recently answered at the address. The caller
+// RecentlyMisdirected reports whether another endpoint has recently answered at the address. The caller
 // then pauses.
 //
 // A runner that restarts after a crash answers at its address under another identity, while
 // the previous entry stays on the list for 3.6 s. Without the pause, status requests and
 // orders alternated at a rate of 180 per second each.
-func (l *Ledger) Moved(now time.Time) bool {
+func (l *Ledger) RecentlyMisdirected(now time.Time) bool {
 	return !l.misdirectedAt.IsZero() && now.Sub(l.misdirectedAt) < misdirectedPause
 }
 
-// Unclear reports whether an answer left open which orders the endpoint accepted.
-func (l *Ledger) Unclear() bool { return !l.unclearSince.IsZero() }
+// Ambiguous reports whether an answer left open which orders the endpoint accepted.
+func (l *Ledger) Ambiguous() bool { return !l.unclearSince.IsZero() }
 
 // Sync applies the endpoint's status report. A report that is older than the last order is
 // ignored, unless an answer was ambiguous.
@@ -219,13 +219,13 @@
 			l.held[t] = h
 		}
 	}
-	for _, t := range s.Coming {
+	for _, t := range s.InTransit {
 		h := l.held[t]
 		if h == nil {
 			h = &held{}
 			l.held[t] = h
 		}
-		h.inTransit, h.orderedAt, h.pollAt = true, now, now.Add(l.options.Poll)
+		h.inTransit, h.orderedAt, h.pollAt = true, now, now.Add(l.options.PollInterval)
 		if b := before[t]; b != nil {
 			h.target, h.lastUsed, h.users, h.released = b.target, b.lastUsed, b.users, b.released
 		}
@@ -240,8 +240,8 @@
 	}
 }
 
-// Restarted resets the ledger after a restart of the endpoint.
-func (l *Ledger) Restarted() {
+// Reset resets the ledger after a restart of the endpoint.
+func (l *Ledger) Reset() {
 	*l = *NewLedger(l.options)
 }
 
@@ -310,8 +310,8 @@
 	return false
 }
 
-// Crowded reports whether too many adapters wait to be loaded for the target to be added.
-func (l *Ledger) Crowded(t ggscore.ModelAdapter) bool {
+// QueueFull reports whether too many adapters wait to be loaded for the target to be added.
+func (l *Ledger) QueueFull(t ggscore.ModelAdapter) bool {
 	return len(l.wants) >= maxWants && !l.isWanted(t)
 }
 
--- a/core/ggsresident/ledger_test.go
+++ b/core/ggsresident/ledger_test.go
@@ -45,10 +45,10 @@
 	l.Want(at(0), adapter(9), 0)
 	s := next(c, l, at(0))
 	c.Assert(s, qt.DeepEquals, ggsresident.Step{Unload: true, Target: adapter(1), Expected: 7})
-	l.Ended(at(0), s, ggscore.PlacementHolds)
+	l.HandleAnswer(at(0), s, ggscore.PlacementSatisfied)
 	s = next(c, l, at(0))
 	c.Assert(s, qt.DeepEquals, ggsresident.Step{Target: adapter(9), Expected: 8})
-	l.Ended(at(0), s, ggscore.PlacementAccepted)
+	l.HandleAnswer(at(0), s, ggscore.PlacementAccepted)
 	c.Assert(l.Holds(adapter(9), 0), qt.IsFalse)
 
 	_, ok := l.Next(at(time.Millisecond))
@@ -56,10 +56,10 @@
 	s = next(c, l, l.Due(at(0)))
 	c.Assert(s.Poll, qt.IsTrue)
 	c.Assert(s.Expected, qt.Equals, uint64(9))
-	l.Ended(at(250*time.Millisecond), s, ggscore.PlacementAccepted)
+	l.HandleAnswer(at(250*time.Millisecond), s, ggscore.PlacementAccepted)
 	s = next(c, l, l.Due(at(0)))
 	c.Assert(s.Expected, qt.Equals, uint64(9), qt.Commentf("a poll isn't counted as an order"))
-	l.Ended(at(270*time.Millisecond), s, ggscore.PlacementHolds)
+	l.HandleAnswer(at(270*time.Millisecond), s, ggscore.PlacementSatisfied)
 	c.Assert(l.Holds(adapter(9), 0), qt.IsTrue)
 	_, ok = l.Next(at(270 * time.Millisecond))
 	c.Assert(ok, qt.IsFalse)
@@ -93,12 +93,12 @@
 	l := synced(1, 1)
 	l.Want(at(0), adapter(9), 0)
 	s := next(c, l, at(0))
-	l.Ended(at(0), s, ggscore.PlacementAccepted)
+	l.HandleAnswer(at(0), s, ggscore.PlacementAccepted)
 	_, ok := l.Next(at(time.Millisecond))
 	c.Assert(ok, qt.IsFalse)
 	s = next(c, l, l.Due(at(0)))
 	c.Assert(s, qt.DeepEquals, ggsresident.Step{Unload: true, Target: adapter(0), Expected: 8, Poll: true})
-	l.Ended(at(30*time.Millisecond), s, ggscore.PlacementHolds)
+	l.HandleAnswer(at(30*time.Millisecond), s, ggscore.PlacementSatisfied)
 	s = next(c, l, at(30*time.Millisecond))
 	c.Assert(s, qt.DeepEquals, ggsresident.Step{Target: adapter(9), Expected: 8})
 }
@@ -123,11 +123,11 @@
 			l.Want(at(0), adapter(1), 0)
 			l.Want(at(0), adapter(2), 0)
 			s := next(c, l, at(0))
-			l.Ended(at(0), s, ggscore.PlacementUnknown)
+			l.HandleAnswer(at(0), s, ggscore.PlacementUnknown)
 			again := next(c, l, at(0))
 			c.Assert(again.Target, qt.Equals, s.Target)
 			c.Assert(again.Expected, qt.Equals, s.Expected)
-			l.Ended(at(0), again, tc.answer)
+			l.HandleAnswer(at(0), again, tc.answer)
 			c.Assert(l.Holds(s.Target, 0), qt.IsFalse)
 			if tc.report {
 				_, ok := l.Next(at(0))
@@ -155,7 +155,7 @@
 		s, ok := l.Next(now)
 		if ok {
 			n++
-			l.Ended(now, s, ggscore.PlacementUnknown)
+			l.HandleAnswer(now, s, ggscore.PlacementUnknown)
 		}
 		if !ok {
 			c.Assert(l.Due(now).After(now), qt.IsTrue)
@@ -163,7 +163,7 @@
 	}
 	c.Assert(n < 20, qt.IsTrue, qt.Commentf("%d orders", n))
 	s := next(c, l, l.Due(at(0)))
-	l.Ended(l.Due(at(0)), s, ggscore.PlacementAccepted)
+	l.HandleAnswer(l.Due(at(0)), s, ggscore.PlacementAccepted)
 	c.Assert(l.Holds(adapter(1), 0), qt.IsFalse)
 }
 
@@ -175,7 +175,7 @@
 	c := qt.New(t)
 	l := synced(4, 0)
 	l.Want(at(0), adapter(1), 0)
-	l.Ended(at(0), next(c, l, at(0)), ggscore.PlacementConflict)
+	l.HandleAnswer(at(0), next(c, l, at(0)), ggscore.PlacementConflict)
 	_, ok := l.Next(at(time.Millisecond))
 	c.Assert(ok, qt.IsFalse)
 	c.Assert(l.Synced(at(100*time.Millisecond)), qt.IsTrue)
@@ -198,16 +198,16 @@
 		if !ok {
 			break
 		}
-		l.Ended(at(0), s, ggscore.PlacementAccepted)
+		l.HandleAnswer(at(0), s, ggscore.PlacementAccepted)
 		n++
 	}
-	c.Assert(n, qt.Equals, ggsresident.DefaultTransit)
-	c.Assert(l.Crowded(adapter(100)), qt.IsFalse)
+	c.Assert(n, qt.Equals, ggsresident.DefaultMaxInTransit)
+	c.Assert(l.QueueFull(adapter(100)), qt.IsFalse)
 	for i := range 20 {
 		l.Want(at(0), adapter(i), 0)
 	}
-	c.Assert(l.Crowded(adapter(100)), qt.IsTrue)
-	c.Assert(l.Crowded(adapter(3)), qt.IsFalse)
+	c.Assert(l.QueueFull(adapter(100)), qt.IsTrue)
+	c.Assert(l.QueueFull(adapter(3)), qt.IsFalse)
 }
 
 // Guards against requests that begin on the old version of a resident adapter after an
@@ -221,8 +221,8 @@
 	l.Want(at(0), adapter(0), 2)
 	s := next(c, l, at(0))
 	c.Assert(s, qt.DeepEquals, ggsresident.Step{Target: adapter(0), Version: 2, Expected: 7})
-	l.Ended(at(0), s, ggscore.PlacementAccepted)
-	l.Ended(at(250*time.Millisecond), next(c, l, l.Due(at(0))), ggscore.PlacementHolds)
+	l.HandleAnswer(at(0), s, ggscore.PlacementAccepted)
+	l.HandleAnswer(at(250*time.Millisecond), next(c, l, l.Due(at(0))), ggscore.PlacementSatisfied)
 	c.Assert(l.Holds(adapter(0), 2), qt.IsTrue)
 	c.Assert(l.Version(adapter(0)), qt.Equals, uint64(2))
 }
@@ -236,10 +236,10 @@
 	l.Want(at(0), adapter(1), 0)
 	s := next(c, l, at(0))
 	c.Assert(s, qt.DeepEquals, ggsresident.Step{Target: ggscore.ModelAdapter{Model: "m"}})
-	l.Ended(at(0), s, ggscore.PlacementAccepted)
+	l.HandleAnswer(at(0), s, ggscore.PlacementAccepted)
 	_, ok := l.Next(at(time.Millisecond))
 	c.Assert(ok, qt.IsFalse)
-	l.Ended(at(time.Second), next(c, l, l.Due(at(0))), ggscore.PlacementHolds)
+	l.HandleAnswer(at(time.Second), next(c, l, l.Due(at(0))), ggscore.PlacementSatisfied)
 	c.Assert(l.Holds(ggscore.ModelAdapter{Model: "m"}, 0), qt.IsTrue)
 }
 
@@ -248,14 +248,14 @@
 	c := qt.New(t)
 	l := synced(2, 0)
 	l.Want(at(0), adapter(1), 0)
-	l.Ended(at(0), next(c, l, at(0)), ggscore.PlacementMisdirected)
+	l.HandleAnswer(at(0), next(c, l, at(0)), ggscore.PlacementMisdirected)
 	c.Assert(l.Synced(at(0)), qt.IsFalse)
 }
 
 // demand maps adapters to the rates of requests that would miss them.
 type demand map[ggscore.ModelAdapter]float64
 
-func (d demand) Missed(_ time.Time, _ ggscore.EndpointID, a ggscore.ModelAdapter) float64 {
+func (d demand) MissRate(_ time.Time, _ ggscore.EndpointID, a ggscore.ModelAdapter) float64 {
 	return d[a]
 }
 
@@ -310,8 +310,8 @@
 			l := ggsresident.NewLedger(ggsresident.Options{Slots: 1, Demand: demand{adapter(0): tc.rate}})
 			l.Sync(at(-time.Hour), ggscore.InstanceStatus{Models: []ggscore.ResidentModel{{Name: "m"}}})
 			l.Want(at(-time.Second), adapter(0), 0)
-			l.Ended(at(-time.Second), next(c, l, at(-time.Second)), ggscore.PlacementAccepted)
-			l.Ended(at(0), next(c, l, at(0)), ggscore.PlacementHolds)
+			l.HandleAnswer(at(-time.Second), next(c, l, at(-time.Second)), ggscore.PlacementAccepted)
+			l.HandleAnswer(at(0), next(c, l, at(0)), ggscore.PlacementSatisfied)
 			_, ok := l.Next(at(0))
 			c.Assert(ok, qt.IsFalse)
 			for _, vm := range tc.users {
@@ -320,8 +320,8 @@
 			for _, vm := range tc.ended {
 				l.Use(at(100*time.Millisecond), adapter(0), vm, false)
 			}
-			c.Assert(l.Room(at(110*time.Millisecond)), qt.Equals, tc.room)
-			c.Assert(l.Room(at(2*time.Second)), qt.Equals, 1, qt.Commentf("no report of use for long"))
+			c.Assert(l.FreeCapacity(at(110*time.Millisecond)), qt.Equals, tc.room)
+			c.Assert(l.FreeCapacity(at(2*time.Second)), qt.Equals, 1, qt.Commentf("no report of use for long"))
 		})
 	}
 }
@@ -339,7 +339,7 @@
 	for _, a := range []int{6, 7, 5} {
 		s := next(c, l, at(0))
 		c.Assert(s.Target, qt.Equals, adapter(a))
-		l.Ended(at(0), s, ggscore.PlacementAccepted)
+		l.HandleAnswer(at(0), s, ggscore.PlacementAccepted)
 	}
 }
 
@@ -350,7 +350,7 @@
 	c := qt.New(t)
 	l := synced(4, 0)
 	l.Want(at(0), adapter(1), 0)
-	l.Ended(at(0), next(c, l, at(0)), ggscore.PlacementAccepted)
+	l.HandleAnswer(at(0), next(c, l, at(0)), ggscore.PlacementAccepted)
 	poll := next(c, l, at(300*time.Millisecond))
 	c.Assert(poll.Poll, qt.IsTrue)
 	_, ok := l.Next(at(301 * time.Millisecond))
@@ -358,15 +358,15 @@
 	l.Want(at(301*time.Millisecond), adapter(2), 0)
 	s := next(c, l, at(301*time.Millisecond))
 	c.Assert(s.Target, qt.Equals, adapter(2))
-	l.Ended(at(302*time.Millisecond), s, ggscore.PlacementAccepted)
+	l.HandleAnswer(at(302*time.Millisecond), s, ggscore.PlacementAccepted)
 
-	l.Ended(at(325*time.Millisecond), poll, ggscore.PlacementUnknown)
+	l.HandleAnswer(at(325*time.Millisecond), poll, ggscore.PlacementUnknown)
 	poll = next(c, l, at(325*time.Millisecond))
 	c.Assert(poll.Target, qt.Equals, adapter(1))
 	// The order in between changed the number of accepted orders. The conflict in answer to
 	// the poll then means that the adapter is loaded.
 	poll.Expected--
-	l.Ended(at(330*time.Millisecond), poll, ggscore.PlacementConflict)
+	l.HandleAnswer(at(330*time.Millisecond), poll, ggscore.PlacementConflict)
 	c.Assert(l.Holds(adapter(1), 0), qt.IsTrue)
 	c.Assert(l.Holds(adapter(2), 0), qt.IsFalse)
 }
@@ -378,11 +378,11 @@
 	t.Parallel()
 	c := qt.New(t)
 	l := synced(4, 0)
-	c.Assert(l.Moved(at(0)), qt.IsFalse)
+	c.Assert(l.RecentlyMisdirected(at(0)), qt.IsFalse)
 	l.Want(at(0), adapter(1), 0)
-	l.Ended(at(0), next(c, l, at(0)), ggscore.PlacementMisdirected)
-	c.Assert(l.Moved(at(time.Second)), qt.IsTrue)
-	c.Assert(l.Moved(at(2*time.Second)), qt.IsFalse)
+	l.HandleAnswer(at(0), next(c, l, at(0)), ggscore.PlacementMisdirected)
+	c.Assert(l.RecentlyMisdirected(at(time.Second)), qt.IsTrue)
+	c.Assert(l.RecentlyMisdirected(at(2*time.Second)), qt.IsFalse)
 }
 
 // Guards against a runner that crashes because it is ordered to load too many adapters. It
@@ -393,17 +393,17 @@
 	c := qt.New(t)
 	l := synced(2, 1)
 	l.Want(at(0), adapter(8), 0)
-	l.Ended(at(0), next(c, l, at(0)), ggscore.PlacementAccepted)
+	l.HandleAnswer(at(0), next(c, l, at(0)), ggscore.PlacementAccepted)
 	l.Want(at(0), adapter(9), 0)
 	s := next(c, l, at(time.Millisecond))
 	c.Assert(s, qt.DeepEquals, ggsresident.Step{Unload: true, Target: adapter(0), Expected: 8})
-	l.Ended(at(30*time.Millisecond), s, ggscore.PlacementUnknown)
-	l.Ended(at(40*time.Millisecond), next(c, l, at(30*time.Millisecond)), ggscore.PlacementConflict)
+	l.HandleAnswer(at(30*time.Millisecond), s, ggscore.PlacementUnknown)
+	l.HandleAnswer(at(40*time.Millisecond), next(c, l, at(30*time.Millisecond)), ggscore.PlacementConflict)
 	for now := at(40 * time.Millisecond); l.Synced(now); now = now.Add(10 * time.Millisecond) {
 		s, ok := l.Next(now)
 		c.Assert(ok && !s.Poll, qt.IsFalse, qt.Commentf("%+v", s))
 		if ok {
-			l.Ended(now, s, ggscore.PlacementAccepted)
+			l.HandleAnswer(now, s, ggscore.PlacementAccepted)
 		}
 	}
 }
--- a/core/ggsresident/number_test.go
+++ b/core/ggsresident/number_test.go
@@ -31,18 +31,18 @@
 	// The ledger counts an order that the endpoint didn't count, and sends one that expects the
 	// next number.
 	l.Want(now, old, 2)
-	l.Ended(now, next(c, l, now), ggscore.PlacementAccepted)
+	l.HandleAnswer(now, next(c, l, now), ggscore.PlacementAccepted)
 	l.Want(now, late, 0)
 	s := next(c, l, now)
 	c.Assert(s, qt.Equals, ggsresident.Step{Target: late, Expected: 11})
-	l.Ended(now, s, ggscore.PlacementUnknown)
-	l.Ended(now, next(c, l, now), ggscore.PlacementConflict)
+	l.HandleAnswer(now, s, ggscore.PlacementUnknown)
+	l.HandleAnswer(now, next(c, l, now), ggscore.PlacementConflict)
 
 	// The endpoint's report shows fewer accepted orders. The unanswered order may still be
 	// executed.
 	now = now.Add(resync)
 	l.Sync(now, report(10, old, 2))
-	now = now.Add(ggsresident.DefaultForget + time.Second)
+	now = now.Add(ggsresident.WantRetention + time.Second)
 	l.Want(now, wanted, 0)
 	if s, ok := l.Next(now); ok {
 		c.Assert(s.Unload, qt.IsTrue, qt.Commentf("%+v", s))
@@ -59,16 +59,16 @@
 	now := at(0)
 	l.Sync(now, report(10, adapter(0), 1))
 	l.Want(now, adapter(0), 2)
-	l.Ended(now, next(c, l, now), ggscore.PlacementAccepted)
+	l.HandleAnswer(now, next(c, l, now), ggscore.PlacementAccepted)
 	l.Want(now, adapter(1), 0)
-	l.Ended(now, next(c, l, now), ggscore.PlacementConflict)
+	l.HandleAnswer(now, next(c, l, now), ggscore.PlacementConflict)
 	now = now.Add(resync)
 	l.Sync(now, report(11, adapter(0), 1))
 
 	l.Want(now, adapter(0), 2)
 	s := next(c, l, now)
 	c.Assert(s, qt.Equals, ggsresident.Step{Target: adapter(0), Version: 2, Expected: 11, Poll: true})
-	l.Ended(now, s, ggscore.PlacementAccepted)
+	l.HandleAnswer(now, s, ggscore.PlacementAccepted)
 	l.Want(now, adapter(1), 0)
 	c.Assert(next(c, l, now), qt.Equals, ggsresident.Step{Target: adapter(1), Expected: 11})
 }
--- a/core/ggsresident/orders.go
+++ b/core/ggsresident/orders.go
@@ -40,7 +40,7 @@
 // popular adapters of a failed runner waited behind rare ones.
 func (l *Ledger) sortWants(now time.Time) {
 	l.wants = slices.DeleteFunc(l.wants, func(w want) bool {
-		return l.Holds(w.target, w.version) || now.Sub(w.since) > DefaultForget
+		return l.Holds(w.target, w.version) || now.Sub(w.since) > WantRetention
 	})
 	if !l.options.Policy.On(ggscore.MechanismWantedFirst) {
 		return
@@ -64,7 +64,7 @@
 	if h != nil && (h.inTransit && h.target >= w.version || h.evicting) {
 		return Step{}, false
 	}
-	if l.loadsInTransit() >= l.options.Transit {
+	if l.loadsInTransit() >= l.options.MaxInTransit {
 		return Step{}, false
 	}
 	s := Step{Target: w.target, Version: w.version, Expected: l.sequence}
@@ -124,7 +124,7 @@
 	if l.options.Demand == nil || !l.options.Policy.On(ggscore.MechanismDemand) {
 		return 0
 	}
-	return l.options.Demand.Missed(now, l.options.Endpoint, t)
+	return l.options.Demand.MissRate(now, l.options.Endpoint, t)
 }
 
 func (l *Ledger) isWanted(t ggscore.ModelAdapter) bool {
@@ -175,7 +175,7 @@
 
 // needsEviction reports whether a wanted adapter waits for another adapter to be evicted.
 func (l *Ledger) needsEviction() bool {
-	if len(l.held) < l.options.Slots || l.loadsInTransit() >= l.options.Transit || l.evicting() {
+	if len(l.held) < l.options.Slots || l.loadsInTransit() >= l.options.MaxInTransit || l.evicting() {
 		return false
 	}
 	for i := range l.wants {
@@ -186,9 +186,9 @@
 	return false
 }
 
-// Room returns the number of adapters that could be loaded at once, into free slots or in
+// FreeCapacity returns the number of adapters that could be loaded at once, into free slots or in
 // place of unused adapters.
-func (l *Ledger) Room(now time.Time) int {
+func (l *Ledger) FreeCapacity(now time.Time) int {
 	n := l.options.Slots - len(l.held)
 	for t, h := range l.held {
 		if !h.inTransit && !h.evicting && !l.isWanted(t) && !now.Before(l.unusedAt(now, h, l.missRate(now, t))) {
@@ -209,8 +209,8 @@
 	if h.released && rate < rareRequestRate && l.options.Policy.On(ggscore.MechanismRelease) {
 		return h.lastUsed
 	}
-	at := h.lastUsed.Add(minIdleTime + l.options.NewsDelay)
-	maxAge := useReportMaxAge + l.options.NewsDelay
+	at := h.lastUsed.Add(minIdleTime + l.options.ReportDelay)
+	maxAge := useReportMaxAge + l.options.ReportDelay
 	for vm, reported := range h.users {
 		if now.Sub(reported) > maxAge {
 			delete(h.users, vm)
--- a/core/ggsresident/runner_test.go
+++ b/core/ggsresident/runner_test.go
@@ -81,11 +81,11 @@
 		m.replacing[s.Target] = replacement{s.Version, now.Add(replaceTime)}
 		return ggscore.PlacementAccepted
 	case s.Unload && !holds, !s.Unload && holds:
-		return ggscore.PlacementHolds
+		return ggscore.PlacementSatisfied
 	case s.Unload:
 		m.sequence++
 		delete(m.held, s.Target)
-		return ggscore.PlacementHolds
+		return ggscore.PlacementSatisfied
 	}
 	if _, ok := m.inTransit[s.Target]; ok {
 		return ggscore.PlacementConflict
@@ -104,7 +104,7 @@
 		s.Models[0].Adapters = append(s.Models[0].Adapters, ggscore.ResidentVersion{Adapter: a.Adapter, Version: v})
 	}
 	for a := range m.inTransit {
-		s.Coming = append(s.Coming, a)
+		s.InTransit = append(s.InTransit, a)
 	}
 	return s
 }
@@ -120,7 +120,7 @@
 		return s, a, false
 	}
 	a = execute(s)
-	l.Ended(now, s, a)
+	l.HandleAnswer(now, s, a)
 	return s, a, true
 }
 
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -92,13 +92,13 @@
 	}
 	n := ggscore.TurnTally{Service: s, Streams: 1}
 	if degraded {
-		n.Hurt = 1
+		n.Degraded = 1
 	}
 	t.AddTally(now, n)
 	for i := range t.tallies {
 		if t.tallies[i].Service == s {
 			t.tallies[i].Streams += n.Streams
-			t.tallies[i].Hurt += n.Hurt
+			t.tallies[i].Degraded += n.Degraded
 			return
 		}
 	}
--- a/core/ggsturn/pauses_test.go
+++ b/core/ggsturn/pauses_test.go
@@ -21,7 +21,7 @@
 
 func waits(t *ggsturn.Table, now time.Duration) bool {
 	n := t.Take(at(now), models, "r9", 100_000, 0)
-	w := t.Expect(at(now), models, "r9", 1000).Wait
+	w := t.Estimate(at(now), models, "r9", 1000).Wait
 	t.Drop(n)
 	return w > 0
 }
@@ -130,10 +130,10 @@
 	b.SetService(models, gapAim)
 	b.Restore(at(0), h[0])
 	c.Assert(waits(b, 0), qt.IsTrue)
-	c.Assert(b.Expect(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
+	c.Assert(b.Estimate(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
 	// A stored record doesn't override what was learned since.
 	b.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: time.Second})
-	c.Assert(b.Expect(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
+	c.Assert(b.Estimate(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
 }
 
 // Guards against VMs that decide for themselves from slightly different counts. Prompts of
@@ -164,7 +164,7 @@
 	b.RecordFirstPiece(at(70*time.Millisecond), n, at(0))
 	s, l := b.DrainUnreported()
 	c.Assert(s, qt.DeepEquals, []ggscore.TurnSample{{Service: models, Tokens: 1000, Took: 70 * time.Millisecond}})
-	c.Assert(l, qt.DeepEquals, []ggscore.TurnTally{{Service: models, Streams: 2, Hurt: 1}})
+	c.Assert(l, qt.DeepEquals, []ggscore.TurnTally{{Service: models, Streams: 2, Degraded: 1}})
 	s, l = b.DrainUnreported()
 	c.Assert(s, qt.HasLen, 0)
 	c.Assert(l, qt.HasLen, 0)
--- a/core/ggsturn/samples.go
+++ b/core/ggsturn/samples.go
@@ -21,7 +21,7 @@
 // AddTally adds stream counts of this VM or a peer.
 func (t *Table) AddTally(now time.Time, n ggscore.TurnTally) {
 	p := &t.service(n.Service).mode
-	p.addTally(now, n.Streams, n.Hurt)
+	p.addTally(now, n.Streams, n.Degraded)
 	p.updateObserveAll(now)
 	if t.decides {
 		p.updateMode(now)
@@ -33,7 +33,7 @@
 	var ms []ggscore.TurnMode
 	for n, v := range t.services {
 		if v.gapAim > 0 {
-			ms = append(ms, ggscore.TurnMode{Service: n, Waits: v.mode.enforced, Without: v.mode.baseline})
+			ms = append(ms, ggscore.TurnMode{Service: n, Waits: v.mode.enforced, DegradedBefore: v.mode.baseline})
 		}
 	}
 	return ms
@@ -45,7 +45,7 @@
 	if t.decides || p.enforced == m.Waits {
 		return
 	}
-	p.baseline = m.Without
+	p.baseline = m.DegradedBefore
 	p.setMode(now, m.Waits)
 }
 
@@ -63,7 +63,7 @@
 		if v.gapAim > 0 && v.speed.known() {
 			hs = append(hs, ggscore.TurnShape{
 				Service: n, PerToken: v.speed.slope, Start: v.speed.intercept,
-				Quiet: v.mode.decodeGap, Mode: ggscore.TurnMode{Service: n, Waits: v.mode.enforced, Without: v.mode.baseline},
+				Quiet: v.mode.decodeGap, Mode: ggscore.TurnMode{Service: n, Waits: v.mode.enforced, DegradedBefore: v.mode.baseline},
 			})
 		}
 	}
@@ -84,7 +84,7 @@
 	v.speed.slope, v.speed.intercept = min(max(h.PerToken, minPerToken), maxPerToken), max(h.Start, 0)
 	v.mode.decodeGap = max(h.Quiet, 0)
 	if h.Mode.Waits {
-		v.mode.baseline = min(max(h.Mode.Without, maxDegraded), 1)
+		v.mode.baseline = min(max(h.Mode.DegradedBefore, maxDegraded), 1)
 		v.mode.setMode(now, true)
 	}
 }
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -53,7 +53,7 @@
 	FirstNumber uint64
 }
 
-var _ ggscore.TurnExpecter = (*Table)(nil)
+var _ ggscore.TurnEstimator = (*Table)(nil)
 
 // A Table holds the turns of all endpoints and the learned prefill speeds.
 type Table struct {
@@ -126,9 +126,9 @@
 	return q
 }
 
-// Expect estimates the wait for a turn and the time until a prompt is prefilled. Zero tokens
+// Estimate estimates the wait for a turn and the time until a prompt is prefilled. Zero tokens
 // mean the usual size.
-func (t *Table) Expect(now time.Time, s ggscore.Service, id ggscore.EndpointID, tokens int) ggscore.TurnEstimate {
+func (t *Table) Estimate(now time.Time, s ggscore.Service, id ggscore.EndpointID, tokens int) ggscore.TurnEstimate {
 	v, q := t.service(s), t.queue(id)
 	prefill := v.prefillTime(q, v.size.orMean(tokens))
 	begin := t.earliestBegin(now, v, q, prefill)
--- a/core/ggsturn/table_test.go
+++ b/core/ggsturn/table_test.go
@@ -29,7 +29,7 @@
 func table(vm ggscore.VMID) *ggsturn.Table {
 	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
 	t.SetService(models, gapAim)
-	t.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: perToken, Quiet: quiet, Mode: ggscore.TurnMode{Service: models, Waits: true, Without: 0.5}})
+	t.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: perToken, Quiet: quiet, Mode: ggscore.TurnMode{Service: models, Waits: true, DegradedBefore: 0.5}})
 	return t
 }
 
@@ -47,7 +47,7 @@
 	c.Assert(take(b, 0, 3000), qt.Equals, time.Duration(0))
 	c.Assert(take(b, 0, 1000), qt.Equals, gapAim, qt.Commentf("250 ms of prefill have begun"))
 	c.Assert(take(b, 0, 1000), qt.Equals, gapAim)
-	e := b.Expect(at(10*time.Millisecond), models, runner, 1000)
+	e := b.Estimate(at(10*time.Millisecond), models, runner, 1000)
 	c.Assert(e.Wait, qt.Equals, gapAim-10*time.Millisecond)
 	c.Assert(e.Ready, qt.Equals, gapAim+3*50*time.Millisecond-10*time.Millisecond)
 }
@@ -119,7 +119,7 @@
 	c := qt.New(t)
 	b := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
 	b.SetService(models, gapAim)
-	ready := func() time.Duration { return b.Expect(at(0), models, runner, 10_000).Ready }
+	ready := func() time.Duration { return b.Estimate(at(0), models, runner, 10_000).Ready }
 	c.Assert(ready(), qt.Equals, 500*time.Millisecond, qt.Commentf("before any sample"))
 	for i := range 60 {
 		tokens := 200 + 97*i%3000
@@ -144,9 +144,9 @@
 		b.RecordFirstPiece(at(now+200*time.Millisecond), n, at(now))
 		now += time.Second
 	}
-	slow := b.Expect(at(now), models, runner, 1000).Ready
+	slow := b.Estimate(at(now), models, runner, 1000).Ready
 	c.Assert(slow > 100*time.Millisecond, qt.IsTrue, qt.Commentf("%s", slow))
-	c.Assert(b.Expect(at(now), models, "r2", 1000).Ready, qt.Equals, 50*time.Millisecond)
+	c.Assert(b.Estimate(at(now), models, "r2", 1000).Ready, qt.Equals, 50*time.Millisecond)
 }
 
 // Guards against VMs of a large fleet that observe different endpoints, so that no VM knows
@@ -175,7 +175,7 @@
 	c.Check(announced, qt.Equals, 8)
 
 	// Turns are enforced now, and all are announced.
-	a.AddTally(at(0), ggscore.TurnTally{Service: models, Streams: 100, Hurt: 50})
+	a.AddTally(at(0), ggscore.TurnTally{Service: models, Streams: 100, Degraded: 50})
 	for _, id := range ids {
 		c.Check(a.Announces(at(time.Second), ggscore.PromptTurn{VM: "vm", Service: models, Endpoint: id, Tokens: 10}), qt.IsTrue)
 	}
--- a/core/heartbeat.go
+++ b/core/heartbeat.go
@@ -10,10 +10,10 @@
 	Started  int64
 	// Relay says how far the receiver relays the heartbeat.
 	Relay Relay
-	// Carrier is the relay that counts what is sent only once: ends of requests, uses and
+	// CountingRelay is the relay that counts what is sent only once: ends of requests, uses and
 	// samples. It is empty if each receiver counts them itself.
-	Carrier VMID
-	News    News
+	CountingRelay VMID
+	Progress      StoreProgress
 	// InFlight has the endpoints with requests of the VM in flight, or with requests that
 	// ended since the VM's last heartbeat.
 	InFlight []InFlight
@@ -30,8 +30,8 @@
 	Departures []Departure
 }
 
-// A News describes the state of the store that a VM has read.
-type News struct {
+// A StoreProgress describes the state of the store that a VM has read.
+type StoreProgress struct {
 	// Epoch is the current store epoch that the VM knows.
 	Epoch StoreEpoch
 	// ListedAt and OperatedAt are the positions of the last changes that were read in the list
@@ -50,11 +50,11 @@
 
 // Merge combines the newest values of two VMs. The ages are those of readings in the newer
 // epoch.
-func (n News) Merge(o News) News {
+func (n StoreProgress) Merge(o StoreProgress) StoreProgress {
 	if n.Epoch < o.Epoch {
 		n, o = o, n
 	}
-	m := News{
+	m := StoreProgress{
 		Epoch:    n.Epoch,
 		ListedAt: n.ListedAt.Max(o.ListedAt), OperatedAt: n.OperatedAt.Max(o.OperatedAt),
 		ListAge: n.ListAge, OperatorsAge: n.OperatorsAge,
@@ -67,7 +67,7 @@
 }
 
 // Aged returns n with its ages increased by d.
-func (n News) Aged(d time.Duration) News {
+func (n StoreProgress) Aged(d time.Duration) StoreProgress {
 	n.ListAge, n.OperatorsAge = n.ListAge+d, n.OperatorsAge+d
 	return n
 }
@@ -120,7 +120,7 @@
 	Settling bool
 	Sequence uint64
 	Started  int64
-	News     News
+	Progress StoreProgress
 	// Included has the newest counted heartbeat of each VM of the domain. Live are the VMs
 	// whose heartbeats arrive; it is only valid if LiveWhole is set.
 	Included  []IncludedHeartbeat
--- a/core/heartbeat_test.go
+++ b/core/heartbeat_test.go
@@ -12,14 +12,14 @@
 // Guards against a list that counts as recently read because a VM read it in an earlier epoch.
 func TestAgesAreOfTheNewerEpoch(t *testing.T) {
 	t.Parallel()
-	old := ggscore.News{Epoch: 1, ListAge: time.Second, OperatorsAge: time.Second, Config: 7}
-	now := ggscore.News{Epoch: 2, ListAge: 9 * time.Second, OperatorsAge: 8 * time.Second, Config: 3}
-	for name, m := range map[string]ggscore.News{"older first": old.Merge(now), "newer first": now.Merge(old)} {
+	old := ggscore.StoreProgress{Epoch: 1, ListAge: time.Second, OperatorsAge: time.Second, Config: 7}
+	now := ggscore.StoreProgress{Epoch: 2, ListAge: 9 * time.Second, OperatorsAge: 8 * time.Second, Config: 3}
+	for name, m := range map[string]ggscore.StoreProgress{"older first": old.Merge(now), "newer first": now.Merge(old)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			c.Check(m, qt.Equals, ggscore.News{Epoch: 2, ListAge: now.ListAge, OperatorsAge: now.OperatorsAge, Config: 7})
+			c.Check(m, qt.Equals, ggscore.StoreProgress{Epoch: 2, ListAge: now.ListAge, OperatorsAge: now.OperatorsAge, Config: 7})
 		})
 	}
-	qt.Assert(t, now.Merge(ggscore.News{Epoch: 2, ListAge: time.Second, OperatorsAge: time.Hour}).ListAge, qt.Equals, time.Second)
+	qt.Assert(t, now.Merge(ggscore.StoreProgress{Epoch: 2, ListAge: time.Second, OperatorsAge: time.Hour}).ListAge, qt.Equals, time.Second)
 }
--- a/core/instance.go
+++ b/core/instance.go
@@ -15,9 +15,9 @@
 	Addr    netip.AddrPort
 	Slots   int
 	Leaving bool
-	// Born is when the process started. An instance that restarts under its old identity has
+	// StartedAt is when the process started. An instance that restarts under its old identity has
 	// lost its previous state.
-	Born time.Time
+	StartedAt time.Time
 	// Sequence counts the orders that the instance has accepted since Born.
 	Sequence uint64
 	Models   []ResidentModel
@@ -112,8 +112,8 @@
 // the endpoint's entry.
 type Departure struct {
 	Endpoint EndpointID
-	// Born distinguishes the endpoint's process from others under the same identity.
-	Born time.Time
+	// StartedAt distinguishes the endpoint's process from others under the same identity.
+	StartedAt time.Time
 }
 
 // An EndpointThrottle decides whether this VM may send requests to endpoints with a rate limit.
@@ -145,7 +145,7 @@
 	// An order that arrives late has no effect once the instance has accepted another one.
 	Expected uint64
 	Holder   VMID
-	Fence    FenceNumber
+	Fence    FencingToken
 }
 
 // A PlacementAnswer is an instance's answer to an order.
@@ -158,8 +158,8 @@
 	PlacementUnknown PlacementAnswer = iota
 	// PlacementAccepted means that the order is being executed.
 	PlacementAccepted
-	// PlacementHolds means that the instance is already in the ordered state.
-	PlacementHolds
+	// PlacementSatisfied means that the instance is already in the ordered state.
+	PlacementSatisfied
 	// PlacementConflict means that the number of accepted orders differs from the expected
 	// one, or that the instance is executing another order.
 	PlacementConflict
@@ -175,8 +175,8 @@
 type InstanceStatus struct {
 	Sequence uint64
 	Models   []ResidentModel
-	// Coming are the adapters in transit to the instance.
-	Coming []ModelAdapter
+	// InTransit are the adapters in transit to the instance.
+	InTransit []ModelAdapter
 }
 
 // An InstanceOrderer sends orders to instances and requests their status.
@@ -193,7 +193,7 @@
 
 // An AdapterDemand estimates the demand for adapters.
 type AdapterDemand interface {
-	// Missed returns the rate of requests, per second, that would miss the adapter if the
+	// MissRate returns the rate of requests, per second, that would miss the adapter if the
 	// endpoint evicted it. It is only meaningful in comparison with other adapters.
-	Missed(now time.Time, id EndpointID, a ModelAdapter) float64
+	MissRate(now time.Time, id EndpointID, a ModelAdapter) float64
 }
--- a/core/lease.go
+++ b/core/lease.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// A FenceNumber is a fencing token. Each later owner of an endpoint has a greater one.
-type FenceNumber uint64
+// A FencingToken is a fencing token. Each later owner of an endpoint has a greater one.
+type FencingToken uint64
 
 // A Lease is an ownership as its holder knows it. Expires is on the holder's monotonic clock,
 // with the margin for the platform's clock already subtracted.
 type Lease struct {
 	Owner   VMID
-	Fence   FenceNumber
+	Fence   FencingToken
 	Expires time.Time
 }
 
--- a/core/serving.go
+++ b/core/serving.go
@@ -96,9 +96,9 @@
 	AdapterSlots int
 }
 
-// Places returns the number of adapters that a runner has slots and memory for beside its first
+// AdapterCapacity returns the number of adapters that a runner has slots and memory for beside its first
 // model. A runner that is ordered to load more crashes.
-func (e *EngineSpec) Places() int {
+func (e *EngineSpec) AdapterCapacity() int {
 	n := e.AdapterSlots
 	if len(e.Models) > 0 && e.Bytes > 0 && e.Models[0].AdapterBytes > 0 {
 		n = min(n, int((e.Bytes-e.Models[0].Bytes)/e.Models[0].AdapterBytes))
--- a/core/serving_test.go
+++ b/core/serving_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			qt.New(t).Assert(tc.spec.Places(), qt.Equals, tc.want)
+			qt.New(t).Assert(tc.spec.AdapterCapacity(), qt.Equals, tc.want)
 		})
 	}
 }
--- a/core/turn.go
+++ b/core/turn.go
@@ -23,10 +23,10 @@
 	Ready time.Duration
 }
 
-// A TurnExpecter estimates the delay of a prompt at an endpoint. Zero tokens mean a prompt of
+// A TurnEstimator estimates the delay of a prompt at an endpoint. Zero tokens mean a prompt of
 // usual size.
-type TurnExpecter interface {
-	Expect(now time.Time, s Service, id EndpointID, tokens int) TurnEstimate
+type TurnEstimator interface {
+	Estimate(now time.Time, s Service, id EndpointID, tokens int) TurnEstimate
 }
 
 // A TurnSample is a measured time to the first chunk of an answer, from an endpoint that
@@ -42,17 +42,17 @@
 // Either prompts of other requests made a stream pause for longer than callers want, or the
 // stream waited too long for its turn.
 type TurnTally struct {
-	Service Service
-	Streams int
-	Hurt    int
+	Service  Service
+	Streams  int
+	Degraded int
 }
 
 // A TurnMode says whether prompts of a service wait for each other.
 type TurnMode struct {
 	Service Service
 	Waits   bool
-	// Without is the fraction of streams that missed their targets before prompts waited.
-	Without float64
+	// DegradedBefore is the fraction of streams that missed their targets before prompts waited.
+	DegradedBefore float64
 }
 
 // A TurnShape is the measured prompt-processing speed of a service's endpoints. Unknown fields
--- a/core/txn.go
+++ b/core/txn.go
@@ -58,11 +58,11 @@
 	return fmt.Sprintf("transaction refused: one of %d keys is at another revision", len(e.Entries))
 }
 
-// A HistoryGoneError says that the store no longer has the changes after a position. All entries
+// A HistoryCompactedError says that the store no longer has the changes after a position. All entries
 // below the prefix have to be read again.
-type HistoryGoneError struct{ After StorePosition }
+type HistoryCompactedError struct{ After StorePosition }
 
 // Error implements error.
-func (e *HistoryGoneError) Error() string {
+func (e *HistoryCompactedError) Error() string {
 	return fmt.Sprintf("store no longer has the changes after %s", e.After)
 }
--- a/fakes/ggsfakeengine/adapters.go
+++ b/fakes/ggsfakeengine/adapters.go
@@ -17,7 +17,7 @@
 }
 
 // checkFence is called with the lock held.
-func (e *Engine) checkFence(f ggscore.FenceNumber) error {
+func (e *Engine) checkFence(f ggscore.FencingToken) error {
 	if !e.options.ChecksFence {
 		return nil
 	}
@@ -36,7 +36,7 @@
 
 // load makes an adapter resident. It goes on when the one who ordered it is
 // gone, until the incarnation ends.
-func (e *Engine) load(ctx context.Context, a ggscore.AdapterRef, f ggscore.FenceNumber) error {
+func (e *Engine) load(ctx context.Context, a ggscore.AdapterRef, f ggscore.FencingToken) error {
 	ctx, leave := e.enter(context.WithoutCancel(ctx))
 	defer leave()
 	if err := e.gate(ctx); err != nil {
@@ -60,7 +60,7 @@
 // beginLoad returns the load to wait for, nil if the adapter is resident, and
 // whether it is the caller's to do.
 func (e *Engine) beginLoad(
-	ctx context.Context, a ggscore.AdapterRef, f ggscore.FenceNumber,
+	ctx context.Context, a ggscore.AdapterRef, f ggscore.FencingToken,
 ) (l *load, mine bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,7 +131,7 @@
 }
 
 // unload evicts an adapter.
-func (e *Engine) unload(ctx context.Context, a ggscore.AdapterRef, f ggscore.FenceNumber) error {
+func (e *Engine) unload(ctx context.Context, a ggscore.AdapterRef, f ggscore.FencingToken) error {
 	ctx, leave := e.enter(context.WithoutCancel(ctx))
 	defer leave()
 	if err := e.gate(ctx); err != nil {
--- a/fakes/ggsfakeengine/engine.go
+++ b/fakes/ggsfakeengine/engine.go
@@ -22,7 +22,7 @@
 	incarnation int
 	closed      bool
 	thaw        time.Time
-	seen        ggscore.FenceNumber
+	seen        ggscore.FencingToken
 	resident    map[ggscore.AdapterRef]*adapter
 	loading     map[ggscore.AdapterRef]*load
 	running     int
--- a/fakes/ggsfakeengine/handler.go
+++ b/fakes/ggsfakeengine/handler.go
@@ -112,7 +112,7 @@
 func (e *Engine) handleUnload(g *gin.Context) { e.order(g, e.unload) }
 
 // order gives an order to do.
-func (e *Engine) order(g *gin.Context, do func(context.Context, ggscore.AdapterRef, ggscore.FenceNumber) error) {
+func (e *Engine) order(g *gin.Context, do func(context.Context, ggscore.AdapterRef, ggscore.FencingToken) error) {
 	var w orderWire
 	if !bind(g, &w) {
 		return
@@ -122,7 +122,7 @@
 		fail(g, err)
 		return
 	}
-	err = do(g.Request.Context(), a, ggscore.FenceNumber(w.Fence))
+	err = do(g.Request.Context(), a, ggscore.FencingToken(w.Fence))
 	if err == nil && e.loseOrder() {
 		panic(http.ErrAbortHandler)
 	}
--- a/io/ggsclaims/committer_test.go
+++ b/io/ggsclaims/committer_test.go
@@ -172,7 +172,7 @@
 				_, err := m.Begin(ggsfakebench.Context(b.c), r)
 				var f *ggscore.Failure
 				b.c.Assert(errors.As(err, &f), qt.IsTrue)
-				b.c.Assert(f.Kind, qt.Equals, ggscore.FailurePlatformAway)
+				b.c.Assert(f.Kind, qt.Equals, ggscore.FailurePlatformUnavailable)
 				b.c.Assert(f.Outcome, qt.Equals, tc.want)
 				b.c.Assert(f.RetryAfter > 0, qt.IsTrue)
 			}
--- a/io/ggsclaims/work.go
+++ b/io/ggsclaims/work.go
@@ -183,7 +183,7 @@
 }
 
 func hadNoEffect(err error) bool {
-	var away *ggscore.StoreAwayError
+	var away *ggscore.StoreUnavailableError
 	var busy *ggscore.StoreBusyError
 	return errors.As(err, &away) || errors.As(err, &busy)
 }
--- a/io/ggsconfig/attempt.go
+++ b/io/ggsconfig/attempt.go
@@ -151,7 +151,7 @@
 func mayTryAgain(err error) bool {
 	var conflict *ggscore.ConflictError
 	var lost *ggscore.AmbiguousWriteError
-	var away *ggscore.StoreAwayError
+	var away *ggscore.StoreUnavailableError
 	var busy *ggscore.StoreBusyError
 	return errors.As(err, &conflict) || errors.As(err, &lost) || errors.As(err, &away) || errors.As(err, &busy)
 }
--- a/io/ggsconfig/follower_test.go
+++ b/io/ggsconfig/follower_test.go
@@ -117,11 +117,11 @@
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return ggscore.Entry{}, &ggscore.StoreAwayError{Cause: ctx.Err()}
+			return ggscore.Entry{}, &ggscore.StoreUnavailableError{Cause: ctx.Err()}
 		}
 	}
 	if s.away() {
-		return ggscore.Entry{}, &ggscore.StoreAwayError{Cause: &causeError{}}
+		return ggscore.Entry{}, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 	}
 	return s.faultyStore.Get(ctx, k)
 }
@@ -131,7 +131,7 @@
 ) ([]ggscore.Entry, ggscore.StoreRevision, error) {
 	l, r, err := s.faultyStore.Watch(ctx, k, after, d)
 	if s.away() {
-		return nil, 0, &ggscore.StoreAwayError{Cause: &causeError{}}
+		return nil, 0, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 	}
 	return l, r, err
 }
--- a/io/ggsconfig/store_test.go
+++ b/io/ggsconfig/store_test.go
@@ -57,7 +57,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.away {
-		return ggscore.Entry{}, &ggscore.StoreAwayError{Cause: &causeError{}}
+		return ggscore.Entry{}, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 	}
 	e := s.entries[k]
 	e.Key = k
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.away {
-		return 0, &ggscore.StoreAwayError{Cause: &causeError{}}
+		return 0, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 	}
 	if isHead && s.failWrites > 0 {
 		s.failWrites--
@@ -122,7 +122,7 @@
 		r, changed, away := s.revision, s.changed, s.away
 		s.mu.Unlock()
 		if away {
-			return nil, 0, &ggscore.StoreAwayError{Cause: &causeError{}}
+			return nil, 0, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 		}
 		if over || len(l) > 0 {
 			return l, r, nil
@@ -132,7 +132,7 @@
 		case <-t.C:
 			over = true
 		case <-ctx.Done():
-			return nil, 0, &ggscore.StoreAwayError{Cause: ctx.Err()}
+			return nil, 0, &ggscore.StoreUnavailableError{Cause: ctx.Err()}
 		}
 	}
 }
--- a/io/ggsdispatch/run.go
+++ b/io/ggsdispatch/run.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		_ = level.Warn(d.parts.Log).Log("event", "claimFailed", "request", r.ID, "err", err)
 		f := &ggscore.Failure{
-			Kind: ggscore.FailurePlatformAway, Outcome: ggscore.OutcomeUnknown, Detail: "the claim of the idempotency key could not be recorded",
+			Kind: ggscore.FailurePlatformUnavailable, Outcome: ggscore.OutcomeUnknown, Detail: "the claim of the idempotency key could not be recorded",
 			RetryAfter: claimRetryAfter,
 		}
 		// The claimer says unknown where an earlier sending of the key may have
--- a/io/ggsdispatch/run_test.go
+++ b/io/ggsdispatch/run_test.go
@@ -46,7 +46,7 @@
 // A lapsed guard refuses all.
 type guard struct{ err error }
 
-func (g guard) Check(time.Time, ggscore.EndpointID, ggscore.AdapterRef, ggscore.OrderKind) (ggscore.FenceNumber, error) {
+func (g guard) Check(time.Time, ggscore.EndpointID, ggscore.AdapterRef, ggscore.OrderKind) (ggscore.FencingToken, error) {
 	return 1, g.err
 }
 
@@ -102,7 +102,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	e := &engine{serves: ggscore.AdapterRef{Name: "deposits", Version: "v1"}}
-	s, got := runOne(c, e, guard{err: &ggscore.LeaseLapsedError{}})
+	s, got := runOne(c, e, guard{err: &ggscore.LeaseExpiredError{}})
 	c.Assert(e.runs, qt.Equals, 0)
 	c.Assert(got, qt.HasLen, 0)
 	c.Assert(s.ends, qt.DeepEquals, []ggscore.EndKind{ggscore.EndFailed})
--- a/io/ggsedge/control.go
+++ b/io/ggsedge/control.go
@@ -56,7 +56,7 @@
 	heard := len(e.livePeers())
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return ggsgossip.HeartbeatInterval(heard+1, e.keeper.Owns() || !acked)
+	return ggsgossip.HeartbeatInterval(heard+1, e.keeper.OwnsAny() || !acked)
 }
 
 // recordsRead reports whether the own records were read in the current epoch. What is written
@@ -92,7 +92,7 @@
 	}
 	*count++
 	e.mu.Lock()
-	p := e.keeper.Beat(e.Now())
+	p := e.keeper.NextHeartbeat(e.Now())
 	shapes := e.turns.LearnedState()
 	e.mu.Unlock()
 	v, err := json.Marshal(&memberRecord{
@@ -109,7 +109,7 @@
 		Conditions: []ggscore.TxnCondition{{Key: e.memberKey(e.options.VM), Revision: p.Revision}},
 		Writes:     []ggscore.TxnWrite{{Key: e.memberKey(e.options.VM), Value: v}},
 	}
-	if p.Settle {
+	if p.MarkSettled {
 		t.Writes = append(t.Writes, e.settled(p.Epoch)...)
 	}
 	for _, r := range p.Records {
@@ -128,7 +128,7 @@
 		return beatUnsent
 	}
 	e.mu.Lock()
-	e.keeper.BeatEnded(sent, p, at, refused)
+	e.keeper.HeartbeatAnswered(sent, p, at, refused)
 	e.mu.Unlock()
 	if refused {
 		_ = level.Info(e.Log).Log("event", ggslog.EventBeatRefused, "revision", p.Revision, "records", len(p.Records))
@@ -167,7 +167,7 @@
 	}
 	heard := e.livePeers()
 	e.mu.Lock()
-	e.keeper.SetHeard(heard)
+	e.keeper.SetReachable(heard)
 	var ready []ggscore.Instance
 	for _, i := range e.table.Instances("") {
 		if specs[i.Service].Engine != nil && !i.Leaving {
@@ -197,7 +197,7 @@
 			continue
 		}
 		e.mu.Lock()
-		e.keeper.ClaimEnded(sent, c, at)
+		e.keeper.ClaimAcknowledged(sent, c, at)
 		e.setWorkers(ctx)
 		e.mu.Unlock()
 	}
@@ -207,7 +207,7 @@
 func (e *Edge) Release(ctx context.Context) {
 	e.mu.Lock()
 	e.keeper.Stop()
-	p := e.keeper.Beat(e.Now())
+	p := e.keeper.NextHeartbeat(e.Now())
 	e.mu.Unlock()
 	if len(p.Records) == 0 {
 		return
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -117,7 +117,7 @@
 	mu       sync.Mutex
 	table    *ggsplace.Table
 	registry *ggsregistry.Registry
-	keeper   *ggsfencing.Keeper
+	keeper   *ggsfencing.OwnershipTracker
 	turns    *ggsturn.Table
 	node     *ggsrelay.Node
 	retries  *ggsretry.Policy
@@ -235,7 +235,7 @@
 		table: ggsplace.NewTable(ggsplace.Options{
 			Domain: o.Domain, Regions: o.Regions, Seed: o.Seed, Turns: turns, Throttle: limits, Policy: o.Policy,
 		}),
-		keeper:           ggsfencing.NewKeeper(ggsfencing.Options{Self: o.VM, Domain: o.Domain, Turn: o.Turn, FirstStart: o.FirstStart}),
+		keeper:           ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: o.VM, Domain: o.Domain, MinOrderGap: o.Turn, FirstStart: o.FirstStart}),
 		retries:          ggsretry.NewPolicy(retryOptions(o)),
 		limits:           limits,
 		registry:         ggsregistry.NewRegistry(),
--- a/io/ggsedge/epoch.go
+++ b/io/ggsedge/epoch.go
@@ -71,7 +71,7 @@
 func (e *epochs) learn(to ggscore.StoreEpoch) {
 	e.mu.Lock()
 	from := e.tracker.Current()
-	changed := e.tracker.Learn(to)
+	changed := e.tracker.ObservePeer(to)
 	var c epochChange
 	if changed {
 		c = e.enter(from, epochByPeer)
--- a/io/ggsedge/epoch_test.go
+++ b/io/ggsedge/epoch_test.go
@@ -76,7 +76,7 @@
 		"late reading, epoch absent":  {learnt: 3, call: snapshot, want: is(new(*ggscore.LateAnswerError)), current: 3},
 		"refusal of the next":         {named: 3, err: &ggscore.StoreBusyError{}, call: snapshot, want: is(new(*ggscore.StoreBusyError)), current: 3},
 		"watch":                       {named: 2, call: watch, want: fine, current: 2},
-		"watch answered by the next":  {named: 3, call: watch, want: is(new(*ggscore.HistoryGoneError)), current: 3},
+		"watch answered by the next":  {named: 3, call: watch, want: is(new(*ggscore.HistoryCompactedError)), current: 3},
 		"write":                       {named: 2, call: txn, want: fine, current: 2},
 		"write in the next":           {named: 3, call: txn, want: is(new(*ggscore.EpochChangedError)), current: 3},
 		"write acknowledged late":     {named: 2, learnt: 3, call: txn, want: is(new(*ggscore.LateAnswerError)), current: 3},
--- a/io/ggsedge/epochstore.go
+++ b/io/ggsedge/epochstore.go
@@ -37,7 +37,7 @@
 	es, at, err := s.Store.Watch(ctx, prefix, after, wait)
 	at, err = s.place(sent, at, false, err)
 	if err == nil && at.Epoch != after.Epoch {
-		err = &ggscore.HistoryGoneError{After: after}
+		err = &ggscore.HistoryCompactedError{After: after}
 	}
 	if err != nil {
 		return nil, at, err
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -39,7 +39,7 @@
 		carrier, vms := e.node.Report(e.Now(), h)
 		to := e.addrs(vms)
 		e.mu.Unlock()
-		h.Carrier = carrier
+		h.CountingRelay = carrier
 		e.sent(e.Peers.Send(h, to))
 	}
 	return nil
@@ -156,7 +156,7 @@
 	e.setLoadable()
 	e.turns.SetDecides(e.firstHeard() == e.options.VM)
 	h := ggscore.Heartbeat{
-		VM: e.options.VM, Sequence: e.sequence, Started: e.startedAt, News: e.news(now),
+		VM: e.options.VM, Sequence: e.sequence, Started: e.startedAt, Progress: e.news(now),
 		InFlight: e.table.ReportInFlight(), Holdings: e.holdings(now), Uses: e.ownUses(now),
 	}
 	h.Samples, h.Tallies = e.turns.DrainUnreported()
@@ -168,8 +168,8 @@
 }
 
 // news returns how far this VM read the store. Edge.mu is held.
-func (e *Edge) news(now time.Time) ggscore.News {
-	return ggscore.News{
+func (e *Edge) news(now time.Time) ggscore.StoreProgress {
+	return ggscore.StoreProgress{
 		Epoch:    e.epochs.current(),
 		ListedAt: e.listedAt, OperatedAt: e.operatedAt,
 		ListAge: min(now.Sub(e.listReadTime), time.Hour), OperatorsAge: min(now.Sub(e.operatorsReadTime), time.Hour),
@@ -189,7 +189,7 @@
 		if !w.ledger.Synced(now) {
 			continue
 		}
-		h := ggscore.Holding{Endpoint: id, Waiting: w.ledger.Waiting(), Room: w.ledger.Room(now)}
+		h := ggscore.Holding{Endpoint: id, Waiting: w.ledger.Waiting(), Room: w.ledger.FreeCapacity(now)}
 		e.table.SetLoadCapacity(id, h.Waiting, h.Room)
 		if w.untold || whole {
 			w.untold = false
@@ -241,7 +241,7 @@
 	if e.node.UsesRelays() && now.Sub(e.summarized) < summaryAge {
 		return
 	}
-	e.adoptNews(now, h.VM, h.News)
+	e.adoptNews(now, h.VM, h.Progress)
 	e.table.SetPeerInFlight(now, h.VM, h.InFlight)
 	e.adoptHoldings(now, h.Holdings)
 	e.adoptTurns(now, h.VM, h.Samples, h.Tallies, h.Modes)
@@ -274,7 +274,7 @@
 			p.heard = now
 		}
 	}
-	e.adoptNews(now, fleet, v.News)
+	e.adoptNews(now, fleet, v.Progress)
 	if v.CountsValid {
 		e.table.SetPeersInFlight(now, v.InFlight)
 	}
@@ -302,7 +302,7 @@
 }
 
 // adoptNews takes how far a VM or the fleet read the store. Edge.mu is held.
-func (e *Edge) adoptNews(now time.Time, vm ggscore.VMID, n ggscore.News) {
+func (e *Edge) adoptNews(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
 	e.epochs.learn(n.Epoch)
 	e.noteNewer(now, vm, n)
 	// What was read in an epoch that has ended is no reading of the store.
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -52,7 +52,7 @@
 	for _, h := range hs {
 		rs = append(rs, shapeRecord{
 			Service: string(h.Service), PerToken: h.PerToken.Nanoseconds(), Start: h.Start.Microseconds(),
-			Quiet: h.Quiet.Microseconds(), Waits: h.Mode.Waits, Without: h.Mode.Without,
+			Quiet: h.Quiet.Microseconds(), Waits: h.Mode.Waits, Without: h.Mode.DegradedBefore,
 		})
 	}
 	return rs
@@ -62,7 +62,7 @@
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return ggscore.TurnShape{
 		Service: ggscore.Service(r.Service), PerToken: time.Duration(r.PerToken), Start: us(r.Start),
-		Quiet: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Waits: r.Waits, Without: r.Without},
+		Quiet: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Waits: r.Waits, DegradedBefore: r.Without},
 	}
 }
 
@@ -213,7 +213,7 @@
 			var w memberRecord
 			vm := ggscore.VMID(name)
 			if err = json.Unmarshal(n.Value, &w); err == nil {
-				r.Beats = append(r.Beats, ggsfencing.Beat{
+				r.Heartbeats = append(r.Heartbeats, ggsfencing.Heartbeat{
 					VM: vm, Domain: ggscore.Domain(w.Domain), Capacity: w.Capacity, Revision: n.Revision,
 				})
 				e.adoptShapes(w.Shapes)
@@ -226,7 +226,7 @@
 		case epochPart:
 			var w epochRecord
 			if err = json.Unmarshal(n.Value, &w); err == nil {
-				r.Settled = ggscore.StoreEpoch(w.Settled)
+				r.SettledEpoch = ggscore.StoreEpoch(w.Settled)
 			}
 		}
 		if err != nil {
--- a/io/ggsedge/newer.go
+++ b/io/ggsedge/newer.go
@@ -25,7 +25,7 @@
 }
 
 // noteNewer notes what a peer has in force. Edge.mu is held.
-func (e *Edge) noteNewer(now time.Time, vm ggscore.VMID, n ggscore.News) {
+func (e *Edge) noteNewer(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
 	switch {
 	case n.Config <= e.configVersion() && n.Versions <= e.versionSum:
 		if vm == e.newer.by {
--- a/io/ggsedge/operators.go
+++ b/io/ggsedge/operators.go
@@ -25,7 +25,7 @@
 			return nil
 		}
 		if err != nil {
-			var gone *ggscore.HistoryGoneError
+			var gone *ggscore.HistoryCompactedError
 			if errors.As(err, &gone) {
 				at = ggscore.StorePosition{}
 				continue
@@ -305,7 +305,7 @@
 	for s, spec := range c.Services {
 		e.turns.SetService(s, c.GapAim(s))
 		if spec.Engine != nil {
-			e.table.SetAdapterSlots(s, spec.Engine.Places())
+			e.table.SetAdapterSlots(s, spec.Engine.AdapterCapacity())
 		}
 	}
 	e.mu.Unlock()
--- a/io/ggsedge/placement.go
+++ b/io/ggsedge/placement.go
@@ -101,7 +101,7 @@
 			e.mu.Unlock()
 			return v, nil
 		}
-		if w.ledger.Crowded(l.target) {
+		if w.ledger.QueueFull(l.target) {
 			e.mu.Unlock()
 			return 0, &CrowdedError{Endpoint: l.endpoint}
 		}
--- a/io/ggsedge/signals.go
+++ b/io/ggsedge/signals.go
@@ -14,7 +14,7 @@
 func (e *Edge) observe(j *job, i ggscore.Instance, m ggscore.AnswerMeta) {
 	e.mu.Lock()
 	now := e.Now()
-	leaves := m.Leaving && e.table.RecordDeparture(ggscore.Departure{Endpoint: i.ID, Born: i.Born})
+	leaves := m.Leaving && e.table.RecordDeparture(ggscore.Departure{Endpoint: i.ID, StartedAt: i.StartedAt})
 	limited := e.observeLimit(now, j, i.ID, m.Limit)
 	if m.RetryAfter > 0 {
 		e.table.Pause(now, i.ID, m.RetryAfter)
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -92,7 +92,7 @@
 		}
 		want[i.ID] = true
 		w := e.workers[i.ID]
-		if w != nil && w.instance.Born.Equal(i.Born) && w.instance.Addr == i.Addr {
+		if w != nil && w.instance.StartedAt.Equal(i.StartedAt) && w.instance.Addr == i.Addr {
 			w.instance = i
 			continue
 		}
@@ -103,8 +103,8 @@
 		w = &worker{
 			instance: i,
 			ledger: ggsresident.NewLedger(ggsresident.Options{
-				Endpoint: i.ID, Demand: e.table, Slots: s.Engine.Places(), Unanswered: e.unansweredOf(i.ID),
-				NewsDelay: e.newsDelay(), Policy: e.options.Policy,
+				Endpoint: i.ID, Demand: e.table, Slots: s.Engine.AdapterCapacity(), Unanswered: e.unansweredOf(i.ID),
+				ReportDelay: e.newsDelay(), Policy: e.options.Policy,
 			}),
 			changed: make(chan struct{}), kick: make(chan struct{}, 1), cancel: cancel,
 		}
@@ -157,7 +157,7 @@
 		owner := e.keeper.Owner(i.ID)
 		loadable := false
 		if owner == e.options.VM {
-			_, loadable = e.keeper.May(now, i.ID)
+			_, loadable = e.keeper.AuthorizeOrder(now, i.ID)
 		} else if p := e.peers[owner]; p != nil {
 			loadable = now.Sub(p.heard) < peerSilence
 		}
@@ -193,14 +193,14 @@
 	e.mu.Lock()
 	now := e.Now()
 	i := w.instance
-	fence, may := e.keeper.May(now, i.ID)
+	fence, may := e.keeper.AuthorizeOrder(now, i.ID)
 	synced := w.ledger.Synced(now)
 	if may && synced {
 		e.wantModels(now, w, g)
 	}
 	s, ok := w.ledger.Next(now)
 	due := w.ledger.Due(now)
-	moved := w.ledger.Moved(now)
+	moved := w.ledger.RecentlyMisdirected(now)
 	timeout := w.timeout()
 	e.mu.Unlock()
 	if !may {
@@ -267,7 +267,7 @@
 func (e *Edge) noteHeld(id ggscore.EndpointID, w *worker) {
 	now := e.Now()
 	e.table.SetHeld(now, id, w.ledger.Resident())
-	e.table.SetLoadCapacity(id, w.ledger.Waiting(), w.ledger.Room(now))
+	e.table.SetLoadCapacity(id, w.ledger.Waiting(), w.ledger.FreeCapacity(now))
 }
 
 // order gives one order.
@@ -282,11 +282,11 @@
 	if a != ggscore.PlacementUnknown {
 		w.took(e.since(begun))
 	}
-	w.ledger.Ended(e.Now(), s, a)
+	w.ledger.HandleAnswer(e.Now(), s, a)
 	e.noteHeld(o.Endpoint, w)
 	w.notify()
 	l := level.Debug(e.Log)
-	if a != ggscore.PlacementAccepted && a != ggscore.PlacementHolds {
+	if a != ggscore.PlacementAccepted && a != ggscore.PlacementSatisfied {
 		l = level.Info(e.Log)
 	}
 	_ = l.Log("event", ggslog.EventOrderGiven, "endpoint", o.Endpoint, "unload", o.Unload, "adapter", o.Target, "version", o.Version,
--- a/io/ggsengine/order.go
+++ b/io/ggsengine/order.go
@@ -12,7 +12,7 @@
 )
 
 // Load implements ggscore.AdapterOrderer.
-func (c *Client) Load(ctx context.Context, addr netip.AddrPort, a ggscore.AdapterRef, f ggscore.FenceNumber) error {
+func (c *Client) Load(ctx context.Context, addr netip.AddrPort, a ggscore.AdapterRef, f ggscore.FencingToken) error {
 	return c.order(ctx, addr, pathLoad, a, f)
 }
 
@@ -32,13 +32,13 @@
 }
 
 // Unload implements ggscore.AdapterOrderer.
-func (c *Client) Unload(ctx context.Context, addr netip.AddrPort, a ggscore.AdapterRef, f ggscore.FenceNumber) error {
+func (c *Client) Unload(ctx context.Context, addr netip.AddrPort, a ggscore.AdapterRef, f ggscore.FencingToken) error {
 	return c.order(ctx, addr, pathUnload, a, f)
 }
 
 // order gives an order once.
 func (c *Client) order(
-	ctx context.Context, addr netip.AddrPort, path string, a ggscore.AdapterRef, f ggscore.FenceNumber,
+	ctx context.Context, addr netip.AddrPort, path string, a ggscore.AdapterRef, f ggscore.FencingToken,
 ) error {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
@@ -67,7 +67,7 @@
 // orderResult judges the answer to an order. A server error is definite only
 // in the endpoint's own words: one that stands between may answer 502 or 504
 // for an order that is under way.
-func orderResult(resp *http.Response, addr netip.AddrPort, f ggscore.FenceNumber) error {
+func orderResult(resp *http.Response, addr netip.AddrPort, f ggscore.FencingToken) error {
 	s := resp.StatusCode
 	w := errorOf(readError(resp.Body))
 	cause := &StatusError{Status: s, Detail: w.Error.Detail}
@@ -75,7 +75,7 @@
 	case s == http.StatusOK:
 		return nil
 	case s == http.StatusConflict && w.Error.Kind == kindFenced:
-		return &ggscore.FencedError{Have: f, Seen: ggscore.FenceNumber(w.Error.Seen)}
+		return &ggscore.FencedError{Have: f, Seen: ggscore.FencingToken(w.Error.Seen)}
 	case s < http.StatusBadRequest, s >= http.StatusInternalServerError && w.Error.Kind == "":
 		return &ggscore.AmbiguousOrderError{Addr: addr, Cause: cause}
 	}
--- a/io/ggsgateway/answer.go
+++ b/io/ggsgateway/answer.go
@@ -126,7 +126,7 @@
 		return http.StatusConflict
 	case ggscore.FailureEndpoint, ggscore.FailureBroken, ggscore.FailureWrongAdapter, ggscore.FailureInternal:
 		return http.StatusBadGateway
-	case ggscore.FailureNoCapacity, ggscore.FailureStopping, ggscore.FailurePlatformAway, ggscore.FailureNoDocument,
+	case ggscore.FailureNoCapacity, ggscore.FailureStopping, ggscore.FailurePlatformUnavailable, ggscore.FailureNoDocument,
 		ggscore.FailureNotOwner, ggscore.FailureAdapterMissing, ggscore.FailureCancelled:
 		return http.StatusServiceUnavailable
 	}
--- a/io/ggsowners/codec.go
+++ b/io/ggsowners/codec.go
@@ -54,7 +54,7 @@
 	r := ggsowner.Record{
 		Owner:    ggsowner.Holder{VM: ggscore.VMID(w.VM), Incarnation: w.Incarnation},
 		Lease:    ggscore.LeaseID(w.Lease),
-		Fence:    ggscore.FenceNumber(w.Fence),
+		Fence:    ggscore.FencingToken(w.Fence),
 		Released: w.Released,
 	}
 	var err error
--- a/io/ggsowners/engine_test.go
+++ b/io/ggsowners/engine_test.go
@@ -45,7 +45,7 @@
 	return p.give(f, name, k)
 }
 
-func (p *plant) give(f ggscore.FenceNumber, name string, k ggscore.OrderKind) error {
+func (p *plant) give(f ggscore.FencingToken, name string, k ggscore.OrderKind) error {
 	if k == ggscore.OrderLoad {
 		return p.client.Load(p.ctx, p.runner, adapter(name), f)
 	}
--- a/io/ggsowners/owners.go
+++ b/io/ggsowners/owners.go
@@ -55,7 +55,7 @@
 	Group    int
 	Mode     ggscore.OwnerMode
 	Owner    ggsowner.Holder
-	Fence    ggscore.FenceNumber
+	Fence    ggscore.FencingToken
 	Released bool
 	Pins     int
 }
@@ -86,7 +86,7 @@
 // written, in the goroutine that writes it, with the time of then.
 func (o *Owners) Check(
 	now time.Time, id ggscore.EndpointID, a ggscore.AdapterRef, k ggscore.OrderKind,
-) (ggscore.FenceNumber, error) {
+) (ggscore.FencingToken, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e, ok := o.endpoints[id]
--- a/io/ggsowners/run.go
+++ b/io/ggsowners/run.go
@@ -163,7 +163,7 @@
 		return o.grant(ctx, sent)
 	}
 	err := o.store.Renew(ctx, id)
-	var lapsed *ggscore.LeaseLapsedError
+	var lapsed *ggscore.LeaseExpiredError
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
--- a/io/ggsowners/serve.go
+++ b/io/ggsowners/serve.go
@@ -171,7 +171,7 @@
 }
 
 func hadNoEffect(err error) bool {
-	var away *ggscore.StoreAwayError
+	var away *ggscore.StoreUnavailableError
 	var busy *ggscore.StoreBusyError
 	return errors.As(err, &away) || errors.As(err, &busy)
 }
--- a/io/ggspeer/conn_test.go
+++ b/io/ggspeer/conn_test.go
@@ -37,18 +37,18 @@
 
 	a := ggscore.ModelAdapter{Model: "m", Adapter: "a7"}
 	want := ggscore.Heartbeat{
-		VM: "vm", Sequence: 3, Started: 9, Relay: ggscore.RelayDomains, Carrier: "relay",
-		News:     ggscore.News{Epoch: 3, ListedAt: ggscore.StorePosition{Epoch: 2, Revision: 4}, OperatedAt: ggscore.StorePosition{Epoch: 1, Revision: 5}, ListAge: 6 * time.Millisecond, OperatorsAge: 7 * time.Millisecond, Config: 8, Versions: 9},
+		VM: "vm", Sequence: 3, Started: 9, Relay: ggscore.RelayDomains, CountingRelay: "relay",
+		Progress: ggscore.StoreProgress{Epoch: 3, ListedAt: ggscore.StorePosition{Epoch: 2, Revision: 4}, OperatedAt: ggscore.StorePosition{Epoch: 1, Revision: 5}, ListAge: 6 * time.Millisecond, OperatorsAge: 7 * time.Millisecond, Config: 8, Versions: 9},
 		InFlight: []ggscore.InFlight{{Endpoint: "r1", Count: 4, Ended: 3, Failed: 2}},
 		Holdings: []ggscore.Holding{{Endpoint: "r1", Held: []ggscore.AdapterVersion{{Target: a, Version: 2}}, Whole: true, Waiting: 1, Room: 3}},
 		Uses:     []ggscore.Use{{Endpoint: "r1", Target: a, Count: 5, Active: true}},
 		Samples:  []ggscore.TurnSample{{Service: "s", Tokens: 1460, Took: 70 * time.Millisecond}},
-		Tallies:  []ggscore.TurnTally{{Service: "s", Streams: 9, Hurt: 2}},
-		Modes:    []ggscore.TurnMode{{Service: "s", Waits: true, Without: 0.25}},
+		Tallies:  []ggscore.TurnTally{{Service: "s", Streams: 9, Degraded: 2}},
+		Modes:    []ggscore.TurnMode{{Service: "s", Waits: true, DegradedBefore: 0.25}},
 		Limits: []ggscore.EndpointLimit{
 			{Endpoint: "r1", Limit: &ggscore.RateLimit{RequestsPerSecond: 5.2}, Age: 40 * time.Millisecond}, {Endpoint: "r2", Age: time.Second},
 		},
-		Departures: []ggscore.Departure{{Endpoint: "r1", Born: time.UnixMilli(1_000_000)}},
+		Departures: []ggscore.Departure{{Endpoint: "r1", StartedAt: time.UnixMilli(1_000_000)}},
 	}
 	// Another writer's bytes must not stop the reading.
 	u, err := (&net.Dialer{}).DialContext(ctx, "udp", addr.String())
@@ -61,7 +61,7 @@
 	c.Assert(conn.Send(want, []netip.AddrPort{addr}), qt.IsNil)
 	c.Assert(<-got, qt.DeepEquals, want)
 	s := ggscore.Summary{
-		From: "relay", Domain: "d", Fleet: true, Settling: true, Sequence: 4, Started: 8, News: want.News,
+		From: "relay", Domain: "d", Fleet: true, Settling: true, Sequence: 4, Started: 8, Progress: want.Progress,
 		Included: []ggscore.IncludedHeartbeat{{VM: 77, Sequence: 3}}, Live: []ggscore.VMHash{77, 1 << 31}, LiveWhole: true,
 		InFlight: want.InFlight, Holdings: want.Holdings, Uses: want.Uses, Demand: []ggscore.Demand{{Target: a, Count: 6}},
 		Samples: want.Samples, Tallies: want.Tallies, Decider: "vm", Modes: want.Modes, Limits: want.Limits, Departures: want.Departures,
--- a/io/ggspeer/heartbeat.go
+++ b/io/ggspeer/heartbeat.go
@@ -23,8 +23,8 @@
 
 func heartbeatWireOf(h ggscore.Heartbeat) *heartbeatWire {
 	w := &heartbeatWire{
-		VM: string(h.VM), Sequence: h.Sequence, Started: h.Started, Relay: int(h.Relay), Carrier: string(h.Carrier),
-		News: newsWireOf(h.News), InFlight: inFlightWires(h.InFlight),
+		VM: string(h.VM), Sequence: h.Sequence, Started: h.Started, Relay: int(h.Relay), Carrier: string(h.CountingRelay),
+		News: newsWireOf(h.Progress), InFlight: inFlightWires(h.InFlight),
 		Samples: sampleWires(h.Samples), Tallies: tallyWires(h.Tallies), Modes: modeWires(h.Modes),
 		Limits: limitWires(h.Limits), Departures: departureWires(h.Departures),
 	}
@@ -35,9 +35,9 @@
 
 func (w *heartbeatWire) heartbeat() (ggscore.Heartbeat, error) {
 	h := ggscore.Heartbeat{
-		VM: ggscore.VMID(w.VM), Sequence: w.Sequence, Started: w.Started, Relay: ggscore.Relay(w.Relay), Carrier: ggscore.VMID(w.Carrier),
-		News:    w.News.news(),
-		Samples: samplesOf(w.Samples), Tallies: talliesOf(w.Tallies), Modes: modesOf(w.Modes),
+		VM: ggscore.VMID(w.VM), Sequence: w.Sequence, Started: w.Started, Relay: ggscore.Relay(w.Relay), CountingRelay: ggscore.VMID(w.Carrier),
+		Progress: w.News.news(),
+		Samples:  samplesOf(w.Samples), Tallies: talliesOf(w.Tallies), Modes: modesOf(w.Modes),
 		Departures: departuresOf(w.Departures),
 	}
 	var err error
--- a/io/ggspeer/wire.go
+++ b/io/ggspeer/wire.go
@@ -111,7 +111,7 @@
 	return ggscore.StorePosition{Epoch: ggscore.StoreEpoch(w.Epoch), Revision: ggscore.StoreRevision(w.Revision)}
 }
 
-func newsWireOf(n ggscore.News) newsWire {
+func newsWireOf(n ggscore.StoreProgress) newsWire {
 	return newsWire{
 		Epoch:  uint64(n.Epoch),
 		Listed: positionWireOf(n.ListedAt), Operated: positionWireOf(n.OperatedAt),
@@ -120,8 +120,8 @@
 	}
 }
 
-func (w *newsWire) news() ggscore.News {
-	return ggscore.News{
+func (w *newsWire) news() ggscore.StoreProgress {
+	return ggscore.StoreProgress{
 		Epoch:    ggscore.StoreEpoch(w.Epoch),
 		ListedAt: w.Listed.position(), OperatedAt: w.Operated.position(),
 		ListAge: time.Duration(w.ListAge) * time.Millisecond, OperatorsAge: time.Duration(w.OperatorsAge) * time.Millisecond,
@@ -242,7 +242,7 @@
 func tallyWires(xs []ggscore.TurnTally) []tallyWire {
 	ws := make([]tallyWire, 0, len(xs))
 	for _, x := range xs {
-		ws = append(ws, tallyWire{Service: string(x.Service), Streams: x.Streams, Hurt: x.Hurt})
+		ws = append(ws, tallyWire{Service: string(x.Service), Streams: x.Streams, Hurt: x.Degraded})
 	}
 	return ws
 }
@@ -250,7 +250,7 @@
 func talliesOf(ws []tallyWire) []ggscore.TurnTally {
 	var xs []ggscore.TurnTally
 	for _, w := range ws {
-		xs = append(xs, ggscore.TurnTally{Service: ggscore.Service(w.Service), Streams: w.Streams, Hurt: w.Hurt})
+		xs = append(xs, ggscore.TurnTally{Service: ggscore.Service(w.Service), Streams: w.Streams, Degraded: w.Hurt})
 	}
 	return xs
 }
@@ -258,7 +258,7 @@
 func modeWires(xs []ggscore.TurnMode) []modeWire {
 	ws := make([]modeWire, 0, len(xs))
 	for _, x := range xs {
-		ws = append(ws, modeWire{Service: string(x.Service), Waits: x.Waits, Without: x.Without})
+		ws = append(ws, modeWire{Service: string(x.Service), Waits: x.Waits, Without: x.DegradedBefore})
 	}
 	return ws
 }
@@ -266,7 +266,7 @@
 func modesOf(ws []modeWire) []ggscore.TurnMode {
 	var xs []ggscore.TurnMode
 	for _, w := range ws {
-		xs = append(xs, ggscore.TurnMode{Service: ggscore.Service(w.Service), Waits: w.Waits, Without: w.Without})
+		xs = append(xs, ggscore.TurnMode{Service: ggscore.Service(w.Service), Waits: w.Waits, DegradedBefore: w.Without})
 	}
 	return xs
 }
@@ -307,7 +307,7 @@
 func departureWires(ds []ggscore.Departure) []departureWire {
 	ws := make([]departureWire, 0, len(ds))
 	for _, d := range ds {
-		ws = append(ws, departureWire{Endpoint: string(d.Endpoint), Born: d.Born.UnixMilli()})
+		ws = append(ws, departureWire{Endpoint: string(d.Endpoint), Born: d.StartedAt.UnixMilli()})
 	}
 	return ws
 }
@@ -315,7 +315,7 @@
 func departuresOf(ws []departureWire) []ggscore.Departure {
 	var ds []ggscore.Departure
 	for _, w := range ws {
-		ds = append(ds, ggscore.Departure{Endpoint: ggscore.EndpointID(w.Endpoint), Born: time.UnixMilli(w.Born)})
+		ds = append(ds, ggscore.Departure{Endpoint: ggscore.EndpointID(w.Endpoint), StartedAt: time.UnixMilli(w.Born)})
 	}
 	return ds
 }
--- a/io/ggspeer/wire_test.go
+++ b/io/ggspeer/wire_test.go
@@ -23,7 +23,7 @@
 	b, err := cbor.Marshal(&revisionNews{Listed: 4, Operated: 5})
 	c.Assert(err, qt.IsNil)
 	c.Check(cbor.Unmarshal(b, &newsWire{}), qt.IsNotNil)
-	w := newsWireOf(ggscore.News{Epoch: 2})
+	w := newsWireOf(ggscore.StoreProgress{Epoch: 2})
 	b, err = cbor.Marshal(&w)
 	c.Assert(err, qt.IsNil)
 	c.Check(cbor.Unmarshal(b, &revisionNews{}), qt.IsNotNil)
--- a/io/ggsplatform/call.go
+++ b/io/ggsplatform/call.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		err = dog.Explain(err)
 		if flight.NothingWritten() {
-			return &ggscore.StoreAwayError{Cause: err}
+			return &ggscore.StoreUnavailableError{Cause: err}
 		}
 		return cl.lost(err)
 	}
@@ -92,7 +92,7 @@
 	if cl.write {
 		return &ggscore.AmbiguousWriteError{Key: cl.key, Cause: cause}
 	}
-	return &ggscore.StoreAwayError{Cause: cause}
+	return &ggscore.StoreUnavailableError{Cause: cause}
 }
 
 // refused returns the error for an answer with another status than 200. Only
@@ -104,13 +104,13 @@
 	_ = json.Unmarshal(body, &w)
 	switch status {
 	case http.StatusServiceUnavailable:
-		return &ggscore.StoreAwayError{Cause: &StatusError{Status: status}}
+		return &ggscore.StoreUnavailableError{Cause: &StatusError{Status: status}}
 	case http.StatusTooManyRequests:
 		return &ggscore.StoreBusyError{}
 	case http.StatusConflict:
 		return &ggscore.ConflictError{Key: cl.key, Want: cl.prev, Have: ggscore.StoreRevision(w.Error.Revision)}
 	case http.StatusGone:
-		return &ggscore.LeaseLapsedError{Lease: cl.lease}
+		return &ggscore.LeaseExpiredError{Lease: cl.lease}
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusRequestEntityTooLarge:
 		return &RefusedError{Status: status, Detail: w.Error.Detail}
 	}
--- a/io/ggsplatform/client_test.go
+++ b/io/ggsplatform/client_test.go
@@ -97,7 +97,7 @@
 	e, err = b.client.Get(ctx, "owner/r1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(e.Revision, qt.Equals, ggscore.StoreRevision(0))
-	var lapsed *ggscore.LeaseLapsedError
+	var lapsed *ggscore.LeaseExpiredError
 	c.Assert(b.client.Renew(ctx, l), qt.ErrorAs, &lapsed)
 	c.Assert(lapsed.Lease, qt.Equals, l)
 	_, err = b.client.Put(ctx, "owner/r2", nil, 0, l)
@@ -211,7 +211,7 @@
 			b := newBench(c, nil)
 			ctx := ggsfakebench.Context(c)
 			cut(b)
-			var away *ggscore.StoreAwayError
+			var away *ggscore.StoreUnavailableError
 			_, err := b.client.Put(ctx, "k", nil, 0, 0)
 			c.Assert(err, qt.ErrorAs, &away)
 			_, err = b.client.Get(ctx, "k")
@@ -245,7 +245,7 @@
 	var ambiguous *ggscore.AmbiguousWriteError
 	c.Assert(err, qt.ErrorAs, &ambiguous)
 	c.Assert(err, qt.ErrorIs, context.Canceled)
-	var away *ggscore.StoreAwayError
+	var away *ggscore.StoreUnavailableError
 	c.Assert(<-ended, qt.ErrorAs, &away)
 }
 
--- a/io/ggsplatform/limited.go
+++ b/io/ggsplatform/limited.go
@@ -108,7 +108,7 @@
 		return nil
 	}
 	if cause := context.Cause(ctx); cause != nil {
-		return &ggscore.StoreAwayError{Cause: cause}
+		return &ggscore.StoreUnavailableError{Cause: cause}
 	}
 	return &ggscore.StoreBusyError{}
 }
--- a/io/ggsvms/vms_test.go
+++ b/io/ggsvms/vms_test.go
@@ -22,7 +22,7 @@
 func (p *platform) ListVMs(context.Context) ([]ggscore.VM, error) {
 	p.read++
 	if p.away {
-		return nil, &ggscore.StoreAwayError{}
+		return nil, &ggscore.StoreUnavailableError{}
 	}
 	return p.vms, nil
 }
