--- a/io/ggsedge/attempt.go
+++ b/io/ggsedge/attempt.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// maxSends bounds the endpoints that a request is sent to, those that
-	// refused it included.
+	// maxSends bounds the number of endpoints that a request is sent to, including those that
+	// refused it.
 	maxSends = 4
-	// retryBase and retryMaxWait are the waits before another endpoint is
-	// asked: it is another one, so only a herd is to be spread.
+	// retryBase and retryMaxWait bound the backoff before another endpoint is tried. They are
+	// short because the other endpoint isn't overloaded by this request; the jitter only spreads
+	// simultaneous retries.
 	retryBase    = time.Millisecond
 	retryMaxWait = 20 * time.Millisecond
-	// giveUpShare is the part of a request's time after which it is no longer
-	// offered to further endpoints where adapters have to be loaded: what is left
-	// is better used by the caller's own next try.
+	// giveUpShare is the share of a request's timeout after which a failed load isn't followed by
+	// an attempt at another endpoint. The rest of the time is better used by the caller's retry.
 	giveUpShare = 0.35
-	// leastLeft is the time under which sending a request is of no use.
+	// minTimeLeft is the time before the deadline below which a request isn't sent.
 	leastLeft = 5 * time.Millisecond
-	// ownConns is the part of an endpoint's connections that this VM takes at
-	// most: callers fall on the VMs unevenly.
+	// maxConnShare is the share of an endpoint's connections that this VM uses at most. Callers
+	// are distributed unevenly over the VMs.
 	ownConns = 0.25
 )
 
-// run sends the request until it is answered or given up.
+// run sends the request to endpoints until one answers or the request fails for good.
 func (e *Edge) run(ctx context.Context, j *job) {
 	for {
 		choice, err := e.choose(j)
@@ -82,9 +82,10 @@
 	})
 }
 
-// again reports whether a request that failed is sent to another endpoint. One
-// that may have run is only where it may run twice, and each counts against
-// the route's attempts; all count against the budget that the VMs share.
+// retry reports whether a failed request is sent to another endpoint, and waits for the
+// backoff. A request that may have run is sent again only if the route is idempotent, and
+// each run counts against the route's attempts. All retries count against the budget that the
+// VMs share.
 func (e *Edge) again(ctx context.Context, j *job, f *ggscore.Failure) bool {
 	if j.committed || ctx.Err() != nil {
 		return false
@@ -93,8 +94,8 @@
 		if !j.route.Idempotent() || j.runs >= j.route.MaxAttempts {
 			return false
 		}
-		// The policy knows only of work that is proved not to have run. What
-		// may run twice is the same to it.
+		// The policy retries only requests that have not run. An idempotent request that may have
+		// run is passed to the policy as not run.
 		g := *f
 		g.Outcome = ggscore.OutcomeNotRun
 		f = &g
@@ -111,7 +112,7 @@
 	return pause(ctx, wait)
 }
 
-// giveUp answers a request that is not sent again.
+// giveUp answers a request that isn't sent again.
 func (e *Edge) giveUp(ctx context.Context, j *job, err error) {
 	var over *DeadlineError
 	late := errors.As(context.Cause(ctx), &over)
@@ -123,8 +124,8 @@
 	}
 	if j.committed {
 		e.stats.Failed.Add(1)
-		// The answer has begun: only a broken connection tells the caller that
-		// it isn't whole.
+		// The answer has begun. Only an aborted connection shows the caller that the answer is
+		// truncated.
 		panic(http.ErrAbortHandler)
 	}
 	if j.kept != nil {
@@ -150,14 +151,14 @@
 }
 
 const (
-	// lateWait is told where the request's own time is over.
+	// timeoutRetryAfter is sent when the request's deadline has passed before it ran.
 	lateWait = time.Second
-	// notRunWait is told where endpoints refused: their queues empty within
-	// some tenths of a second.
+	// refusedRetryAfter is sent when endpoints refused the request. Their queues empty within
+	// tenths of a second.
 	notRunWait = 300 * time.Millisecond
 )
 
-// send sends the request once. It returns nil where the caller has its answer.
+// send sends the request once. It returns nil if the caller has received the answer.
 func (e *Edge) send(ctx context.Context, j *job, c ggsplace.Choice) *ggscore.Failure {
 	i := c.Instance
 	left := j.until.Sub(e.Steady())
@@ -170,7 +171,7 @@
 		return &ggscore.Failure{Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeNotRun, Detail: "its time was over before its turn"}
 	}
 	if !e.takes(i.ID) {
-		// It said that it leaves while the request waited.
+		// The endpoint announced while the request waited that it leaves.
 		return e.unsent(j, i)
 	}
 	left = j.until.Sub(e.Steady())
@@ -198,8 +199,8 @@
 	return f
 }
 
-// unsent returns the failure of a request whose endpoint takes no more. Nothing was sent, so
-// another endpoint is tried without a retry of the budget.
+// notSent returns the failure of a request whose endpoint accepts no more requests. Nothing was
+// sent, so the next endpoint is tried without a retry from the budget.
 func (e *Edge) unsent(j *job, i ggscore.Instance) *ggscore.Failure {
 	e.end(j, i.ID, ggsretry.ResultNeutral)
 	e.dropTurn(j)
@@ -243,7 +244,7 @@
 	return f
 }
 
-// begin notes a request that is sent.
+// beginSend records that a request is being sent to an endpoint.
 func (e *Edge) begin(j *job, id ggscore.EndpointID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -267,7 +268,7 @@
 	}
 }
 
-// end notes the end of a request that was sent.
+// endSend records the end of a request that beginSend recorded.
 func (e *Edge) end(j *job, id ggscore.EndpointID, r ggsretry.Result) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/ggsedge/attempt_test.go
+++ b/io/ggsedge/attempt_test.go
@@ -12,12 +12,13 @@
 	"greengageslip/io/ggsexchange"
 )
 
-// Guards against a request that is placed anew before it is sent and earns repeats twice.
+// Guards against a request that is added to the retry budget twice because it is sent to a
+// second endpoint.
 func TestRequestEarnsRepeatsOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := func() time.Time { return time.Unix(1_000, 0) }
-	// Each request earns half a repeat.
+	// Each request adds half a retry to the budget.
 	e := New(Options{VM: "vm", RetryRatio: 0.5 / retryShare}, Parts{
 		Log: log.NewNopLogger(), Now: now, Steady: now, Pool: ggsexchange.NewPool(ggsexchange.Options{Now: now}),
 	})
--- a/io/ggsedge/control.go
+++ b/io/ggsedge/control.go
@@ -13,11 +13,11 @@
 	"greengageslip/io/ggslog"
 )
 
-// claimInterval is the time between looks for endpoints that nobody gives orders:
-// a look that finds none makes no call.
+// claimInterval is the time between checks for endpoints without an owner. A check that finds
+// none makes no call to the store.
 const claimInterval = 300 * time.Millisecond
 
-// giveOrders writes beats and claims.
+// maintainOwnership writes store heartbeats and claims until the context ends.
 func (e *Edge) giveOrders(ctx context.Context) error {
 	var count uint64
 	refusals := 0
@@ -34,9 +34,10 @@
 	return nil
 }
 
-// claimUntilBeat claims endpoints that come up until the next beat is due, unless
-// the last one wasn't acknowledged. An endpoint that started waited for its first
-// order, which brings its base model, until the beat: 1.2 s on average.
+// claimUntilHeartbeat claims endpoints without an owner until the next store heartbeat is due.
+// It claims none if the last heartbeat wasn't acknowledged. With one check per heartbeat, an
+// endpoint that started waited 1.2 s on average for its first order, which loads its base
+// model.
 func (e *Edge) claimUntilBeat(ctx context.Context, sent time.Time, acked bool) {
 	for {
 		if acked {
@@ -49,9 +50,9 @@
 	}
 }
 
-// beatInterval returns the time between this VM's beats to the store. One that
-// wasn't acknowledged is repeated as soon as an owner's is due: until then other
-// VMs may not know this one.
+// storeHeartbeatInterval returns the time between this VM's store heartbeats. One that wasn't
+// acknowledged is repeated at the owners' interval, since other VMs may not know this VM until
+// then.
 func (e *Edge) beatInterval(acked bool) time.Duration {
 	heard := len(e.livePeers())
 	e.mu.Lock()
@@ -59,8 +60,8 @@
 	return ggsgossip.HeartbeatInterval(heard+1, e.keeper.OwnsAny() || !acked)
 }
 
-// recordsRead reports whether the own records were read in the current epoch. What is written
-// goes by their revisions.
+// recordsCurrent reports whether the VMs' own records were read in the current epoch.
+// Conditions of writes use their revisions.
 func (e *Edge) recordsRead() bool {
 	c := e.epochs.current()
 	e.mu.Lock()
@@ -69,23 +70,23 @@
 	return ok && k == c
 }
 
-// wakeBeats has a beat written at once.
+// requestStoreHeartbeat has a store heartbeat written at once.
 func (e *Edge) wakeBeats() {
 	e.kicked.Store(true)
 	notify(e.kick)
 }
 
-// A beatResult is what became of a beat.
+// A heartbeatResult is the result of writing a store heartbeat.
 type beatResult int
 
 const (
-	// beatUnsent is a beat that wasn't written, or whose answer was lost.
+	// heartbeatUnsent means that the heartbeat wasn't written, or that its answer was lost.
 	beatUnsent beatResult = iota
 	beatAcknowledged
 	beatRefused
 )
 
-// beatOnce writes a beat.
+// writeHeartbeat writes a store heartbeat.
 func (e *Edge) beatOnce(ctx context.Context, count *uint64) beatResult {
 	if !e.recordsRead() {
 		return beatUnsent
@@ -138,7 +139,7 @@
 	return beatAcknowledged
 }
 
-// reread reads the own records anew after a refusal.
+// rereadRecords reads the VMs' own records again after a refused heartbeat.
 func (e *Edge) reread(ctx context.Context) {
 	es, at, err := e.Store.Snapshot(ctx, e.options.Keys.Own+"/", false)
 	if err != nil {
@@ -149,7 +150,7 @@
 	e.wakeBeats()
 }
 
-// settled returns the write that says that an epoch is settled.
+// settledWrite returns the write that records that an epoch is settled.
 func (e *Edge) settled(c ggscore.StoreEpoch) []ggscore.TxnWrite {
 	v, err := json.Marshal(&epochRecord{Settled: uint64(c)})
 	if err != nil {
@@ -159,7 +160,7 @@
 	return []ggscore.TxnWrite{{Key: e.epochKey(), Value: v}}
 }
 
-// claimAll writes the claims that are this VM's to write.
+// writeClaims writes this VM's due claims of endpoints.
 func (e *Edge) claimAll(ctx context.Context) {
 	specs := map[ggscore.Service]ggscore.BackendSpec{}
 	if t := e.paths.Load(); t != nil {
@@ -203,7 +204,7 @@
 	}
 }
 
-// Release ends this VM's orders and lets other VMs have its endpoints.
+// Release stops this VM's orders and releases its endpoints to other VMs.
 func (e *Edge) Release(ctx context.Context) {
 	e.mu.Lock()
 	e.keeper.Stop()
--- a/io/ggsedge/doc.go
+++ b/io/ggsedge/doc.go
@@ -1,37 +1,47 @@
-// Package ggsedge serves callers' requests at an entry VM: it finds the route,
-// chooses an endpoint, has the adapter loaded where it is missing, passes the
-// request on and relays the answer.
+// Package ggsedge serves callers' requests at an entry VM: it finds the route, chooses an
+// endpoint, has a missing adapter loaded, sends the request and forwards the answer.
+//
+// Inputs are callers' requests, the store's entries (configuration, adapter versions, list of
+// endpoints, ownership records) and the peers' heartbeats, summaries and notices. Outputs are
+// the answers to callers, this VM's records in the store, its datagrams to peers, and the
+// placement orders to the endpoints that it owns.
 //
 // # Usage
 //
 //	e := ggsedge.New(options, parts)
-//	go e.Run(ctx)                    // follows store and peers, gives orders
+// go e.Run(ctx)                    // follows the store and the peers, sends orders
 //	server := &http.Server{Handler: e}
 //	ready := e.Ready()
-//	e.Drain()                        // before the stop: not ready any more
-//	e.Release(ctx)                   // endpoints go over to other VMs
+// e.Drain()                        // before a stop: Ready returns an error from now on
+// e.Release(ctx)                   // releases this VM's endpoints to other VMs
 //
 // # Answers
 //
-// An endpoint's answer is passed on as it came. The edge's own are plain text:
+// An endpoint's answer is forwarded unchanged. The edge's own answers are plain text:
 //
-//	400  the request bears no identity, or its body can't be read
+// 400  the request has no ID, or its body can't be read
 //	404  no route matches
-//	413  the body is longer than the configuration allows
-//	431  the head is longer than the configuration allows
-//	502  the request may have run and its answer is lost
-//	503  the request has not run and never will; Retry-After says when to come back
-//	504  the time is over and the request may have run
+// 413  the body is longer than the configuration allows
+// 431  the header is longer than the configuration allows
+// 502  the request may have run and its answer is lost
+// 503  the request has not run and never will; Retry-After says when to retry
+// 504  the deadline has passed and the request may have run
+//
+// # Files
 //
-// # Following a request
+// handler.go admits a request, attempt.go sends it, and relay.go forwards the answer.
+// placement.go has adapters loaded, and worker.go sends the orders to owned endpoints.
+// turns.go schedules prompts, and signals.go processes rate limits and departures that
+// endpoints announce. operators.go and follow.go read the operators' entries and the list of
+// endpoints, members.go reads the VMs' records, and control.go writes store heartbeats and
+// claims. heartbeats.go exchanges state with other VMs, and parts.go serves the relays'
+// readings of the store to other VMs.
 //
-// handler.go admits it, attempt.go sends it, relay.go passes the answer on;
-// placement.go has adapters loaded, turns.go has prompts wait for each other, and
-// operators.go and follow.go keep what the decisions go by; heartbeats.go exchanges it
-// with other VMs, and parts.go has relays read the store for the others.
+// Two kinds of heartbeats exist: datagrams to peers, and store heartbeats, which are writes
+// of this VM's record in the store.
 //
 // # Locks
 //
-// Edge.mu guards the tables of decisions and is a leaf: no I/O is done and
-// nothing else is locked under it.
+// Edge.mu guards the state that decisions use. While it is held, no network call is made, and
+// epochState.mu is the only other lock of the package that is taken. epochState.mu is a leaf.
 package ggsedge
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -25,66 +25,66 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// An Options sets an Edge.
+// An Options configures an Edge.
 type Options struct {
 	Policy  ggscore.Policy
 	VM      ggscore.VMID
 	Domain  ggscore.Domain
 	Regions map[ggscore.Domain]ggscore.Region
 	Seed    uint64
-	// Capacity compares VMs by processor and link: the widest of a failure domain pass on
-	// heartbeats and give orders.
+	// Capacity compares VMs by processor and network link. The VMs of a failure domain with the
+	// greatest capacity become relays, and VMs own endpoints in proportion to it.
 	Capacity uint64
-	// Beats is where this VM hears its peers' beats, Control where they call it.
+	// Beats is the address at which this VM receives datagrams, and Control the one for calls.
 	Beats   netip.AddrPort
 	Control netip.AddrPort
-	// Seeds are other VMs to ask while the store is away; they may be gone.
+	// Seeds are other VMs to read entries from while the store is unreachable. They may be gone.
 	Seeds []netip.AddrPort
-	// Turn is the time between orders of two VMs to one endpoint.
+	// Turn is the minimum time between orders of two VMs to one endpoint.
 	Turn time.Duration
 	// FirstStart says that the deployment starts for the first time.
 	FirstStart bool
-	// RetryRatio and RetrySlack bound what is sent to a service beyond each
-	// request's first, over all VMs.
+	// RetryRatio and RetrySlack bound the retries to a service, summed over all VMs. RetryRatio
+	// is per first send, and RetrySlack is a number of retries.
 	RetryRatio float64
 	RetrySlack int
-	// IDHeader bears the identity of requests and answers.
+	// IDHeader is the header with the ID of a request and its answer.
 	IDHeader string
 	Keys     Keys
-	// MaxActive bounds the requests under way, MaxBodies the memory of their
-	// bodies.
+	// MaxActive bounds the requests in flight, and MaxBodies the total size of their bodies in
+	// bytes.
 	MaxActive int64
 	MaxBodies int64
 }
 
-// A Keys names what the edge follows in the store.
+// A Keys has the prefixes and keys in the store that an Edge uses.
 type Keys struct {
-	// Operators is the prefix of the operators' entries, Config the key of the
-	// configuration below it.
+	// Operators is the prefix of the operators' entries, and Config is the key of the
+	// configuration below that prefix.
 	Operators ggscore.Key
 	Config    ggscore.Key
 	// Instances is the prefix of the endpoints' entries.
 	Instances ggscore.Key
-	// Own is the prefix of the system's own records.
+	// Own is the prefix of the records that VMs write themselves.
 	Own ggscore.Key
 }
 
-// A Codec reads the entries of the store.
+// A Codec decodes entries of the store.
 type Codec interface {
 	Config(e ggscore.Entry) (*ggscore.RoutingConfig, error)
 	Instance(e ggscore.Entry) (ggscore.Instance, error)
-	// Version reads an adapter's version; ok is false for other entries.
+	// Version decodes an adapter's version. ok is false for other entries.
 	Version(e ggscore.Entry) (v ggscore.AdapterVersion, ok bool, err error)
 }
 
-// A Store is what the edge needs of the platform's store.
+// A Store has the calls of the platform's store that an Edge uses.
 type Store interface {
 	ggscore.Snapshotter
 	ggscore.Txner
 	ggscore.HistoryWatcher
 }
 
-// A Parts holds what an Edge is made of.
+// A Parts has the dependencies of an Edge.
 type Parts struct {
 	Store   Store
 	Codec   Codec
@@ -94,9 +94,9 @@
 	Peers   *ggspeer.Conn
 	Calls   *ggsrpc.Pool
 	Log     log.Logger
-	// Now is the time of decisions. It goes on while the VM is suspended.
+	// Now is the clock for decisions. It advances while the VM is suspended.
 	Now func() time.Time
-	// Steady is the clock that requests' deadlines go by.
+	// Steady is the clock for the deadlines of requests.
 	Steady func() time.Time
 }
 
@@ -111,7 +111,7 @@
 
 	paths    atomic.Pointer[ggspath.Table]
 	draining atomic.Bool
-	// storeAway says that the last reading of the operators' entries failed.
+	// storeUnavailable says that the last read of the operators' entries failed.
 	storeAway atomic.Bool
 
 	mu       sync.Mutex
@@ -122,57 +122,59 @@
 	node     *ggsrelay.Node
 	retries  *ggsretry.Policy
 	limits   *ggsthrottle.Table
-	// versions are those of adapters in force, versionSum their sum.
+	// versions are the adapters' versions in use, and versionSum is their sum.
 	versions   map[ggscore.ModelAdapter]uint64
 	versionSum uint64
 	newer      newerEntries
 	workers    map[ggscore.EndpointID]*worker
-	// unanswered has the orders that endpoints didn't answer, also those to processes that
-	// are gone.
+	// unansweredOrders are the orders that endpoints didn't answer, including orders to previous
+	// processes of an endpoint.
 	unansweredOrders map[ggscore.EndpointID]*ggsresident.Unanswered
 	peers            map[ggscore.VMID]*member
 	uses             map[use]*usage
 	loads            map[load]*loading
 	listed           bool
-	// entries are the store's entries as last read, for VMs that start while
-	// the store is away.
+	// entries are the store's entries as last read. VMs that start while the store is
+	// unreachable read them from this VM.
 	entries map[ggscore.Key][]ggscore.Entry
-	// startedAt tells this process from those before, sequence numbers its heartbeats.
-	// lastWhole is when all that endpoints hold was sent last, summarized when a relay's
-	// summary was adopted last.
+	// startedAt distinguishes this process from previous ones of the VM. sequence numbers the
+	// heartbeats. lastFullHoldings is when all that the owned endpoints hold was last sent.
+	// lastSummary is when a relay's summary was last applied.
 	startedAt  int64
 	sequence   uint64
 	lastWhole  time.Time
 	summarized time.Time
-	// listedAt and operatedAt are the positions by which the list of endpoints
-	// and the operators' entries were seen to change last, listRead and
-	// operatorsRead those up to which they were read.
+	// listChangedAt and operatorsChangedAt are the positions of the last observed changes of the
+	// list of endpoints and of the operators' entries. listRead and operatorsRead are the
+	// positions up to which they were read.
 	listedAt      ggscore.StorePosition
 	operatedAt    ggscore.StorePosition
 	listRead      ggscore.StorePosition
 	operatorsRead ggscore.StorePosition
-	// resynced is the last epoch in which list, operators' entries and records were read,
-	// resyncTook the time until then.
+	// resyncedEpoch is the last epoch in which the list, the operators' entries and the VMs' own
+	// records were all read. resyncDuration is the time that this took.
 	resynced   ggscore.StoreEpoch
 	resyncTook time.Duration
 	// operatorsAnnounced is the newest position of the operators' entries that a peer
-	// announced, operatorsSynced that before the last full snapshot, and behindSince when
-	// this VM first heard of one that it has not read.
+	// announced. operatorsSynced is the newest position announced before the last full snapshot.
+	// behindSince is when a peer first announced a position that this VM has not read yet.
 	operatorsAnnounced ggscore.StorePosition
 	operatorsSynced    ggscore.StorePosition
 	behindSince        time.Time
-	// operatorsReadTime is when this VM read the operators' entries or its watch of them
-	// ended, operatorsObserved when it or a peer did.
+	// operatorsReadTime is when this VM last read the operators' entries, by a snapshot or a
+	// completed watch. operatorsObserved is when this VM or a peer last did.
 	operatorsReadTime time.Time
 	operatorsObserved time.Time
-	// listAnnounced is the newest position by which a peer saw the list change.
-	// listReadTime is when this VM read the list, listObserved when it or a peer did.
+	// listAnnounced is the newest position of a change of the list that a peer announced.
+	// listReadTime is when this VM last read the list. listObserved is when this VM or a peer
+	// last did.
 	listAnnounced ggscore.StorePosition
 	listReadTime  time.Time
 	listObserved  time.Time
-	// kick wakes the loop that writes beats to the store, with kicked set, listNotified and
-	// operatorsNotified those that read what a peer saw change, membersNotified that which
-	// reads the VMs' own records.
+	// storeHeartbeatNotified wakes the loop that writes store heartbeats. The loop writes one at
+	// once if storeHeartbeatDue is set. listNotified and operatorsNotified wake the loops that
+	// read the list and the operators' entries, after a peer announced a change.
+	// membersNotified wakes the loop that reads the VMs' own records.
 	kick              chan struct{}
 	kicked            atomic.Bool
 	listNotified      chan struct{}
@@ -180,7 +182,7 @@
 	membersNotified   chan struct{}
 }
 
-// A Stats counts what an Edge did.
+// A Stats has the counters of an Edge.
 type Stats struct {
 	Requests atomic.Int64
 	Answered atomic.Int64
@@ -192,19 +194,20 @@
 	Orders   atomic.Int64
 	Store    atomic.Int64
 	Active   atomic.Int64
-	// Bodies is the memory of the bodies of requests under way.
+	// Bodies is the total size of the bodies of requests in flight, in bytes.
 	Bodies atomic.Int64
 }
 
-// A member is a peer as its entry in the store names it.
+// A member is a peer as described by its record in the store.
 type member struct {
 	beats  netip.AddrPort
 	calls  netip.AddrPort
 	domain ggscore.Domain
 	region ggscore.Region
-	// capacity compares VMs by processor and link.
+	// capacity compares VMs by processor and network link.
 	capacity uint64
-	// heard is when it last sent a beat, or became known.
+	// lastSeen is when the peer's last heartbeat arrived, when a summary last listed the peer as
+	// live, or when the peer became known.
 	heard    time.Time
 	started  int64
 	sequence uint64
@@ -216,14 +219,14 @@
 	target   ggscore.ModelAdapter
 }
 
-// A usage is this VM's requests for a use: how many were sent since the last
-// beat, and how many are under way.
+// A usage counts this VM's requests for a use: those sent since the last heartbeat, and those
+// in flight.
 type usage struct {
 	sent   int
 	active int
 }
 
-// New returns an Edge that knows nothing yet.
+// New returns an Edge that has read no state yet.
 func New(o Options, p Parts) *Edge {
 	turns := ggsturn.NewTable(ggsturn.Options{VM: o.VM, FirstNumber: o.Seed})
 	limits := ggsthrottle.NewTable(o.VM)
@@ -262,14 +265,14 @@
 	return e
 }
 
-// member returns this VM's place.
+// relayMember returns this VM as a member for ggsrelay.
 func (o *Options) member() ggsrelay.Member {
 	return ggsrelay.Member{VM: o.VM, Domain: o.Domain, Region: o.Regions[o.Domain], Capacity: o.Capacity}
 }
 
-// retryShare is the part of the deployment's bound on repeats that this VM
-// uses: it sees a share of the requests, and what it doesn't know of, such as
-// a peer that comes or goes, must not break the bound.
+// retryShare is the share of the deployment's bound on retries that this VM uses. A VM serves
+// only a part of the requests, and a peer that joins or leaves before the others know of it
+// must not exceed the bound.
 const retryShare = 0.5
 
 func retryOptions(o Options) ggsretry.Options {
@@ -279,16 +282,16 @@
 	}
 }
 
-// leastVMs is the number of VMs that are taken to share the slack before others
-// are known: those of a small deployment.
+// minVMs is the minimum number of VMs to divide the slack by, before others are known. It is
+// the size of a small deployment.
 const leastVMs = 9
 
-// retryDepth returns this VM's part of the slack of so many VMs.
+// retryDepth returns this VM's part of the slack, given the number of VMs.
 func retryDepth(o Options, vms int) float64 {
 	return max(float64(o.RetrySlack)*retryShare/float64(max(vms, leastVMs)), 1)
 }
 
-// Run follows store and peers and gives orders until the context ends.
+// Run follows the store and the peers and sends orders until the context ends.
 func (e *Edge) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return e.followOperators(ctx) })
@@ -305,7 +308,7 @@
 	return g.Wait()
 }
 
-// Ready returns nil while the edge takes new connections.
+// Ready returns nil while the edge accepts new connections, else a *NotReadyError.
 func (e *Edge) Ready() error {
 	if e.draining.Load() {
 		return &NotReadyError{Reason: "stopping"}
@@ -321,10 +324,10 @@
 	return nil
 }
 
-// since returns the time that has passed since t.
+// since returns the time elapsed since t.
 func (e *Edge) since(t time.Time) time.Duration { return e.Steady().Sub(t) }
 
-// Drain makes the edge say that it takes no new connections.
+// Drain makes Ready return an error and closes callers' connections after their next answer.
 func (e *Edge) Drain() { e.draining.Store(true) }
 
 // Stats returns the counters.
--- a/io/ggsedge/epoch.go
+++ b/io/ggsedge/epoch.go
@@ -12,33 +12,34 @@
 	"greengageslip/io/ggslog"
 )
 
-// The sources from which a VM learns of a new epoch.
+// Sources from which a VM learns of a new epoch.
 const (
 	epochByStore = "store"
 	epochByPeer  = "peer"
 )
 
-// An epochs is what a VM knows of the store's epoch.
+// An epochState tracks the current epoch of the store.
 type epochs struct {
 	log log.Logger
 	now func() time.Time
-	// changed is called after each change, without the lock held.
+	// changed is called after each change, without mu held.
 	changed func(epochChange)
 
-	// mu guards what follows and is a leaf.
+	// mu guards the fields below and is a leaf lock.
 	mu      sync.Mutex
 	tracker *ggsepoch.Tracker
-	// ignored are the reasons for which named epochs were ignored, each logged once.
+	// ignored has the reasons for which epochs in answers were ignored. Each is logged once.
 	ignored map[ggsepoch.Reason]bool
-	// last is the position of the last answer, since when the current epoch was learnt.
+	// lastPosition is the position of the last answer. since is when this VM learned of the
+	// current epoch.
 	last  ggscore.StorePosition
 	since time.Time
 }
 
-// An epochChange says how a VM learnt of a new epoch.
+// An epochChange describes how a VM learned of a new epoch.
 type epochChange struct {
 	from, to ggscore.StoreEpoch
-	// revision is that of the last answer in the epoch before.
+	// revision is that of the last answer in the previous epoch.
 	revision ggscore.StoreRevision
 	by       string
 }
@@ -47,13 +48,13 @@
 	return &epochs{log: l, now: now, changed: changed, tracker: ggsepoch.NewTracker(), ignored: map[ggsepoch.Reason]bool{}}
 }
 
-// enter notes that a new epoch was learnt. epochs.mu is held.
+// recordChange records that the current epoch has changed. epochState.mu is held.
 func (e *epochs) enter(from ggscore.StoreEpoch, by string) epochChange {
 	e.since = e.now()
 	return epochChange{from: from, to: e.tracker.Current(), revision: e.last.Revision, by: by}
 }
 
-// learntAt returns the current epoch, and when it was learnt.
+// currentSince returns the current epoch, and when this VM learned of it.
 func (e *epochs) learntAt() (ggscore.StoreEpoch, time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,7 +68,7 @@
 	return e.tracker.Current()
 }
 
-// learn takes an epoch that a peer knows.
+// observePeer processes the epoch that a peer knows.
 func (e *epochs) learn(to ggscore.StoreEpoch) {
 	e.mu.Lock()
 	from := e.tracker.Current()
@@ -82,7 +83,8 @@
 	}
 }
 
-// answer takes the position that an answer of the store named.
+// observeAnswer processes the position that an answer of the store names. sent is the current
+// epoch at the time of the call.
 func (e *epochs) answer(sent ggscore.StoreEpoch, at ggscore.StorePosition, stale bool) ggsepoch.Answer {
 	e.mu.Lock()
 	from := e.tracker.Current()
@@ -108,7 +110,8 @@
 	return a
 }
 
-// epochChanged has all that was read in the epoch before read anew. It takes no lock.
+// epochChanged has everything read again that was read in the previous epoch. It takes no
+// lock.
 func (e *Edge) epochChanged(c epochChange) {
 	if c.from > 0 {
 		_ = level.Info(e.Log).Log("event", ggslog.EventStoreEpochChanged, "from", c.from, "to", c.to, "revision", c.revision, "by", c.by)
@@ -131,8 +134,8 @@
 	return e.resyncTook
 }
 
-// noteResynced notes that list, operators' entries and records were read in the current epoch.
-// Edge.mu is held.
+// recordResync records the end of the resync, which is when the list, the operators' entries
+// and the VMs' own records were all read in the current epoch. Edge.mu is held.
 func (e *Edge) noteResynced() {
 	c, since := e.epochs.learntAt()
 	k, _ := e.keeper.Epoch()
@@ -143,7 +146,7 @@
 	_ = level.Info(e.Log).Log("event", ggslog.EventStoreResynced, "epoch", c, "took", e.resyncTook)
 }
 
-// begun returns the first position of the current epoch.
+// start returns the first position of the current epoch, zero if no epoch is known.
 func (e *epochs) begun() ggscore.StorePosition {
 	if c := e.current(); c > 0 {
 		return ggscore.StorePosition{Epoch: c, Revision: 1}
--- a/io/ggsedge/epoch_test.go
+++ b/io/ggsedge/epoch_test.go
@@ -12,7 +12,7 @@
 	ggscore "greengageslip/core"
 )
 
-// An epochFake answers each call with a position and an error, after a function has run.
+// An epochFake returns a position and an error from each call, after it has run then.
 type epochFake struct {
 	at   ggscore.StorePosition
 	err  error
@@ -42,7 +42,7 @@
 	return f.answer()
 }
 
-// Guards against answers that count in a history of the store which they aren't of.
+// Guards against using answers of another history of the store than the current one.
 func TestAnswersOfAnotherEpochDontCount(t *testing.T) {
 	t.Parallel()
 	const epoch = 2
@@ -62,7 +62,7 @@
 	is := func(target any) func(error) bool { return func(err error) bool { return errors.As(err, target) } }
 	fine := func(err error) bool { return err == nil }
 	for name, tc := range map[string]struct {
-		// named is the answer's epoch, learnt one that a peer names before it arrives.
+		// named is the answer's epoch, learned is one that a peer names before the answer arrives.
 		named, learnt ggscore.StoreEpoch
 		err           error
 		call          func(Store) error
@@ -96,7 +96,8 @@
 	}
 }
 
-// Guards against a condition on a revision that was read before the store came back from a copy.
+// Guards against a condition on a revision that was read before the store returned from an
+// older copy.
 func TestTransactionOfAnEndedEpochIsNotSent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsedge/epochstore.go
+++ b/io/ggsedge/epochstore.go
@@ -9,8 +9,9 @@
 	ggscore "greengageslip/core"
 )
 
-// An epochStore passes on a store's answers with the epoch that they are of. Answers of an
-// epoch that has ended, and those to what was read in another, are errors.
+// An epochStore adds the epoch to the positions that a store's answers name. It returns errors
+// for answers of an epoch that has ended, and for answers to calls that refer to positions of
+// another epoch.
 type epochStore struct {
 	Store
 	epochs *epochs
@@ -60,8 +61,8 @@
 	return at, err
 }
 
-// place returns the position that an answer is of, and an error for one that changes nothing.
-// A call without an answer names no epoch.
+// checkEpoch returns the position of an answer with its epoch, and an error for an answer that
+// must be discarded. A call that got no answer names no epoch.
 func (s *epochStore) place(
 	sent ggscore.StoreEpoch, at ggscore.StorePosition, stale bool, err error,
 ) (ggscore.StorePosition, error) {
--- a/io/ggsedge/errors.go
+++ b/io/ggsedge/errors.go
@@ -7,13 +7,13 @@
 	ggscore "greengageslip/core"
 )
 
-// A NotReadyError says why the edge takes no new connections.
+// A NotReadyError says why the edge doesn't accept new connections.
 type NotReadyError struct{ Reason string }
 
 // Error implements error.
 func (e *NotReadyError) Error() string { return e.Reason }
 
-// A NoOrdererError says that no VM can be asked to load an adapter.
+// A NoOrdererError says that no VM owns the endpoint, so no VM can load an adapter there.
 type NoOrdererError struct{ Endpoint ggscore.EndpointID }
 
 // Error implements error.
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("no VM gives orders to %s", e.Endpoint)
 }
 
-// A LoadTimeoutError says that an adapter wasn't loaded in time.
+// A LoadTimeoutError says that an adapter wasn't loaded before the deadline.
 type LoadTimeoutError struct {
 	Endpoint ggscore.EndpointID
 	Target   ggscore.ModelAdapter
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("too many adapters wait to be loaded on %s", e.Endpoint)
 }
 
-// An AnswerError says that an endpoint's answer can't be passed on.
+// An AnswerError says that an endpoint's answer is invalid and can't be forwarded.
 type AnswerError struct {
 	Status int
 	Reason string
@@ -52,19 +52,19 @@
 	return fmt.Sprintf("answer with status %d: %s", e.Status, e.Reason)
 }
 
-// A DeadlineError says that a request's time is over.
+// A DeadlineError says that a request's deadline has passed.
 type DeadlineError struct{ Limit time.Duration }
 
 // Error implements error.
 func (e *DeadlineError) Error() string { return fmt.Sprintf("time of %s is over", e.Limit) }
 
-// A PartUnknownError says that a VM has not read a part of the store yet.
+// A PartUnknownError says that a VM has not read the entries below a prefix yet.
 type PartUnknownError struct{ Prefix ggscore.Key }
 
 // Error implements error.
 func (e *PartUnknownError) Error() string { return fmt.Sprintf("%s has not been read yet", e.Prefix) }
 
-// A PartBehindError says that a relay has not read a part of the store so far.
+// A PartBehindError says that a relay has not read the entries below a prefix up to a position.
 type PartBehindError struct {
 	Prefix ggscore.Key
 	At     ggscore.StorePosition
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// listTick is how often the list's age is looked at.
+	// listPollInterval is the minimum pause between checks of the list's age.
 	listTick = 50 * time.Millisecond
-	// minResyncInterval limits resyncs of the list triggered by peers.
+	// minResyncInterval is the minimum time between resyncs of the list triggered by peers.
 	minResyncInterval = 300 * time.Millisecond
 )
 
-// pause waits, or returns false when the context ends.
+// pause waits for d. It returns false if the context ends first.
 func pause(ctx context.Context, d time.Duration) bool { return pauseOr(ctx, d, nil) }
 
-// pauseOr is pause, cut short by a wake-up.
+// pauseOrWake is pause, ended early by a message on wake.
 func pauseOr(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -39,7 +39,7 @@
 	}
 }
 
-// livePeers returns the VMs whose heartbeats arrive.
+// livePeers returns the VMs whose last heartbeat is younger than peerTimeout.
 func (e *Edge) livePeers() []ggscore.VMID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -52,8 +52,9 @@
 	return vms
 }
 
-// waitForList waits until the list of endpoints is to be read: a peer saw it
-// change, or nobody has read it for some time.
+// waitForList waits until the list of endpoints has to be read: a peer observed a change, or
+// the last read by any VM is older than this VM's limit. It returns false if the context ends
+// first.
 func (e *Edge) waitForList(ctx context.Context) bool {
 	limit := e.listLimit()
 	for {
@@ -70,7 +71,7 @@
 	}
 }
 
-// untilListDue returns the time until the list may change though no entry does.
+// untilListDue returns the time until the list may change without a change of its entries.
 func (e *Edge) untilListDue() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,7 +83,7 @@
 	return due.Sub(now)
 }
 
-// listLimit returns the age of the list from which this VM reads it.
+// listLimit returns the age of the list at which this VM reads it.
 func (e *Edge) listLimit() time.Duration {
 	heard := e.livePeers()
 	if len(heard) == 0 {
@@ -114,8 +115,8 @@
 	return e.Now().Sub(e.listObserved)
 }
 
-// listBehind reports whether a peer saw the list change after this VM read it, or the store
-// came back from a copy since.
+// listBehind reports whether a peer announced a change of the list that this VM has not read,
+// or the store has returned from an older copy since.
 func (e *Edge) listBehind() bool {
 	epoch := e.epochs.current()
 	e.mu.Lock()
@@ -123,15 +124,15 @@
 	return e.listRead.Before(e.listAnnounced) || e.listRead.Epoch < epoch
 }
 
-// pauseFailed waits after so many failed calls of the store in a row.
+// pauseFailed waits for the backoff after a number of consecutive failed calls of the store.
 func (e *Edge) pauseFailed(ctx context.Context, failures int) bool {
 	return pause(ctx, ggsgossip.RetryPause(failures, e.started(), rand.Float64()))
 }
 
-// peerLiveness is the age of a peer's last heartbeat from which it counts as gone.
+// peerTimeout is the age of a peer's last heartbeat from which the peer counts as gone.
 const peerLiveness = time.Second
 
-// dependency logs that a part of the store was lost or is back.
+// logDependency logs when a part of the store becomes unreachable or reachable again.
 func (e *Edge) dependency(away *bool, ok bool, what string, err error) {
 	switch {
 	case ok && *away:
@@ -142,14 +143,14 @@
 	*away = !ok
 }
 
-// readFailed logs the first, second, fourth, eighth … failure in a row of a reading.
+// logReadFailed logs the first, second, fourth, eighth and so on of consecutive failed reads.
 func (e *Edge) readFailed(part string, failures int, err error) {
 	if failures&(failures-1) == 0 {
 		_ = level.Warn(e.Log).Log("event", ggslog.EventReadFailed, "part", part, "failures", failures, "err", err)
 	}
 }
 
-// followInstances keeps the endpoints' entries.
+// followInstances reads the list of endpoints whenever it is due.
 func (e *Edge) followInstances(ctx context.Context) error {
 	away, failures := false, 0
 	var read ggscore.StorePosition
@@ -178,8 +179,8 @@
 	return nil
 }
 
-// readList reads the list of endpoints, from a relay of the domain where a peer saw it
-// change.
+// readList reads the list of endpoints. After a peer announced a change, it reads from a relay
+// of this VM's failure domain if possible.
 func (e *Edge) readList(ctx context.Context) (partReading, error) {
 	e.mu.Lock()
 	announced := e.listAnnounced.Max(e.epochs.begun())
@@ -194,8 +195,8 @@
 	return partReading{entries: es, at: at, read: e.Now()}, err
 }
 
-// setInstances takes a reading of the list of endpoints. Its position is zero where a seed
-// answered it.
+// setInstances applies a reading of the list of endpoints. The reading's position is zero if
+// it came from a seed.
 func (e *Edge) setInstances(ctx context.Context, r partReading) {
 	es, at := r.entries, r.at
 	readable := make([]ggsregistry.Entry, 0, len(es))
@@ -223,8 +224,9 @@
 			e.listObserved = r.read
 		}
 	}
-	// A VM that was told of one change may see another: it tells its own reading,
-	// and those who have read as much already find nothing new and tell nothing.
+	// A VM that reads the list because of one announced change may find further changes. It
+	// therefore announces the position of its own reading. VMs that have read as far find no
+	// change and announce nothing new.
 	if change.Any && !at.IsZero() {
 		e.listedAt = e.listRead
 	}
--- a/io/ggsedge/handler.go
+++ b/io/ggsedge/handler.go
@@ -18,29 +18,28 @@
 	"greengageslip/io/ggslog"
 )
 
-// Waits that callers are told.
+// Retry-After values of the edge's own answers.
 const (
-	// startWait is told while the edge has no configuration: a start takes
-	// about a second.
+	// startRetryAfter is sent while the edge has no configuration. A start takes about a second.
 	startWait = 500 * time.Millisecond
-	// awayWait is told while the store doesn't give it one: outages of the
-	// store last seconds, and callers that were sent away for less spent their
-	// tries before its end.
+	// unavailableRetryAfter is sent while the store is unreachable and the edge has no
+	// configuration. Outages of the store last seconds, and with a shorter value callers used
+	// up their retries before the end of the outage.
 	awayWait = 2 * time.Second
-	// fullWait is told where this VM has all the requests that it can hold; others
-	// may have room.
+	// fullRetryAfter is sent when this VM is at its limit of requests. Other VMs may have
+	// capacity.
 	fullWait = 300 * time.Millisecond
-	// minWait keeps callers from coming back at once.
+	// minRetryAfter prevents immediate retries.
 	minWait = 50 * time.Millisecond
 )
 
-// Limits of what callers send, where the configuration sets none.
+// Defaults for the limits of the configuration, in bytes.
 const (
 	defaultHeaderBytes = 32 << 10
 	defaultBodyBytes   = 4 << 20
 )
 
-// A job is one request on its way.
+// A job is one request of a caller, from its arrival to the end of its answer.
 type job struct {
 	w       http.ResponseWriter
 	r       *http.Request
@@ -51,37 +50,37 @@
 	uri     string
 	body    []byte
 	arrived time.Time
-	// until is when its time is over.
+	// deadline is arrived plus timeout.
 	until time.Time
 	limit time.Duration
-	// version is the adapter's version that has to answer, zero for any.
+	// version is the adapter version that has to answer, zero for any.
 	version uint64
 	tried   []ggscore.EndpointID
-	// sends counts the endpoints that it was sent to, runs those on which it
-	// may have run.
+	// sends counts the endpoints that the request was sent to, and runs those on which it may
+	// have run.
 	sends int
 	runs  int
-	// counted says that the retry budget counts it.
+	// counted says that the request was added to the retry budget.
 	counted bool
-	// granted says that another send is granted already.
+	// retryGranted says that the next send was already granted by the retry budget, or needs none.
 	granted bool
-	// kept is an endpoint's failure, while another endpoint is tried.
+	// fallback is an endpoint's failure to forward if no other endpoint gives a better answer.
 	kept *keptAnswer
-	// turn is its turn at the endpoint that it was sent to last, sentAt when it was.
+	// turn is the request's turn at the last endpoint, and sentAt is when it was sent there.
 	turn   ggscore.PromptTurn
 	sentAt time.Time
-	// turnWait is how long it waited for its turn.
+	// turnWait is how long the request waited for its turn.
 	turnWait time.Duration
-	// pieceAt is when the last piece of its answer came.
+	// lastPieceAt is when the last piece of the answer arrived.
 	pieceAt time.Time
-	// gap is the longest pause between two pieces of its answer.
+	// maxGap is the longest gap between two pieces of the answer.
 	gap time.Duration
-	// hurt says that prompts of others made its answer pause for longer than callers
-	// of the route want, or that it was late for its turn.
+	// degraded says that other requests' prompts caused a gap longer than callers of the route
+	// accept, or that the first piece was late because of the turn.
 	hurt bool
-	// first is the time from its arrival to the first piece of its answer.
+	// firstPieceAfter is the time from the request's arrival to the answer's first piece.
 	first time.Duration
-	// committed says that an answer has begun.
+	// committed says that the answer's head has been sent to the caller.
 	committed bool
 }
 
@@ -94,8 +93,8 @@
 		w.Header().Set("Connection", "close")
 	}
 	j := &job{w: w, r: r, arrived: e.Steady()}
-	// A burst beyond what the process's memory and descriptors can hold would end
-	// it, and with it all that it serves.
+	// A burst beyond the process's limits of memory and file descriptors would end the process,
+	// and with it all requests in flight.
 	if e.stats.Active.Load() > e.options.MaxActive {
 		e.refuse(j, fullWait, "too many requests are under way here")
 		return
@@ -109,8 +108,8 @@
 	e.run(ctx, j)
 }
 
-// admit finds the request's route and reads it. It answers and returns false
-// where the request can't be served.
+// admit finds the request's route and reads its body. If the request can't be served, it sends
+// the answer and returns false.
 func (e *Edge) admit(j *job) bool {
 	t := e.paths.Load()
 	if t == nil {
@@ -123,7 +122,7 @@
 	}
 	j.uri = j.r.RequestURI
 	if !strings.HasPrefix(j.uri, "/") {
-		// The absolute form names the host once more; endpoints get the other.
+		// The absolute form includes the host. Endpoints get the origin form.
 		j.uri = j.r.URL.RequestURI()
 	}
 	path, _, _ := strings.Cut(j.uri, "?")
@@ -151,7 +150,7 @@
 	return e.read(j, cmp.Or(t.Config.Limits.MaxBodyBytes, defaultBodyBytes))
 }
 
-// headBytes returns the size of a request's headers as they were sent, about.
+// headerBytes returns the approximate size of a request's headers as they were sent.
 func headBytes(h http.Header) int {
 	n := 0
 	for k, vs := range h {
@@ -162,9 +161,9 @@
 	return n
 }
 
-// read reads the request's body. It is read whole, so that a request that a
-// slow caller hasn't finished takes no endpoint's place, and so that it can be
-// offered to another endpoint.
+// readBody reads the request's whole body before the request is sent to an endpoint. A slow
+// caller then occupies no slot of an endpoint, and the request can be sent to another endpoint
+// again.
 func (e *Edge) read(j *job, limit int64) bool {
 	if j.r.ContentLength > limit {
 		e.reject(j, http.StatusRequestEntityTooLarge, "the body is too long")
@@ -193,7 +192,7 @@
 	return false
 }
 
-// refuse answers that the request has not run, and when to come back.
+// refuse answers that the request has not run, with a Retry-After value.
 func (e *Edge) refuse(j *job, wait time.Duration, why string) {
 	e.stats.Refused.Add(1)
 	wait = max(wait, minWait)
@@ -201,7 +200,7 @@
 	e.answer(j, http.StatusServiceUnavailable, why)
 }
 
-// reject answers that the request isn't one to serve.
+// reject answers that the request is invalid.
 func (e *Edge) reject(j *job, status int, why string) {
 	e.answer(j, status, why)
 }
@@ -212,7 +211,7 @@
 	e.answer(j, status, why)
 }
 
-// answer writes an answer of the edge's own.
+// respond writes an answer of the edge's own.
 func (e *Edge) answer(j *job, status int, why string) {
 	_ = level.Info(e.Log).Log("event", ggslog.EventRequestEnded, "request", j.meta.ID, "status", status, "why", why,
 		"sends", j.sends, "runs", j.runs, "took", e.since(j.arrived))
@@ -223,6 +222,6 @@
 		h.Set(e.options.IDHeader, string(j.meta.ID))
 	}
 	j.w.WriteHeader(status)
-	// A caller that has gone away gets nothing, and nothing is to be done.
+	// A write error means that the caller has left; nothing remains to be done.
 	_, _ = io.WriteString(j.w, why+"\n")
 }
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// heartbeatInterval is the time between heartbeats that go to each VM.
+	// heartbeatInterval is the time between heartbeats that go to each VM directly.
 	heartbeatInterval = 150 * time.Millisecond
-	// wholeInterval is the time after which all that endpoints hold is told, changed or not.
+	// fullHoldingsInterval is the time after which all holdings are sent, changed or not.
 	wholeInterval = 900 * time.Millisecond
-	// heartbeatDelay is taken for a heartbeat's way: a trip between regions, and a relay.
+	// heartbeatDelay is the assumed delay of a heartbeat: a trip between regions and a relay.
 	heartbeatDelay = 20 * time.Millisecond
-	// summaryAge is the age of the last summary up to which heartbeats that arrive directly
-	// are left out of the counts: a relay's summaries count them.
+	// summaryMaxAge is the age of the last summary up to which the counts of directly received
+	// heartbeats are ignored, since the summaries of relays include them.
 	summaryAge = time.Second
-	// fleet stands for all VMs together where a summary says who uses an adapter.
+	// fleet stands for all VMs together in summaries that say who uses an adapter.
 	fleet ggscore.VMID = ""
 )
 
-// sendHeartbeats sends heartbeats to the peers, through relays where there are many.
+// sendHeartbeats sends heartbeats to the peers, through relays in a large deployment.
 func (e *Edge) sendHeartbeats(ctx context.Context) error {
 	for pause(ctx, e.heartbeatInterval()) {
 		h := e.heartbeat()
@@ -68,7 +68,8 @@
 	return nil
 }
 
-// idleTicks is the time between looks of a VM whether it has become a relay, in summaries.
+// idleTicks is the time between a VM's checks whether it has become a relay, as a multiple of
+// the summary interval.
 const idleTicks = 3
 
 func (e *Edge) summaryInterval() time.Duration {
@@ -80,7 +81,7 @@
 	return idleTicks * ggsrelay.RelayInterval
 }
 
-// sent logs a datagram that couldn't be sent. The next one makes up for it.
+// logUnsent logs a datagram that wasn't sent. The next datagram replaces it.
 func (e *Edge) sent(err error) {
 	if err != nil {
 		_ = level.Debug(e.Log).Log("event", ggslog.EventBeatUnsent, "err", err)
@@ -94,14 +95,14 @@
 	return heartbeatInterval
 }
 
-// large reports whether heartbeats go through relays.
+// usesRelays reports whether heartbeats go through relays.
 func (e *Edge) large() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.node.UsesRelays()
 }
 
-// addrs returns where VMs receive datagrams. Edge.mu is held.
+// addrs returns the datagram addresses of VMs. Edge.mu is held.
 func (e *Edge) addrs(vms []ggscore.VMID) []netip.AddrPort {
 	as := make([]netip.AddrPort, 0, len(vms))
 	for _, vm := range vms {
@@ -112,8 +113,8 @@
 	return as
 }
 
-// controllerDomain returns the domain of the VM that gives an endpoint its orders, empty
-// where none does. Edge.mu is held.
+// ownerDomain returns the failure domain of an endpoint's owner, empty for none. Edge.mu is
+// held.
 func (e *Edge) controllerDomain(id ggscore.EndpointID) ggscore.Domain {
 	vm := e.keeper.Owner(id)
 	if vm == e.options.VM {
@@ -125,7 +126,7 @@
 	return ""
 }
 
-// spread sends a heartbeat to each VM, as far as the relay says.
+// broadcast sends a heartbeat to each VM within reach.
 func (e *Edge) spread(h ggscore.Heartbeat, reach ggscore.Relay) {
 	for relay, addrs := range e.routes(reach, h.Sequence) {
 		h.Relay = relay
@@ -133,12 +134,12 @@
 	}
 }
 
-// self returns this VM's place.
+// gossipSelf returns this VM as a member for ggsgossip.
 func (e *Edge) self() ggsgossip.Member {
 	return ggsgossip.Member{VM: e.options.VM, Domain: e.options.Domain, Region: e.options.Regions[e.options.Domain]}
 }
 
-// members returns the peers' places. Edge.mu is held.
+// gossipMembers returns the peers as members for ggsgossip. Edge.mu is held.
 func (e *Edge) members() []ggsgossip.Member {
 	ms := make([]ggsgossip.Member, 0, len(e.peers))
 	for vm, p := range e.peers {
@@ -167,7 +168,7 @@
 	return h
 }
 
-// news returns how far this VM read the store. Edge.mu is held.
+// progress returns how far this VM has read the store. Edge.mu is held.
 func (e *Edge) news(now time.Time) ggscore.StoreProgress {
 	return ggscore.StoreProgress{
 		Epoch:    e.epochs.current(),
@@ -177,8 +178,8 @@
 	}
 }
 
-// holdings returns what the endpoints hold that get their orders from this VM. What hasn't
-// changed is told whole only now and then. Edge.mu is held.
+// holdings returns what this VM's endpoints hold. Unchanged holdings are included only every
+// fullHoldingsInterval. Edge.mu is held.
 func (e *Edge) holdings(now time.Time) []ggscore.Holding {
 	whole := now.Sub(e.lastWhole) >= wholeInterval
 	if whole {
@@ -215,7 +216,7 @@
 	return us
 }
 
-// receiveHeartbeat takes a peer's heartbeat.
+// receiveHeartbeat processes a peer's heartbeat.
 func (e *Edge) receiveHeartbeat(from netip.AddrPort, h ggscore.Heartbeat) {
 	if h.Relay > ggscore.RelayNone {
 		e.spread(h, h.Relay)
@@ -223,8 +224,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.peers[h.VM]
-	// Datagrams overtake each other, and those of an earlier process may come
-	// after the first of the next.
+	// Datagrams can arrive out of order. Those of a previous process may arrive after the first
+	// datagram of the next one.
 	if p == nil || h.Started < p.started || h.Started == p.started && h.Sequence <= p.sequence {
 		return
 	}
@@ -252,7 +253,7 @@
 	}
 }
 
-// receiveSummary takes a relay's summary.
+// receiveSummary processes a relay's summary.
 func (e *Edge) receiveSummary(from netip.AddrPort, s ggscore.Summary) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -265,7 +266,7 @@
 	}
 }
 
-// adoptView takes the sum over all VMs. Edge.mu is held.
+// applyView applies the sum over all VMs. Edge.mu is held.
 func (e *Edge) adoptView(v ggsrelay.View) {
 	now := e.Now()
 	e.summarized = now
@@ -289,8 +290,8 @@
 	}
 }
 
-// controlled returns the holdings of endpoints that get their orders from the VM. What another
-// VM says of them is left out. Edge.mu is held.
+// ownedHoldings returns the holdings of endpoints that the VM owns, and drops its reports on
+// other endpoints. Edge.mu is held.
 func (e *Edge) controlled(vm ggscore.VMID, hs []ggscore.Holding) []ggscore.Holding {
 	var own []ggscore.Holding
 	for _, h := range hs {
@@ -301,11 +302,11 @@
 	return own
 }
 
-// adoptNews takes how far a VM or the fleet read the store. Edge.mu is held.
+// applyProgress records how far a VM, or the fleet, has read the store. Edge.mu is held.
 func (e *Edge) adoptNews(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
 	e.epochs.learn(n.Epoch)
 	e.noteNewer(now, vm, n)
-	// What was read in an epoch that has ended is no reading of the store.
+	// A reading of an epoch that has ended says nothing about the age of the current data.
 	if n.Epoch == e.epochs.current() {
 		if at := now.Add(-n.ListAge - heartbeatDelay); at.After(e.listObserved) {
 			e.listObserved = at
@@ -324,7 +325,7 @@
 	}
 }
 
-// adoptHoldings takes what endpoints hold. Edge.mu is held.
+// applyHoldings records what endpoints of other VMs hold. Edge.mu is held.
 func (e *Edge) adoptHoldings(now time.Time, hs []ggscore.Holding) {
 	for _, h := range hs {
 		if e.workers[h.Endpoint] != nil {
@@ -337,8 +338,8 @@
 	}
 }
 
-// adoptTurns takes what others learnt of how endpoints read, and the modes of the VM that
-// decides them. Edge.mu is held.
+// applyTurns applies peers' measurements of prompt processing, and the turn modes of the VM
+// that decides on them. Edge.mu is held.
 func (e *Edge) adoptTurns(
 	now time.Time, vm ggscore.VMID, xs []ggscore.TurnSample, ys []ggscore.TurnTally, ms []ggscore.TurnMode,
 ) {
@@ -356,7 +357,7 @@
 	}
 }
 
-// used notes what a VM's requests do with an adapter. Edge.mu is held.
+// applyUse records whether a VM's requests use an adapter. Edge.mu is held.
 func (e *Edge) used(now time.Time, vm ggscore.VMID, u ggscore.Use) {
 	w := e.workers[u.Endpoint]
 	if w == nil {
@@ -366,8 +367,8 @@
 	w.wake()
 }
 
-// firstHeard returns the first of the VMs that are heard, this one counted. Edge.mu is
-// held.
+// firstLiveVM returns the live VM with the lowest ID, this one included. That VM decides on
+// the turn modes. Edge.mu is held.
 func (e *Edge) firstHeard() ggscore.VMID {
 	first, now := e.options.VM, e.Now()
 	for vm, p := range e.peers {
--- a/io/ggsedge/heartbeats_bench_test.go
+++ b/io/ggsedge/heartbeats_bench_test.go
@@ -17,7 +17,7 @@
 	benchEndpoints = 68
 )
 
-// benchEdge returns a VM of a large deployment that knows the others and all endpoints.
+// benchEdge returns a VM of a large deployment that knows all VMs and endpoints.
 func benchEdge() *Edge {
 	e := listEdge()
 	e.Now = time.Now //nolint:forbidigo // the benchmark's clock
@@ -50,7 +50,7 @@
 	return list
 }
 
-// benchView returns what a relay tells.
+// benchView returns a view as a relay's summary gives it.
 func benchView(e *Edge) ggsrelay.View {
 	v := ggsrelay.View{CountsValid: true}
 	for vm := range e.peers {
--- a/io/ggsedge/list_test.go
+++ b/io/ggsedge/list_test.go
@@ -14,7 +14,7 @@
 	"greengageslip/io/ggsexchange"
 )
 
-// A listCodec reads an entry whose value is "ready" or "leaving".
+// A listCodec decodes an entry whose value is "ready" or "leaving".
 type listCodec struct{ Codec }
 
 func (listCodec) Instance(e ggscore.Entry) (ggscore.Instance, error) {
@@ -24,7 +24,7 @@
 	}, nil
 }
 
-// position returns a position of the store's only epoch.
+// position returns a position in the store's only epoch.
 func position(r ggscore.StoreRevision) ggscore.StorePosition {
 	return ggscore.StorePosition{Revision: r}
 }
@@ -40,10 +40,9 @@
 	return []ggscore.Entry{{Key: "list/a", Value: []byte(first)}, {Key: "list/b", Value: []byte(second)}}
 }
 
-// Two runners leave shortly after each other. A VM that was told of the first reads
-// the list, and sees that the second leaves as well. It passed on only what it was
-// told, with the list's fresh age, so nobody else read the list for a second and
-// more, and the second runner got requests 2.6 s after it had said that it leaves.
+// Guards against a change that is found during a resync and not announced. The VM announced
+// only the change that triggered the resync, with the list's fresh age. No other VM read the
+// list for over a second, and a runner got requests 2.6 s after it had announced its departure.
 func TestSecondChangeIsTold(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -54,15 +53,15 @@
 	e.setInstances(ctx, partReading{entries: entries("leaving", "leaving"), at: position(510), read: e.Now()})
 	c.Assert(e.listedAt.Before(position(510)), qt.IsFalse, qt.Commentf("told %s", e.listedAt))
 
-	// Without a change nothing new is told, or two VMs would have each other read
-	// the list for ever.
+	// Without a change, no new position is announced. Otherwise two VMs would make each other
+	// read the list forever.
 	at := e.listedAt
 	e.setInstances(ctx, partReading{entries: entries("leaving", "leaving"), at: position(520), read: e.Now()})
 	c.Assert(e.listedAt, qt.Equals, at)
 }
 
-// Runners start one after the other, and each changes the list. Each VM read it anew
-// for each of them, 266 times a second in a deployment of 65 VMs.
+// Guards against one read of the list per change. Runners that start one after the other each
+// change the list, and 65 VMs read it 266 times a second.
 func TestChangesInARowAreReadTogether(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/io/ggsedge/load_test.go
+++ b/io/ggsedge/load_test.go
@@ -14,7 +14,7 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// A muteFirst is a listener whose first connection nobody serves.
+// A muteFirst is a listener that doesn't serve its first connection.
 type muteFirst struct {
 	net.Listener
 	seen atomic.Bool
@@ -28,7 +28,7 @@
 	return m.Listener.Accept()
 }
 
-// An orderer answers like a peer that has everything loaded at once.
+// A loadedOwner answers like a peer that holds each adapter already.
 type orderer struct{}
 
 func (orderer) Ensure(_ *EnsureArgs, r *EnsureReply) error {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// The connection to a peer goes silent for good, while new ones work. Every load at
-// the peer's runners waited 0.9 s and failed, for as long as both processes ran.
+// Guards against keeping a stalled connection to a peer. Every load at the peer's runners
+// waited 0.9 s and failed for as long as both processes ran.
 func TestSilentConnectionToAPeerIsReplaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -17,27 +17,27 @@
 	"greengageslip/io/ggslog"
 )
 
-// The own records' keys below the prefix.
+// Key parts of the VMs' own records below the prefix.
 const (
 	memberPart  = "vm"
 	ordererPart = "orderer"
 	epochPart   = "epoch"
 )
 
-// A memberRecord is a VM's beat in the store.
+// A memberRecord is a VM's store heartbeat.
 type memberRecord struct {
 	Domain  string `json:"domain"`
 	Beats   string `json:"beats"`
 	Control string `json:"control"`
-	// Capacity compares VMs by processor and link.
+	// Capacity compares VMs by processor and network link.
 	Capacity uint64 `json:"capacity,omitempty"`
-	// Count makes each beat a change.
+	// Count makes each store heartbeat a change.
 	Count uint64 `json:"count"`
-	// Shapes are what the VM has learnt of how endpoints read, for VMs that start.
+	// Shapes are the learned prompt processing times of services, for VMs that start.
 	Shapes []shapeRecord `json:"shapes,omitempty"`
 }
 
-// A shapeRecord is a ggscore.TurnShape. Durations are in microseconds.
+// A shapeRecord is the JSON form of a ggscore.TurnShape. The fields' tags name the units.
 type shapeRecord struct {
 	Service  string  `json:"service"`
 	PerToken int64   `json:"perTokenNanoseconds"`
@@ -66,22 +66,22 @@
 	}
 }
 
-// An ordererRecord says who gives an endpoint its orders.
+// An ownerRecord names the VM that owns an endpoint and sends it orders.
 type ordererRecord struct {
 	Owner    string `json:"owner"`
 	Released bool   `json:"released"`
-	// Epoch is the store's when the record was written: a copy of the store, and a write
-	// that is carried out late, have another one than the store.
+	// Epoch is the store epoch in which the record was written. A record restored from a copy of
+	// the store, or written late, has an epoch other than the current one.
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// An epochRecord says that no right to give orders goes on from before an epoch.
+// An epochRecord says that no right to send orders from before an epoch is still valid.
 type epochRecord struct {
 	Settled uint64 `json:"settled"`
 }
 
-// member returns the peer that a record names. One without readable addresses
-// is of another version of the program and isn't called.
+// member returns the peer that a record describes. A record without valid addresses is from
+// another version of the program, and its VM isn't called.
 func (w *memberRecord) member() (*member, bool) {
 	b, err := netip.ParseAddrPort(w.Beats)
 	if err != nil {
@@ -106,12 +106,12 @@
 	return ggscore.KeyOf(string(e.options.Keys.Own), epochPart)
 }
 
-// freshRecords is the time for which the own records are read fresh in a new epoch: a stale
-// reading may be of the one before and name the new one.
+// freshRecords is how long the VMs' own records are read without stale reads in a new epoch. A
+// stale read may return data of the previous epoch and name the new one.
 const freshRecords = 5 * time.Second
 
-// followMembers keeps the records of VMs and of who gives orders. A stale
-// reading is enough: what is written goes by revisions.
+// followMembers reads the records of VMs and of owners. Stale reads suffice outside of
+// freshRecords, since all writes are conditional on revisions.
 func (e *Edge) followMembers(ctx context.Context) error {
 	away, failures := false, 0
 	var epoch ggscore.StoreEpoch
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// recordsRetryShare is the part of the time between readings of the own records after which
-// one that failed is repeated by a VM that serves.
+// recordsRetryShare divides the interval between reads of the VMs' own records. The quotient
+// is the minimum pause after a failed read on a VM that serves.
 const recordsRetryShare = 4
 
 func (e *Edge) recordsRetry(interval time.Duration) time.Duration {
@@ -167,7 +167,7 @@
 				p.heard = e.Now()
 			}
 		}
-		// A peer whose record is lost writes it again.
+		// A peer whose record was lost in the store writes it again.
 		for vm, p := range e.peers {
 			if peers[vm] == nil && e.Now().Sub(p.heard) < peerLiveness {
 				peers[vm] = p
@@ -183,7 +183,7 @@
 	e.setWorkers(ctx)
 }
 
-// relayMembers returns the peers' places and capacities. Edge.mu is held.
+// relayMembers returns the peers as members for ggsrelay. Edge.mu is held.
 func (e *Edge) relayMembers() []ggsrelay.Member {
 	ms := make([]ggsrelay.Member, 0, len(e.peers))
 	for vm, p := range e.peers {
@@ -192,8 +192,7 @@
 	return ms
 }
 
-// readOwn reads the system's own records. One that can't be read is passed
-// over.
+// readOwn decodes the VMs' own records. An invalid record is logged and skipped.
 func (e *Edge) readOwn(es []ggscore.Entry) (ggsfencing.Reading, map[ggscore.VMID]*member) {
 	var r ggsfencing.Reading
 	peers := map[ggscore.VMID]*member{}
@@ -236,7 +235,7 @@
 	return r, peers
 }
 
-// adoptShapes takes what a VM had learnt of how endpoints read.
+// restoreShapes restores what another VM had learned about prompt processing.
 func (e *Edge) adoptShapes(rs []shapeRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/ggsedge/members_test.go
+++ b/io/ggsedge/members_test.go
@@ -26,7 +26,8 @@
 	return ggscore.StorePosition{}, &ggscore.TxnConflictError{}
 }
 
-// Guards against a VM that repeats a refused beat without a pause: nine VMs made 430 calls a second.
+// Guards against a VM that repeats a refused store heartbeat without a pause. Nine VMs made
+// 430 calls a second.
 func TestRefusedBeatsArePaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsedge/metrics.go
+++ b/io/ggsedge/metrics.go
@@ -12,15 +12,15 @@
 	ggscore "greengageslip/core"
 )
 
-// Bounds of the latency histograms: objectives lie at 0.12 to 1 s, deadlines at
-// 1.2 to 12 s.
+// Buckets of the latency histograms, in seconds. Latency targets are 0.12 to 1 s, and deadlines
+// are 1.2 to 12 s.
 const (
 	latencyLeast   = 0.005
 	latencyFactor  = 1.8
 	latencyBuckets = 14
 )
 
-// A metrics holds the latencies of an edge. Counters are those of Stats.
+// metrics has the latency histograms of an edge. The counters are those of Stats.
 type metrics struct {
 	registry *prometheus.Registry
 	answers  *prometheus.HistogramVec
@@ -60,7 +60,7 @@
 	return m
 }
 
-// count registers the counters of Stats.
+// registerCounters registers the counters of Stats.
 func (m *metrics) count(e *Edge) {
 	s := &e.stats
 	for _, c := range []struct {
@@ -81,7 +81,7 @@
 	}
 }
 
-// believe registers gauges of what the edge goes by.
+// registerGauges registers gauges of the edge's state.
 func (m *metrics) believe(e *Edge) {
 	locked := func(f func() float64) func() float64 {
 		return func() float64 {
@@ -130,20 +130,20 @@
 	}
 }
 
-// Metrics returns what serves the metrics in the text format of Prometheus.
+// Metrics returns a handler that serves the metrics in the Prometheus text format.
 func (e *Edge) Metrics() http.Handler {
 	return promhttp.HandlerFor(e.metrics.registry, promhttp.HandlerOpts{})
 }
 
-// reject counts a datagram that changes nothing.
+// reject counts a rejected datagram.
 func (m *metrics) reject(cause string) { m.rejected.WithLabelValues(cause).Inc() }
 
-// answered notes an endpoint's answer that was passed on whole.
+// observeAnswer records an endpoint's answer that was forwarded completely.
 func (m *metrics) answered(k ggscore.RouteKind, took time.Duration) {
 	m.answers.WithLabelValues(k.String()).Observe(took.Seconds())
 }
 
-// began notes the first piece of an answer.
+// observeFirstPiece records the first piece of an answer.
 func (m *metrics) began(k ggscore.RouteKind, took time.Duration) {
 	m.first.WithLabelValues(k.String()).Observe(took.Seconds())
 }
--- a/io/ggsedge/newer.go
+++ b/io/ggsedge/newer.go
@@ -11,20 +11,20 @@
 	"greengageslip/io/ggslog"
 )
 
-// newerGrace is the time that the store has to give what a peer has in force, before the peer
-// is asked for it.
+// newerGrace is how long this VM waits for the store to return a peer's newer entries before
+// it reads them from the peer.
 const newerGrace = time.Second
 
-// A newerEntries is what peers have in force that is newer than this VM's, though it has read
-// the store as far as they have.
+// newerEntries records that a peer uses newer operators' entries than this VM, although this VM
+// has read the store as far as the peer.
 type newerEntries struct {
-	// by is the VM that has it, fleet where relays know.
+	// by is the VM that uses the newer entries, or fleet if a summary reported them.
 	by ggscore.VMID
-	// since is when this was noticed, zero for nothing newer.
+	// since is when this was first observed, zero for never.
 	since time.Time
 }
 
-// noteNewer notes what a peer has in force. Edge.mu is held.
+// recordNewer compares a peer's entries in use with those of this VM. Edge.mu is held.
 func (e *Edge) noteNewer(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
 	switch {
 	case n.Config <= e.configVersion() && n.Versions <= e.versionSum:
@@ -32,14 +32,14 @@
 			e.newer = newerEntries{}
 		}
 	case e.operatorsRead.IsZero() || e.operatorsRead.Before(n.OperatedAt):
-		// The store has it.
+		// The store has the newer entries.
 	case e.newer.since.IsZero():
 		e.newer = newerEntries{by: vm, since: now}
 	}
 }
 
-// fetchNewer asks peers for the operators' entries that the store has lost: a VM that starts on
-// an older copy of the store would go by older ones.
+// fetchNewer reads from peers the operators' entries that the store has lost. Otherwise a VM
+// that starts on an older copy of the store would use older entries than its peers.
 func (e *Edge) fetchNewer(ctx context.Context) error {
 	for pause(ctx, seedPause) {
 		e.mu.Lock()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// fetchFrom takes the operators' entries of the first VM that answers.
+// fetchFrom applies the operators' entries of the first VM that answers.
 func (e *Edge) fetchFrom(ctx context.Context, to []netip.AddrPort) {
 	for _, addr := range to {
 		r, err := e.partOf(ctx, addr, e.options.Keys.Operators, ggscore.StorePosition{})
--- a/io/ggsedge/operators.go
+++ b/io/ggsedge/operators.go
@@ -15,7 +15,7 @@
 	"greengageslip/io/ggslog"
 )
 
-// followOperators keeps the configuration and the adapters' versions.
+// followOperators follows the configuration and the adapters' versions.
 func (e *Edge) followOperators(ctx context.Context) error {
 	var at ggscore.StorePosition
 	away, failures := false, 0
@@ -30,8 +30,8 @@
 				at = ggscore.StorePosition{}
 				continue
 			}
-			// What was written while the store was unreachable may have left its
-			// history: only a full snapshot has it.
+			// The store may have compacted changes that were written while it was unreachable.
+			// Only a full snapshot has them.
 			at = ggscore.StorePosition{}
 			e.storeAway.Store(true)
 			e.dependency(&away, false, "operators", err)
@@ -52,10 +52,10 @@
 	return nil
 }
 
-// operators returns the operators' entries that changed after the position, or all for
-// zero. It takes a full snapshot in place of a watch that is silent about a change that a
-// peer has read, and where this VM is behind its peers already: a watch would replay each
-// version in between, a snapshot has the newest only.
+// operators returns the operators' entries that changed after the position, or all entries for
+// a zero position. It takes a full snapshot instead of a watch in two cases: the watch returns
+// nothing although a peer has read a change, or this VM is already behind its peers. A watch
+// would replay each intermediate version, and a snapshot has only the newest.
 func (e *Edge) operators(ctx context.Context, at *ggscore.StorePosition) ([]ggscore.Entry, ggscore.StorePosition, error) {
 	if e.started() && e.awaitRelays(ctx) {
 		if r, err := e.operatorsFromRelay(ctx); err == nil {
@@ -73,8 +73,9 @@
 	return e.snapshotOperators(ctx)
 }
 
-// awaitRelays waits while the relays of the domain read the operators' entries, and reports
-// whether they have read newer ones than this VM.
+// awaitRelays waits while the relays of the failure domain read the operators' entries. It
+// returns true once a peer has announced entries that this VM has not read, and false if this
+// VM has to read the store itself.
 func (e *Edge) awaitRelays(ctx context.Context) bool {
 	for e.follows() && e.operatorsAge() < ggsgossip.MaxOperatorsAge {
 		if e.operatorsBehind() {
@@ -94,7 +95,7 @@
 	return e.Now().Sub(e.operatorsObserved)
 }
 
-// operatorsFromRelay returns the operators' entries as a relay read them.
+// operatorsFromRelay returns the operators' entries as read by a relay.
 func (e *Edge) operatorsFromRelay(ctx context.Context) (partReading, error) {
 	e.mu.Lock()
 	announced := e.operatorsAnnounced.Max(e.epochs.begun())
@@ -119,8 +120,8 @@
 	return len(live) + 1
 }
 
-// snapshotOperators returns all of the operators' entries. What peers announced before
-// counts as read: a revision that the store doesn't have is not asked for again.
+// snapshotOperators returns all operators' entries. Positions that peers announced before the
+// snapshot count as read, so that a revision that the store doesn't have is requested once.
 func (e *Edge) snapshotOperators(ctx context.Context) ([]ggscore.Entry, ggscore.StorePosition, error) {
 	e.mu.Lock()
 	announced := e.operatorsAnnounced
@@ -135,14 +136,15 @@
 	return es, next, err
 }
 
-// storeAnswered notes that the store told how the operators' entries stand. Edge.mu is held.
+// recordOperatorsFresh records that the store returned the current state of the operators'
+// entries. Edge.mu is held.
 func (e *Edge) storeAnswered() {
 	e.operatorsReadTime = e.Now()
 	e.operatorsObserved = e.operatorsReadTime
 }
 
-// watchOperators waits for changes after the position, and reports whether it gave the
-// watch up for a notification.
+// watchOperators waits for changes after the position. It reports whether it ended the watch
+// early because of a peer's notification.
 func (e *Edge) watchOperators(
 	ctx context.Context, at ggscore.StorePosition,
 ) (es []ggscore.Entry, next ggscore.StorePosition, preempted bool, err error) {
@@ -165,8 +167,8 @@
 	return es, next, preempted, err
 }
 
-// overtaken waits until a peer has read a newer change and nothing has arrived for the
-// watch's grace since. It returns false when the context ends first.
+// watchStalled waits until a peer has announced a newer change and the watch has then received
+// nothing for ggsgossip.WatchGrace. It returns false if the context ends first.
 func (e *Edge) overtaken(ctx context.Context, f *ggsconn.Flight) bool {
 	for {
 		select {
@@ -187,8 +189,8 @@
 	}
 }
 
-// operatorsBehind reports whether a peer announced operators' entries that this VM has
-// not read, or the store came back from a copy since.
+// operatorsBehind reports whether a peer announced operators' entries that this VM has not
+// read, or the store has returned from an older copy since.
 func (e *Edge) operatorsBehind() bool {
 	epoch := e.epochs.current()
 	e.mu.Lock()
@@ -203,11 +205,11 @@
 	_ = level.Info(e.Log).Log("event", ggslog.EventWatchPreempted, "revision", at.Revision, "peerRevision", announced.Revision)
 }
 
-// readOperators records how far the operators' entries were read, and the newest
-// change among them.
+// recordOperatorsRead records the position up to which the operators' entries were read, and
+// the newest change among the entries.
 //
-// Peers are told the change's own revision. The store's grows with each heartbeat, so
-// that VMs which announced it would have each other resync for ever.
+// Peers are sent the revision of the change itself. The store's revision grows with each
+// store heartbeat, and VMs that announced it would make each other resync forever.
 func (e *Edge) readOperators(at ggscore.StorePosition, es []ggscore.Entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -221,8 +223,8 @@
 	}
 }
 
-// announceOperators notes a position of the operators' entries that a peer has read and
-// this VM has not. Edge.mu is held.
+// announceOperators records a position of the operators' entries that a peer has read and this
+// VM has not. Edge.mu is held.
 func (e *Edge) announceOperators(now time.Time, at ggscore.StorePosition) {
 	e.operatorsAnnounced = e.operatorsAnnounced.Max(at)
 	if e.behindSince.IsZero() {
@@ -230,8 +232,8 @@
 	}
 }
 
-// operatorsLag returns the time since a peer announced operators' entries that this VM
-// has not read yet, zero for none. Edge.mu is held.
+// operatorsLag returns the time since a peer first announced operators' entries that this VM
+// has not read, zero for none. Edge.mu is held.
 func (e *Edge) operatorsLag() time.Duration {
 	if e.behindSince.IsZero() {
 		return 0
@@ -239,8 +241,8 @@
 	return e.Now().Sub(e.behindSince)
 }
 
-// adoptOperators takes operators' entries, and keeps those that aren't older than what is in
-// force: after a return of the store from a copy its own may be.
+// adoptOperators applies operators' entries that are at least as new as those in use. After
+// the store's return from an older copy, its entries may be older.
 func (e *Edge) adoptOperators(es []ggscore.Entry) {
 	var kept []ggscore.Entry
 	for _, n := range es {
@@ -251,8 +253,8 @@
 	e.keepOperators(kept)
 }
 
-// adopt takes an operators' entry, and reports whether it is as new as what is in force. One
-// that can't be read leaves what was before in force.
+// adoptEntry applies an operators' entry, and reports whether it is at least as new as the one
+// in use. An invalid entry leaves the previous one in use.
 func (e *Edge) adopt(n ggscore.Entry) bool {
 	if n.Key == e.options.Keys.Config && n.Value != nil {
 		return e.adoptConfig(n)
@@ -282,7 +284,7 @@
 	return true
 }
 
-// configVersion returns the version of the configuration in force, zero for none.
+// configVersion returns the version of the configuration in use, zero for none.
 func (e *Edge) configVersion() uint64 {
 	if t := e.paths.Load(); t != nil {
 		return t.Config.Version
@@ -296,7 +298,7 @@
 		_ = level.Warn(e.Log).Log("event", ggslog.EventConfigUnreadable, "err", err)
 		return false
 	}
-	// A stale answer must not take a configuration back.
+	// A stale answer must not replace a newer configuration.
 	if in := e.configVersion(); c.Version <= in {
 		return c.Version == in
 	}
--- a/io/ggsedge/operators_test.go
+++ b/io/ggsedge/operators_test.go
@@ -38,7 +38,7 @@
 	c.Assert(e.operatorsLag(), qt.Equals, time.Duration(0))
 }
 
-// A silentStore answers snapshots, and no watch.
+// A silentStore answers snapshots and no watches.
 type silentStore struct {
 	Store
 	watches   chan struct{}
@@ -58,7 +58,7 @@
 	return []ggscore.Entry{{Key: "op/config", Revision: 12}}, position(13), nil
 }
 
-// Guards against a change that a VM misses for as long as its silent watch waits.
+// Guards against a VM that misses a change for as long as its stalled watch waits.
 func TestSilentWatchIsPreempted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -79,7 +79,8 @@
 	c.Assert(next, qt.Equals, position(13))
 }
 
-// Guards against a VM that reads everything over and over for a revision that the store doesn't have.
+// Guards against a VM that takes snapshots over and over for a revision that the store doesn't
+// have.
 func TestAnnouncedRevisionIsAskedForOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsedge/parts.go
+++ b/io/ggsedge/parts.go
@@ -19,41 +19,42 @@
 )
 
 const (
-	// partWait is how long a relay waits for its own reading of what it is asked for.
+	// partWait is how long a relay waits until it has itself read the requested position.
 	partWait = 500 * time.Millisecond
-	// partSilence is how long a relay may send nothing.
+	// partIdleTimeout is how long a relay may send nothing before the call fails.
 	partSilence = partWait + 300*time.Millisecond
-	// partBytes bounds a part when it is unpacked.
+	// maxPartBytes bounds the uncompressed size of a part.
 	partBytes = 64 << 20
 )
 
 const partMethod = "Placement.Part"
 
-// A PartArgs asks for a part of the store that was read up to a revision of an epoch.
+// PartArgs requests the entries below a prefix, as of revision Up of an epoch or later. Such
+// a set of entries is a part of the store.
 type PartArgs struct {
 	Prefix string
 	Epoch  uint64
 	Up     uint64
 }
 
-// A PartReply has a part of the store as of a revision of an epoch.
+// A PartReply is a part of the store as of revision At of an epoch.
 type PartReply struct {
 	Epoch uint64
 	At    uint64
-	// Age is the time since it was read.
+	// Age is the time since the part was read.
 	Age time.Duration
-	// Entries are packed.
+	// Entries are compressed with DEFLATE and encoded with gob.
 	Entries []byte
 }
 
-// A partReading is a part of the store as this VM last read it.
+// A partReading is a part of the store as last read.
 type partReading struct {
 	entries []ggscore.Entry
 	at      ggscore.StorePosition
 	read    time.Time
 }
 
-// A packer keeps the parts that it packed last: many VMs ask for each.
+// A packer caches the last compressed form of each part, since many VMs request each part.
 type packer struct {
 	mu     sync.Mutex
 	packed map[ggscore.Key]packedPart
@@ -64,7 +65,7 @@
 	bytes []byte
 }
 
-// pack returns the packed entries of a part.
+// pack returns the compressed entries of a part.
 func (p *packer) pack(prefix ggscore.Key, r partReading) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +83,7 @@
 	return b, nil
 }
 
-// forget has a part packed anew: its entries have changed at the same position.
+// forget drops a part from the cache after its entries have changed at the same position.
 func (p *packer) forget(prefix ggscore.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,8 +123,8 @@
 	return es, nil
 }
 
-// Part answers with a part of the store, once this VM has read it so far or partWait has
-// passed.
+// Part returns a part of the store. It waits up to partWait until this VM has read the part up
+// to the requested position.
 func (p *Placement) Part(a *PartArgs, r *PartReply) error {
 	prefix := ggscore.Key(a.Prefix)
 	ctx, cancel := context.WithTimeout(p.ctx, partWait)
@@ -141,7 +142,8 @@
 	return err
 }
 
-// part returns a part of the store as this VM last read it.
+// localPart returns a part of the store as this VM last read it, and a *PartUnknownError if
+// this VM has not read the part.
 func (e *Edge) part(prefix ggscore.Key) (partReading, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -158,7 +160,7 @@
 	return r, nil
 }
 
-// follows reports whether this VM leaves it to the relays of its domain to read the store.
+// isFollower reports whether this VM reads the store through the relays of its domain.
 func (e *Edge) follows() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -166,7 +168,7 @@
 	return e.node.UsesRelays() && now.Sub(e.summarized) < summaryAge && !e.node.IsRelay(now)
 }
 
-// relayCalls returns where the relays of the domain take calls.
+// relayControlAddrs returns the addresses for calls of the failure domain's relays.
 func (e *Edge) relayCalls() []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -179,8 +181,8 @@
 	return to
 }
 
-// fromRelay returns a part of the store as a relay of the domain read it, up to the
-// position at least.
+// readFromRelay returns a part of the store as read by a relay of the failure domain, at least
+// up to the position. It tries the relays in an order that depends on this VM's ID.
 func (e *Edge) fromRelay(ctx context.Context, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
 	to := e.relayCalls()
 	var err error = &PartUnknownError{Prefix: prefix}
@@ -196,8 +198,8 @@
 	return partReading{}, err
 }
 
-// partOf returns a part of the store as the VM at an address read it, up to the position at
-// least.
+// fetchPart returns a part of the store as read by the VM at an address, at least up to the
+// position.
 func (e *Edge) partOf(ctx context.Context, addr netip.AddrPort, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
 	var r PartReply
 	err := e.Calls.CallLong(ctx, partSilence, addr, partMethod, &PartArgs{
--- a/io/ggsedge/parts_test.go
+++ b/io/ggsedge/parts_test.go
@@ -42,7 +42,7 @@
 	return e
 }
 
-// serveParts serves the parts that a VM has read, and returns the address.
+// serveParts serves the parts that a VM has read, and returns its address.
 func serveParts(ctx context.Context, c *qt.C, e *Edge) (netip.AddrPort, chan error) {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -53,7 +53,7 @@
 	return netip.MustParseAddrPort(l.Addr().String()), done
 }
 
-// Guards against a store that hundreds of VMs ask for each change.
+// Guards against hundreds of VMs that each read the same change from the store.
 func TestFollowerReadsPartsFromARelay(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Guards against VMs that keep asking a store which turns them away, though their relays reach it.
+// Guards against VMs that keep calling a failing store although their relays can reach it.
 func TestFollowerLeavesAStoreThatFailsToRelays(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -115,7 +115,7 @@
 	c.Assert(<-done, qt.IsNil)
 }
 
-// Guards against VMs that trust relays which no longer reach the store.
+// Guards against VMs that wait for relays which no longer reach the store.
 func TestFollowerWatchesWhenNobodyReads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsedge/placement.go
+++ b/io/ggsedge/placement.go
@@ -8,25 +8,25 @@
 	"greengageslip/core/ggsplace"
 )
 
-// callMargin is the time beyond a peer's own wait in which its answer comes: a round trip
-// between regions and a wait for the processor.
+// callMargin is added to the timeout of a call for a load, beyond the peer's own wait. It
+// covers a round trip between regions and scheduling delays.
 const callMargin = 150 * time.Millisecond
 
-// A load is an adapter in a version that an endpoint is to hold.
+// A loadKey identifies a load: an adapter version and the endpoint that has to hold it.
 type load struct {
 	endpoint ggscore.EndpointID
 	target   ggscore.ModelAdapter
 	version  uint64
 }
 
-// A loading is a wait for a load that requests of this VM share.
+// A pendingLoad is a load in progress. Requests of this VM that need it share it.
 type loading struct {
 	done chan struct{}
 	err  error
 }
 
-// ensure has the request's adapter loaded at the endpoint. Requests that wait
-// for the same one share the wait.
+// ensureLoaded has the request's adapter loaded at the endpoint. Requests that need the same
+// load share one wait.
 func (e *Edge) ensure(ctx context.Context, i ggscore.Instance, j *job) error {
 	l := load{endpoint: i.ID, target: j.meta.Model, version: j.version}
 	e.mu.Lock()
@@ -34,7 +34,7 @@
 	if g == nil {
 		g = &loading{done: make(chan struct{})}
 		e.loads[l] = g
-		// The wait outlives the request that began it: others share it.
+		// The wait continues after the request that began it has ended, since others share it.
 		go e.load(context.WithoutCancel(ctx), l, g)
 	}
 	e.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// load has an adapter loaded by whoever gives the endpoint its orders.
+// load has an adapter loaded by the endpoint's owner.
 func (e *Edge) load(ctx context.Context, l load, g *loading) {
 	ctx, cancel := context.WithTimeout(ctx, ggsplace.LoadWait+callMargin)
 	defer cancel()
@@ -67,9 +67,9 @@
 		var r EnsureReply
 		g.err = e.Calls.Call(ctx, p.calls, ensureMethod, &a, &r)
 		version = r.Version
-		// A peer answers within its own wait, so one that doesn't is gone, or the
-		// connection to it is silent: kept, it cost each load its whole wait, for as
-		// long as it stayed open.
+		// A peer answers within its own wait. A peer that doesn't is gone, or its connection has
+		// stalled. If the stalled connection were kept, each load would wait in vain for as long
+		// as it stayed open.
 		if ctx.Err() != nil {
 			e.Calls.Forget(p.calls)
 		}
@@ -85,8 +85,8 @@
 	close(g.done)
 }
 
-// await has an adapter loaded at an endpoint that this VM gives orders to and
-// returns its version.
+// awaitLoad has an adapter loaded at an endpoint that this VM owns, and returns the loaded
+// version.
 func (e *Edge) await(ctx context.Context, l load) (uint64, error) {
 	begun := e.Steady()
 	for {
@@ -119,13 +119,13 @@
 
 const ensureMethod = "Placement.Ensure"
 
-// A Placement answers peers' calls.
+// A Placement is the RPC service for peers.
 type Placement struct {
 	edge *Edge
 	ctx  context.Context //nolint:containedctx // net/rpc hands its methods none
 }
 
-// An EnsureArgs asks that an endpoint holds an adapter.
+// EnsureArgs requests that an endpoint holds an adapter.
 type EnsureArgs struct {
 	Endpoint string
 	Model    string
@@ -133,13 +133,14 @@
 	Version  uint64
 }
 
-// An EnsureReply says which version the endpoint holds.
+// An EnsureReply has the version that the endpoint holds.
 type EnsureReply struct{ Version uint64 }
 
-// NewPlacement returns what answers peers until the context ends.
+// NewPlacement returns a Placement that answers until the context ends.
 func NewPlacement(ctx context.Context, e *Edge) *Placement { return &Placement{edge: e, ctx: ctx} }
 
-// Ensure has an adapter loaded and answers when it is.
+// Ensure has an adapter loaded and returns after the load has ended, or after
+// ggsplace.LoadWait with a *LoadTimeoutError.
 func (p *Placement) Ensure(a *EnsureArgs, r *EnsureReply) error {
 	ctx, cancel := context.WithTimeout(p.ctx, ggsplace.LoadWait)
 	defer cancel()
--- a/io/ggsedge/relay.go
+++ b/io/ggsedge/relay.go
@@ -15,14 +15,14 @@
 	"greengageslip/io/ggslog"
 )
 
-// wholeBytes is the length up to which an answer is read whole before the
-// caller gets its head: one that ends early can still be replaced.
+// maxBufferedBytes is the length up to which an answer is read completely before its head is
+// sent to the caller. A buffered answer that is truncated can still be replaced.
 const wholeBytes = 64 << 10
 
-// pieceBytes is how much of a longer answer or of a stream is passed on at once.
+// pieceBytes is the read size, in bytes, for longer answers and streams.
 const pieceBytes = 8 << 10
 
-// relay passes an answer on. The failure is nil where the caller has it.
+// forwardAnswer forwards an answer. The failure is nil if the caller has received the answer.
 func (e *Edge) relay(ctx context.Context, j *job, i ggscore.Instance, a *ggsexchange.Answer) (*ggscore.Failure, ggsretry.Result) {
 	m := e.Dialect.Answer(a.Status, a.Header)
 	e.observe(j, i, m)
@@ -59,15 +59,15 @@
 	return nil, ggsretry.ResultOK
 }
 
-// A keptAnswer is an endpoint's failure that is passed on should no other
-// endpoint do better.
+// A keptFailure is an endpoint's failure answer that is forwarded if no other endpoint gives a
+// better answer.
 type keptAnswer struct {
 	answer *ggsexchange.Answer
 	body   []byte
 }
 
-// keep keeps an endpoint's failure where the request is sent to another one, and
-// returns nil where it isn't. What is kept is no longer than one piece.
+// keepFailure keeps an endpoint's failure answer if the request is sent to another endpoint,
+// else it returns nil. The kept body has at most maxBufferedBytes.
 func (e *Edge) keep(ctx context.Context, j *job, i ggscore.Instance, a *ggsexchange.Answer) *ggscore.Failure {
 	f := &ggscore.Failure{Kind: ggscore.FailureEndpoint, Detail: "endpoint answered " + strconv.Itoa(a.Status)}
 	if a.Length < 0 || a.Length > wholeBytes || !e.again(ctx, j, f) {
@@ -78,8 +78,8 @@
 	j.granted = true
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
-		// A failure that isn't whole can't be passed on; the other endpoint's
-		// answer is all that is left to wait for.
+		// A truncated failure answer can't be forwarded. Only another endpoint's answer can
+		// replace it.
 		_ = level.Info(e.Log).Log("event", ggslog.EventAnswerBroken, "request", j.meta.ID, "endpoint", i.ID, "begun", false, "err", err)
 		return f
 	}
@@ -87,20 +87,19 @@
 	return f
 }
 
-// passKept passes on the failure that was kept.
+// forwardKept forwards the failure answer that was kept.
 func (e *Edge) passKept(j *job) {
 	k := j.kept
 	_ = level.Info(e.Log).Log("event", ggslog.EventRequestEnded, "request", j.meta.ID, "status", k.answer.Status,
 		"why", "no other endpoint did better", "sends", j.sends, "runs", j.runs, "took", e.since(j.arrived))
 	e.stats.Answered.Add(1)
 	e.head(j, k.answer, int64(len(k.body)))
-	// A caller that has gone away gets nothing, and nothing is to be done.
+	// A write error means that the caller has left; nothing remains to be done.
 	_, _ = j.w.Write(k.body)
 }
 
-// unfit says why an answer can't be passed on, empty where it can. A success
-// bears the endpoint's mark; one in an encoding that the caller didn't ask for
-// isn't the endpoint's body.
+// invalidReason returns why an answer can't be forwarded, empty if it can. A success has to be
+// signed by the endpoint. A body in an encoding that wasn't requested isn't the endpoint's own.
 func unfit(a *ggsexchange.Answer, m ggscore.AnswerMeta, success bool) string {
 	switch {
 	case success && !m.Signed:
@@ -113,10 +112,10 @@
 	return ""
 }
 
-// notRun returns the failure for an endpoint's word that it did not run the
+// refusedByEndpoint returns the failure for an endpoint's answer that it did not run the
 // request.
 func (e *Edge) notRun(j *job, i ggscore.Instance, a *ggsexchange.Answer, m ggscore.AnswerMeta) *ggscore.Failure {
-	// The rest is read so that the connection can be kept.
+	// The rest of the body is read so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, wholeBytes))
 	if a.Status == http.StatusMisdirectedRequest && j.meta.Model.Adapter != "" {
 		e.mu.Lock()
@@ -131,25 +130,25 @@
 	}
 }
 
-// broken returns the failure for an answer that isn't whole.
+// brokenAnswer returns the failure for an answer that is truncated or invalid.
 func (e *Edge) broken(j *job, i ggscore.Instance, err error) *ggscore.Failure {
 	_ = level.Info(e.Log).Log("event", ggslog.EventAnswerBroken, "request", j.meta.ID, "endpoint", i.ID, "begun", j.committed, "err", err)
 	return &ggscore.Failure{Kind: ggscore.FailureBroken, Detail: err.Error()}
 }
 
-// passWhole passes on an answer that was read to its end first.
+// forwardBuffered forwards an answer after reading it completely.
 func (e *Edge) passWhole(j *job, a *ggsexchange.Answer) error {
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
 		return errors.Wrap(err, "reading an answer")
 	}
 	e.head(j, a, int64(len(b)))
-	// A caller that has gone away gets nothing, and nothing is to be done.
+	// A write error means that the caller has left; nothing remains to be done.
 	_, _ = j.w.Write(b)
 	return nil
 }
 
-// passOn passes on an answer piece by piece, as it comes.
+// forwardStream forwards an answer piece by piece as the pieces arrive.
 func (e *Edge) passOn(ctx context.Context, j *job, a *ggsexchange.Answer) error {
 	b := make([]byte, pieceBytes)
 	c := http.NewResponseController(j.w)
@@ -182,7 +181,7 @@
 	}
 }
 
-// piece notes that a piece of a stream came.
+// recordPiece records the arrival of a piece of a stream.
 func (e *Edge) piece(j *job) {
 	now := e.Now()
 	e.mu.Lock()
@@ -204,7 +203,7 @@
 	}
 }
 
-// streamed notes a stream that ended whole and wasn't hurt.
+// recordStream records a stream that ended without having been degraded.
 func (e *Edge) streamed(j *job) {
 	if j.hurt || j.route.Kind != ggscore.RouteStreaming {
 		return
@@ -214,7 +213,7 @@
 	e.turns.RecordStream(e.Now(), j.service, j.turn.Endpoint, false)
 }
 
-// head writes an answer's head.
+// writeHead writes an answer's head.
 func (e *Edge) head(j *job, a *ggsexchange.Answer, length int64) {
 	j.committed = true
 	j.first = e.since(j.arrived)
--- a/io/ggsedge/seeds.go
+++ b/io/ggsedge/seeds.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// seedPause is the pause between questions to seeds, and the time that the
-	// store has at a start before they are asked.
+	// seedInterval is the time between calls to seeds, and the time that the store has to answer
+	// after a start before seeds are called.
 	seedPause = 300 * time.Millisecond
-	// seedSilence is how long a seed, which may be gone, may send nothing.
+	// seedIdleTimeout is how long a seed, which may be gone, may send nothing.
 	seedSilence = 700 * time.Millisecond
 )
 
 const entriesMethod = "Placement.Entries"
 
-// An EntriesArgs asks for the store's entries as the VM last read them.
+// EntriesArgs requests the store's entries as the VM last read them.
 type EntriesArgs struct{}
 
-// An EntriesReply has the entries by the prefix of their keys.
+// An EntriesReply has the entries, grouped by the prefixes of their keys.
 type EntriesReply struct{ Parts []EntriesPart }
 
-// An EntriesPart is the entries below a prefix.
+// An EntriesPart has the entries below a prefix.
 type EntriesPart struct {
 	Prefix  string
 	Entries []StoredEntry
@@ -40,7 +40,7 @@
 	Revision uint64
 }
 
-// Entries answers with the store's entries as this VM last read them.
+// Entries returns the store's entries as this VM last read them.
 func (p *Placement) Entries(_ *EntriesArgs, r *EntriesReply) error {
 	p.edge.mu.Lock()
 	defer p.edge.mu.Unlock()
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// ordererPart returns who gives endpoints orders, as this VM knows it: a claim of
-// its own may be newer than its last reading. Edge.mu is held.
+// ownerRecords returns the ownership records as this VM knows them. A claim of this VM may be
+// newer than its last read of the store. Edge.mu is held.
 func (e *Edge) ordererPart() EntriesPart {
 	part := EntriesPart{Prefix: string(e.options.Keys.Own)}
 	for _, r := range e.keeper.Records() {
@@ -70,10 +70,10 @@
 	return part
 }
 
-// askSeeds asks other VMs for what this one goes by, as long as the store hasn't
-// told it since the start. What they know may be old, and is replaced by the
-// store's word when it comes; without it a VM that was restarted while the store
-// is away serves nobody until its return.
+// askSeeds reads the store's entries from other VMs until this VM has read the store for the
+// first time. The entries may be old, and are replaced by the store's own once the store is
+// reachable. Without seeds, a VM that restarts while the store is unreachable can't serve
+// requests until the store returns.
 func (e *Edge) askSeeds(ctx context.Context) error {
 	for n := 0; pause(ctx, seedPause); n++ {
 		if e.started() || len(e.options.Seeds) == 0 {
@@ -111,7 +111,7 @@
 	}
 }
 
-// adoptPart takes a seed's entries where the store hasn't told its own.
+// adoptPart applies a seed's entries if they weren't read from the store yet.
 func (e *Edge) adoptPart(ctx context.Context, prefix ggscore.Key, es []ggscore.Entry) {
 	switch prefix {
 	case e.options.Keys.Operators:
@@ -125,7 +125,7 @@
 	}
 }
 
-// keepOperators keeps operators' entries in place of those of the same keys.
+// keepOperators stores operators' entries and replaces those with the same keys.
 func (e *Edge) keepOperators(es []ggscore.Entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/ggsedge/signals.go
+++ b/io/ggsedge/signals.go
@@ -9,8 +9,8 @@
 	"greengageslip/io/ggslog"
 )
 
-// observe takes what an answer says of its endpoint: that it leaves, its rate limit, and how
-// long it wants nothing from this VM.
+// observeAnswer processes what an answer announces about its endpoint: that it leaves, its
+// rate limit, and a pause in the requests of this VM.
 func (e *Edge) observe(j *job, i ggscore.Instance, m ggscore.AnswerMeta) {
 	e.mu.Lock()
 	now := e.Now()
@@ -32,8 +32,8 @@
 	}
 }
 
-// observeLimit reports whether an answer named or lifted its endpoint's limit. Edge.mu is
-// held.
+// observeLimit processes an endpoint's rate limit in an answer, nil for none. It reports
+// whether the endpoint became limited or unlimited. Edge.mu is held.
 func (e *Edge) observeLimit(now time.Time, j *job, id ggscore.EndpointID, l *ggscore.RateLimit) bool {
 	asOf := now
 	if l == nil {
@@ -46,7 +46,7 @@
 	return changed
 }
 
-// shareLimits takes the VMs that rate limits are shared by. Edge.mu is held.
+// shareLimits updates the set of VMs that share rate limits. Edge.mu is held.
 func (e *Edge) shareLimits(now time.Time) {
 	if e.limits.LimitedCount() == 0 {
 		return
@@ -60,8 +60,7 @@
 	e.limits.SetVMs(vms)
 }
 
-// adoptSignals takes what others know of rate limits, and the endpoints that they saw leave.
-// Edge.mu is held.
+// applySignals applies the rate limits and departures that peers observed. Edge.mu is held.
 func (e *Edge) adoptSignals(now time.Time, ls []ggscore.EndpointLimit, ds []ggscore.Departure) {
 	e.limits.Learn(now.Add(-heartbeatDelay), ls)
 	for _, d := range ds {
@@ -71,15 +70,15 @@
 	}
 }
 
-// takeLimit takes a request's part of an endpoint's rate limit, and reports whether one was
-// left. Requests that were placed at the same time may have taken it since.
+// takeLimit takes a token from this VM's share of an endpoint's rate limit, and reports whether
+// one was available. Requests that chose the endpoint at the same time may have taken the last.
 func (e *Edge) takeLimit(id ggscore.EndpointID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.limits.Take(e.Now(), id)
 }
 
-// takes reports whether an endpoint still takes requests.
+// accepts reports whether an endpoint still accepts requests.
 func (e *Edge) takes(id ggscore.EndpointID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/ggsedge/state.go
+++ b/io/ggsedge/state.go
@@ -9,18 +9,19 @@
 	ggscore "greengageslip/core"
 )
 
-// A State is what an Edge goes by.
+// A State is the state that an Edge uses for its decisions.
 type State struct {
 	Domain ggscore.Domain
-	// Config is the version of the configuration in force, zero for none, and
-	// Routes the number of its routes.
+	// Config is the version of the configuration in use, zero for none. Routes is its number of
+	// routes.
 	Config uint64
 	Routes int
-	// ListAge is the age of the list of endpoints, and StoreAway says that the
-	// last reading of the operators' entries failed.
+	// ListAge is the time since this VM or a peer read the list of endpoints. StoreAway says
+	// that the last read of the operators' entries failed.
 	ListAge   time.Duration
 	StoreAway bool
-	// Epoch is the store's, ResyncTime the time until it was read in it, or so far.
+	// Epoch is the current store epoch. ResyncTime is how long this VM took to read the store in
+	// that epoch, or has taken so far.
 	Epoch      ggscore.StoreEpoch
 	ResyncTime time.Duration
 	Endpoints  []EndpointState
@@ -34,22 +35,22 @@
 	Service ggscore.Service
 	Domain  ggscore.Domain
 	Leaving bool
-	// Limit is the rate limit that the endpoint names, nil for none.
+	// Limit is the rate limit that the endpoint announces, nil for none.
 	Limit *ggscore.RateLimit
-	// Orderer is the VM that gives the endpoint orders, empty for none.
+	// Orderer is the VM that owns the endpoint and sends it orders, empty for none.
 	Orderer ggscore.VMID
-	// Held is what this VM, as the orderer, knows the endpoint to hold.
+	// Held are the adapters that the endpoint holds, if this VM is its owner.
 	Held []ggscore.AdapterVersion
 }
 
-// A PeerState is a VM that an Edge knows, and the time since it was heard.
+// A PeerState is a VM that an Edge knows, and the age of its last heartbeat.
 type PeerState struct {
 	VM      ggscore.VMID
 	Domain  ggscore.Domain
 	Silence time.Duration
 }
 
-// State returns what the edge goes by, in the order of names.
+// State returns the edge's state, sorted by names.
 func (e *Edge) State() State {
 	s := State{Domain: e.options.Domain, StoreAway: e.storeAway.Load()}
 	if t := e.paths.Load(); t != nil {
@@ -88,7 +89,7 @@
 	slices.SortFunc(vs, func(a, b ggscore.AdapterVersion) int { return cmp.Compare(a.Target.String(), b.Target.String()) })
 }
 
-// The wire form of a State. Durations are in seconds.
+// stateWire is the JSON form of a State. Durations are in seconds.
 type stateWire struct {
 	Domain         string         `json:"domain"`
 	ConfigVersion  uint64         `json:"configVersion"`
@@ -99,7 +100,7 @@
 	ResyncSeconds  float64        `json:"storeResyncSeconds"`
 	Endpoints      []endpointWire `json:"endpoints"`
 	Peers          []peerWire     `json:"peers"`
-	// Versions and Held are texts, MODEL/ADAPTER and its version.
+	// Versions and Held are adapters with their versions.
 	Versions []versionWire `json:"versions"`
 }
 
@@ -108,7 +109,7 @@
 	Service string `json:"service"`
 	Domain  string `json:"domain"`
 	Leaving bool   `json:"leaving"`
-	// LimitPerSecond is left out where the endpoint names no limit.
+	// LimitPerSecond is omitted if the endpoint announces no limit.
 	LimitPerSecond *float64      `json:"limitPerSecond,omitempty"`
 	Orderer        string        `json:"orderer"`
 	Held           []versionWire `json:"held"`
--- a/io/ggsedge/turns.go
+++ b/io/ggsedge/turns.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// nearWay and farWay are the times that word of a turn takes to the VMs of the
-	// endpoint's region, from that region and from another: a trip of 1 or 8 ms, a
-	// relay, and a wait for the processor.
+	// sameRegionDelay and crossRegionDelay are the propagation delays of a turn's notice to the
+	// other VMs, if the endpoint is in this VM's region or in another one. They cover a trip of
+	// 1 or 8 ms, a relay and a scheduling delay.
 	nearWay = 3 * time.Millisecond
 	farWay  = 12 * time.Millisecond
-	// mostTurns bounds how often a request takes its turn anew.
+	// maxTurnChecks bounds how often a request's turn is checked and replaced.
 	mostTurns = 3
 )
 
-// takeTurn waits until the endpoint may read the request's prompt. It returns false
-// where the caller left or the time was over before.
+// takeTurn waits until the request's prompt may be sent to the endpoint. It returns false if
+// the caller left or the deadline passed before.
 func (e *Edge) takeTurn(ctx context.Context, j *job, i ggscore.Instance) bool {
 	if j.spec.Engine == nil || !e.options.Policy.On(ggscore.MechanismTurns) {
 		return true
@@ -43,8 +43,8 @@
 	}
 }
 
-// turn takes a request's turn, or looks at it once more, and returns the time until it
-// is due.
+// turn takes a turn for a request, or confirms its turn on later tries. It returns the turn and
+// the time until it is due, zero if the request may be sent now.
 func (e *Edge) turn(j *job, i ggscore.Instance, tries int) (ggscore.PromptTurn, time.Duration) {
 	way := nearWay
 	if !e.near(i.Domain) {
@@ -71,14 +71,14 @@
 	return n, wait
 }
 
-// near reports whether a failure domain is in this VM's region.
+// sameRegion reports whether a failure domain is in this VM's region.
 func (e *Edge) near(d ggscore.Domain) bool {
 	return d == e.options.Domain || e.options.Regions[d] == e.options.Regions[e.options.Domain]
 }
 
-// dropTurn takes back the turn of a request whose endpoint has read nothing for it.
-// Kept, it would count as a prompt that the endpoint has yet to read: others would
-// wait for it, and streams' pauses would seem to pass beside a backlog.
+// dropTurn drops the turn of a request that its endpoint has not processed. Otherwise the turn
+// would count as a pending prompt: other prompts would wait for it, and gaps in streams would
+// be measured against a backlog that doesn't exist.
 func (e *Edge) dropTurn(j *job) {
 	if j.turn.Endpoint == "" {
 		return
@@ -93,13 +93,13 @@
 	j.turn = ggscore.PromptTurn{}
 }
 
-// notify tells the peers of a turn of this VM.
+// announceTurn sends a notice of this VM's turn to the peers.
 func (e *Edge) notify(n ggscore.PromptTurn, w ggspeer.Notice) {
 	w.VM, w.Number, w.Service, w.Endpoint, w.Tokens = n.VM, n.Number, n.Service, n.Endpoint, n.Tokens
 	e.spreadNotice(w, ggscore.RelayRegions)
 }
 
-// spreadNotice sends a notice as far as the relay says.
+// broadcastNotice sends a notice to each VM within reach.
 func (e *Edge) spreadNotice(n ggspeer.Notice, reach ggscore.Relay) {
 	for relay, addrs := range e.routes(reach, n.Number) {
 		n.Relay = relay
@@ -109,7 +109,7 @@
 	}
 }
 
-// routes returns the addresses that a word goes to, by how far they pass it on.
+// routes returns the addresses to send a message to, by how far the receivers relay it.
 func (e *Edge) routes(reach ggscore.Relay, sequence uint64) map[ggscore.Relay][]netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -120,7 +120,7 @@
 	return to
 }
 
-// noticed takes a peer's notice.
+// receiveNotice processes a peer's notice.
 func (e *Edge) noticed(n ggspeer.Notice) {
 	if n.Relay > ggscore.RelayNone {
 		e.spreadNotice(n, n.Relay)
@@ -135,12 +135,12 @@
 		e.turns.Drop(t)
 		return
 	}
-	// A turn that was taken anew comes under its number again.
+	// A replaced turn keeps its number.
 	e.turns.Drop(t)
 	e.turns.Add(now, t)
 }
 
-// setTurnEndpoints takes the endpoints that prompts take turns at. Edge.mu is held.
+// setTurnEndpoints sets the endpoints that take turns. Edge.mu is held.
 func (e *Edge) setTurnEndpoints(list []ggscore.Instance) {
 	ids := map[ggscore.Service][]ggscore.EndpointID{}
 	for _, i := range list {
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -14,40 +14,41 @@
 )
 
 const (
-	// orderTimeout bounds an order; ggsfencing's margin covers it. Each order waits
-	// for the one before, so one that isn't answered must not hold up the rest: where
-	// three in ten aren't, 200 ms left a runner 12 orders a second. One that is only
-	// slow is repeated without harm.
+	// orderTimeout bounds an order, and is covered by ggsfencing's margin. Each order waits for
+	// the previous one, so an unanswered order must not block the others: with three in ten
+	// unanswered, a timeout of 200 ms left a runner 12 orders a second. Repeating an order that
+	// is only slow does no harm.
 	orderTimeout = 80 * time.Millisecond
-	// leastOrderTimeout is the timeout where answers come at once: an order within
-	// a failure domain takes 1 to 5 ms, one to another region 18.
+	// minOrderTimeout is the timeout for endpoints that answer at once. An order takes 1 to 5 ms
+	// within a failure domain, and 18 ms to another region.
 	leastOrderTimeout = 25 * time.Millisecond
-	// orderTimes is the multiple of the usual time that an order may take.
+	// orderTimeoutFactor is the timeout of an order as a multiple of the usual order time.
 	orderTimes = 5
-	// orderWeight is the weight of the last order in the usual time.
+	// orderTimeSmoothing is the weight of the last order in the usual order time.
 	orderWeight = 0.1
-	// statusTimeout bounds the question for an endpoint's report.
+	// statusTimeout bounds the request for an endpoint's status report.
 	statusTimeout = 400 * time.Millisecond
-	// workerPause is the pause of an endpoint's worker that may give no orders,
-	// or whose endpoint answers none.
+	// workerPause is the pause of a worker that may not send orders, or whose endpoint doesn't
+	// answer status requests.
 	workerPause = 200 * time.Millisecond
 )
 
-// A worker gives one endpoint its orders. It is guarded by Edge.mu.
+// A worker sends orders to one endpoint that this VM owns. Its fields are guarded by Edge.mu,
+// except for wakeups.
 type worker struct {
 	instance ggscore.Instance
 	ledger   *ggsresident.Ledger
-	// changed is closed and replaced when the ledger has changed.
+	// changed is closed and replaced after each change of the ledger.
 	changed chan struct{}
-	// untold says that peers weren't told of the last change.
+	// unreported says that the last change was not sent to the peers yet.
 	untold bool
 	kick   chan struct{}
 	cancel context.CancelFunc
-	// usual is the time that orders usually take.
+	// usualOrderTime is the moving average of the time that orders take, zero for unknown.
 	usual time.Duration
 }
 
-// timeout returns the time that the next order may take.
+// timeout returns the timeout of the next order.
 func (w *worker) timeout() time.Duration {
 	if w.usual == 0 {
 		return orderTimeout
@@ -55,7 +56,7 @@
 	return min(max(orderTimes*w.usual, leastOrderTimeout), orderTimeout)
 }
 
-// took notes the time that an order took.
+// recordOrderTime adds the time that an order took to the moving average.
 func (w *worker) took(d time.Duration) {
 	if w.usual == 0 {
 		w.usual = d
@@ -77,8 +78,8 @@
 	w.changed = make(chan struct{})
 }
 
-// setWorkers starts workers for the endpoints whose orders are this VM's and
-// ends those of others. Edge.mu is held.
+// setWorkers starts workers for the endpoints that this VM owns, and stops the workers of
+// other endpoints. Edge.mu is held.
 func (e *Edge) setWorkers(ctx context.Context) {
 	specs := map[ggscore.Service]ggscore.BackendSpec{}
 	if t := e.paths.Load(); t != nil {
@@ -137,7 +138,7 @@
 	return u
 }
 
-// newsDelay returns how much longer heartbeats take through relays. Edge.mu is held.
+// reportDelay returns the extra delay of heartbeats through relays. Edge.mu is held.
 func (e *Edge) newsDelay() time.Duration {
 	if e.node.UsesRelays() {
 		return ggsrelay.RelayDelay
@@ -145,12 +146,12 @@
 	return 0
 }
 
-// peerSilence is the silence after which a peer isn't asked for loads: six beats.
-// One that is gone, frozen or cut off answers nothing, and requests waited 900 ms
-// for it before they went elsewhere.
+// ownerTimeout is the age of an owner's last heartbeat from which this VM doesn't call the
+// owner to load adapters. It is six heartbeat intervals. An owner that is gone, suspended or
+// cut off doesn't answer, and requests waited 900 ms before they tried other endpoints.
 const peerSilence = 900 * time.Millisecond
 
-// setLoadable notes which endpoints get orders now. Edge.mu is held.
+// setLoadable records at which endpoints adapters can be loaded now. Edge.mu is held.
 func (e *Edge) setLoadable() {
 	now := e.Now()
 	for _, i := range e.table.Instances("") {
@@ -165,7 +166,7 @@
 	}
 }
 
-// work gives orders until the context ends.
+// work sends orders until the context ends.
 func (e *Edge) work(ctx context.Context, w *worker, g *ggscore.EngineSpec) {
 	var questions sync.WaitGroup
 	defer questions.Wait()
@@ -184,11 +185,10 @@
 	}
 }
 
-// step does what is due at an endpoint and returns the pause until the next.
+// step does what is due at an endpoint and returns the pause until the next step.
 //
-// Questions go out beside the orders: one without an answer held up all loads of
-// the runner for its timeout, and where three in ten aren't answered that was half
-// of the time.
+// Polls run concurrently with the orders. One after the other, an unanswered poll blocked all
+// loads of the runner for its timeout; with three in ten unanswered, that was half of the time.
 func (e *Edge) step(ctx context.Context, w *worker, g *ggscore.EngineSpec, questions *sync.WaitGroup) time.Duration {
 	e.mu.Lock()
 	now := e.Now()
@@ -233,8 +233,8 @@
 	return 0
 }
 
-// wantModels asks for the base models of an endpoint that holds none: it has
-// started anew. Edge.mu is held.
+// wantModels requests the base model for an endpoint that holds no base model, since it has
+// just started. Edge.mu is held.
 func (e *Edge) wantModels(now time.Time, w *worker, g *ggscore.EngineSpec) {
 	for _, m := range g.Models {
 		if w.ledger.Holds(ggscore.ModelAdapter{Model: m.Name}, 0) {
@@ -246,7 +246,7 @@
 	}
 }
 
-// sync asks an endpoint what it holds.
+// sync updates the ledger from the endpoint's status report, and reports success.
 func (e *Edge) sync(ctx context.Context, w *worker, i ggscore.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -263,14 +263,15 @@
 	return true
 }
 
-// noteHeld tells the table what an endpoint of this VM holds. Edge.mu is held.
+// recordHeld updates the placement table with what an endpoint of this VM holds. Edge.mu is
+// held.
 func (e *Edge) noteHeld(id ggscore.EndpointID, w *worker) {
 	now := e.Now()
 	e.table.SetHeld(now, id, w.ledger.Resident())
 	e.table.SetLoadCapacity(id, w.ledger.Waiting(), w.ledger.FreeCapacity(now))
 }
 
-// order gives one order.
+// order sends one order and records its answer.
 func (e *Edge) order(ctx context.Context, w *worker, o ggscore.PlacementOrder, s ggsresident.Step, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/io/ggsedge/worker_test.go
+++ b/io/ggsedge/worker_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Three orders in ten get no answer, and each held up the runner's loads for 80 ms,
-// though answers come within 5 ms.
+// Guards against a fixed order timeout. Three orders in ten got no answer, and each blocked
+// the runner's loads for 80 ms, although answers arrive within 5 ms.
 func TestOrdersWaitByTheUsualTime(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
