--- a/io/ggsedge/attempt.go
+++ b/io/ggsedge/attempt.go
@@ -28,10 +28,10 @@
 	// an attempt at another endpoint. The rest of the time is better used by the caller's retry.
 	giveUpShare = 0.35
 	// minTimeLeft is the time before the deadline below which a request isn't sent.
-	leastLeft = 5 * time.Millisecond
+	minTimeLeft = 5 * time.Millisecond
 	// maxConnShare is the share of an endpoint's connections that this VM uses at most. Callers
 	// are distributed unevenly over the VMs.
-	ownConns = 0.25
+	maxConnShare = 0.25
 )
 
 // run sends the request to endpoints until one answers or the request fails for good.
@@ -45,10 +45,10 @@
 		id := choice.Instance.ID
 		j.tried = append(j.tried, id)
 		if !choice.Resident {
-			if err := e.ensure(ctx, choice.Instance, j); err != nil {
+			if err := e.ensureLoaded(ctx, choice.Instance, j); err != nil {
 				_ = level.Info(e.Log).Log("event", ggslog.EventLoadFailed, "request", j.meta.ID, "endpoint", id,
 					"adapter", j.meta.Model, "err", err)
-				if ctx.Err() != nil || len(j.tried) >= maxSends || e.since(j.arrived) > time.Duration(giveUpShare*float64(j.limit)) {
+				if ctx.Err() != nil || len(j.tried) >= maxSends || e.since(j.arrived) > time.Duration(giveUpShare*float64(j.timeout)) {
 					e.giveUp(ctx, j, err)
 					return
 				}
@@ -62,11 +62,11 @@
 		if failure == nil {
 			return
 		}
-		if j.granted {
-			j.granted = false
+		if j.retryGranted {
+			j.retryGranted = false
 			continue
 		}
-		if !e.again(ctx, j, failure) {
+		if !e.retry(ctx, j, failure) {
 			e.giveUp(ctx, j, failure)
 			return
 		}
@@ -86,7 +86,7 @@
 // backoff. A request that may have run is sent again only if the route is idempotent, and
 // each run counts against the route's attempts. All retries count against the budget that the
 // VMs share.
-func (e *Edge) again(ctx context.Context, j *job, f *ggscore.Failure) bool {
+func (e *Edge) retry(ctx context.Context, j *job, f *ggscore.Failure) bool {
 	if j.committed || ctx.Err() != nil {
 		return false
 	}
@@ -102,7 +102,7 @@
 	}
 	e.mu.Lock()
 	wait, err := e.retries.Retry(e.Now(), ggsretry.Attempt{
-		Market: ggscore.Market(j.service), Number: j.sends, Failure: f, Left: j.until.Sub(e.Steady()) - leastLeft,
+		Market: ggscore.Market(j.service), Number: j.sends, Failure: f, Left: j.deadline.Sub(e.Steady()) - minTimeLeft,
 	})
 	e.mu.Unlock()
 	if err != nil {
@@ -114,8 +114,8 @@
 
 // giveUp answers a request that isn't sent again.
 func (e *Edge) giveUp(ctx context.Context, j *job, err error) {
-	var over *DeadlineError
-	late := errors.As(context.Cause(ctx), &over)
+	var exceeded *DeadlineError
+	late := errors.As(context.Cause(ctx), &exceeded)
 	left := ctx.Err() != nil && !late
 	if left {
 		e.stats.Left.Add(1)
@@ -128,53 +128,53 @@
 		// truncated.
 		panic(http.ErrAbortHandler)
 	}
-	if j.kept != nil {
-		e.passKept(j)
+	if j.fallback != nil {
+		e.forwardKept(j)
 		return
 	}
 	var refused *ggsplace.RefusedError
 	var failure *ggscore.Failure
 	switch {
 	case j.runs > 0 && late:
-		e.fail(j, http.StatusGatewayTimeout, "the time is over, the request may have run")
+		e.fail(j, http.StatusGatewayTimeout, "request deadline exceeded; the request may have run")
 	case j.runs > 0:
-		e.fail(j, http.StatusBadGateway, "the answer is lost, the request may have run: "+err.Error())
+		e.fail(j, http.StatusBadGateway, "answer lost; the request may have run: "+err.Error())
 	case late:
-		e.refuse(j, lateWait, "the time is over, the request has not run")
+		e.refuse(j, timeoutRetryAfter, "request deadline exceeded; the request has not run")
 	case errors.As(err, &refused):
 		e.refuse(j, refused.RetryAfter, err.Error())
 	case errors.As(err, &failure):
-		e.refuse(j, max(failure.RetryAfter, notRunWait), err.Error())
+		e.refuse(j, max(failure.RetryAfter, refusedRetryAfter), err.Error())
 	default:
-		e.refuse(j, notRunWait, err.Error())
+		e.refuse(j, refusedRetryAfter, err.Error())
 	}
 }
 
 const (
 	// timeoutRetryAfter is sent when the request's deadline has passed before it ran.
-	lateWait = time.Second
+	timeoutRetryAfter = time.Second
 	// refusedRetryAfter is sent when endpoints refused the request. Their queues empty within
 	// tenths of a second.
-	notRunWait = 300 * time.Millisecond
+	refusedRetryAfter = 300 * time.Millisecond
 )
 
 // send sends the request once. It returns nil if the caller has received the answer.
 func (e *Edge) send(ctx context.Context, j *job, c ggsplace.Choice) *ggscore.Failure {
 	i := c.Instance
-	left := j.until.Sub(e.Steady())
-	if left < leastLeft {
-		return &ggscore.Failure{Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeNotRun, Detail: "no time is left"}
+	left := j.deadline.Sub(e.Steady())
+	if left < minTimeLeft {
+		return &ggscore.Failure{Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeNotRun, Detail: "not sent: too little time left before the request deadline"}
 	}
-	e.begin(j, i.ID)
+	e.beginSend(j, i.ID)
 	if !e.takeTurn(ctx, j, i) {
-		e.end(j, i.ID, ggsretry.ResultNeutral)
-		return &ggscore.Failure{Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeNotRun, Detail: "its time was over before its turn"}
+		e.endSend(j, i.ID, ggsretry.ResultNeutral)
+		return &ggscore.Failure{Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeNotRun, Detail: "not sent: deadline exceeded or caller left before the prompt's turn"}
 	}
-	if !e.takes(i.ID) {
+	if !e.accepts(i.ID) {
 		// The endpoint announced while the request waited that it leaves.
-		return e.unsent(j, i)
+		return e.notSent(j, i)
 	}
-	left = j.until.Sub(e.Steady())
+	left = j.deadline.Sub(e.Steady())
 	j.sends++
 	j.sentAt = e.Now()
 	_ = level.Info(e.Log).Log("event", ggslog.EventRequestSent, "request", j.meta.ID, "endpoint", i.ID, "route", j.route.Name,
@@ -191,22 +191,22 @@
 		return e.unanswered(ctx, j, i, err)
 	}
 	defer a.Close()
-	f, r := e.relay(ctx, j, i, a)
+	f, r := e.forwardAnswer(ctx, j, i, a)
 	if f != nil && !j.committed {
 		e.dropTurn(j)
 	}
-	e.end(j, i.ID, r)
+	e.endSend(j, i.ID, r)
 	return f
 }
 
 // notSent returns the failure of a request whose endpoint accepts no more requests. Nothing was
 // sent, so the next endpoint is tried without a retry from the budget.
-func (e *Edge) unsent(j *job, i ggscore.Instance) *ggscore.Failure {
-	e.end(j, i.ID, ggsretry.ResultNeutral)
+func (e *Edge) notSent(j *job, i ggscore.Instance) *ggscore.Failure {
+	e.endSend(j, i.ID, ggsretry.ResultNeutral)
 	e.dropTurn(j)
-	j.granted = true
+	j.retryGranted = true
 	return &ggscore.Failure{
-		Kind: ggscore.FailureNoCapacity, Outcome: ggscore.OutcomeNotRun, Detail: string(i.ID) + " takes no more requests",
+		Kind: ggscore.FailureNoCapacity, Outcome: ggscore.OutcomeNotRun, Detail: string(i.ID) + " accepts no more requests",
 	}
 }
 
@@ -214,7 +214,7 @@
 	if conns == 0 {
 		return 0
 	}
-	return max(int(ownConns*float64(conns)), 2)
+	return max(int(maxConnShare*float64(conns)), 2)
 }
 
 // unanswered returns the failure of an exchange without an answer.
@@ -230,22 +230,22 @@
 		result, f.Kind = ggsretry.ResultNeutral, ggscore.FailureNoCapacity
 	}
 	if ctx.Err() != nil {
-		var over *DeadlineError
-		if !errors.As(context.Cause(ctx), &over) {
+		var exceeded *DeadlineError
+		if !errors.As(context.Cause(ctx), &exceeded) {
 			result = ggsretry.ResultNeutral
 		}
 	}
 	if f.Outcome != ggscore.OutcomeNotRun {
 		j.runs++
 	}
-	e.end(j, i.ID, result)
+	e.endSend(j, i.ID, result)
 	e.dropTurn(j)
 	_ = level.Info(e.Log).Log("event", ggslog.EventAttemptFailed, "request", j.meta.ID, "endpoint", i.ID, "outcome", f.Outcome, "err", err)
 	return f
 }
 
 // beginSend records that a request is being sent to an endpoint.
-func (e *Edge) begin(j *job, id ggscore.EndpointID) {
+func (e *Edge) beginSend(j *job, id ggscore.EndpointID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Now()
@@ -269,7 +269,7 @@
 }
 
 // endSend records the end of a request that beginSend recorded.
-func (e *Edge) end(j *job, id ggscore.EndpointID, r ggsretry.Result) {
+func (e *Edge) endSend(j *job, id ggscore.EndpointID, r ggsretry.Result) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if u := e.uses[use{endpoint: id, target: j.meta.Model}]; u != nil {
--- a/io/ggsedge/attempt_test.go
+++ b/io/ggsedge/attempt_test.go
@@ -14,7 +14,7 @@
 
 // Guards against a request that is added to the retry budget twice because it is sent to a
 // second endpoint.
-func TestRequestEarnsRepeatsOnce(t *testing.T) {
+func TestRequestIsAddedToRetryBudgetOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := func() time.Time { return time.Unix(1_000, 0) }
@@ -32,10 +32,10 @@
 	}
 	j := &job{service: "s"}
 	for _, id := range []ggscore.EndpointID{"a", "b"} {
-		e.begin(j, id)
-		e.end(j, id, ggsretry.ResultNeutral)
+		e.beginSend(j, id)
+		e.endSend(j, id, ggsretry.ResultNeutral)
 	}
 	c.Assert(granted(), qt.IsFalse)
-	e.begin(&job{service: "s"}, "a")
+	e.beginSend(&job{service: "s"}, "a")
 	c.Assert(granted(), qt.IsTrue)
 }
--- a/io/ggsedge/control.go
+++ b/io/ggsedge/control.go
@@ -18,18 +18,18 @@
 const claimInterval = 300 * time.Millisecond
 
 // maintainOwnership writes store heartbeats and claims until the context ends.
-func (e *Edge) giveOrders(ctx context.Context) error {
+func (e *Edge) maintainOwnership(ctx context.Context) error {
 	var count uint64
 	refusals := 0
 	for ctx.Err() == nil {
 		sent := e.Steady()
-		r := e.beatOnce(ctx, &count)
-		if r != beatRefused {
+		r := e.writeHeartbeat(ctx, &count)
+		if r != heartbeatRefused {
 			refusals = 0
 		} else if refusals++; refusals > 1 && !e.pauseFailed(ctx, refusals-1) {
 			return nil
 		}
-		e.claimUntilBeat(ctx, sent, r == beatAcknowledged)
+		e.claimUntilHeartbeat(ctx, sent, r == heartbeatAcknowledged)
 	}
 	return nil
 }
@@ -38,13 +38,13 @@
 // It claims none if the last heartbeat wasn't acknowledged. With one check per heartbeat, an
 // endpoint that started waited 1.2 s on average for its first order, which loads its base
 // model.
-func (e *Edge) claimUntilBeat(ctx context.Context, sent time.Time, acked bool) {
+func (e *Edge) claimUntilHeartbeat(ctx context.Context, sent time.Time, acked bool) {
 	for {
 		if acked {
-			e.claimAll(ctx)
+			e.writeClaims(ctx)
 		}
-		left := e.beatInterval(acked) - e.since(sent)
-		if !pauseOr(ctx, min(claimInterval, left), e.kick) || e.kicked.Swap(false) || left <= claimInterval {
+		left := e.storeHeartbeatInterval(acked) - e.since(sent)
+		if !pauseOrWake(ctx, min(claimInterval, left), e.storeHeartbeatNotified) || e.storeHeartbeatDue.Swap(false) || left <= claimInterval {
 			return
 		}
 	}
@@ -53,57 +53,57 @@
 // storeHeartbeatInterval returns the time between this VM's store heartbeats. One that wasn't
 // acknowledged is repeated at the owners' interval, since other VMs may not know this VM until
 // then.
-func (e *Edge) beatInterval(acked bool) time.Duration {
-	heard := len(e.livePeers())
+func (e *Edge) storeHeartbeatInterval(acked bool) time.Duration {
+	live := len(e.livePeers())
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return ggsgossip.HeartbeatInterval(heard+1, e.keeper.OwnsAny() || !acked)
+	return ggsgossip.HeartbeatInterval(live+1, e.ownership.OwnsAny() || !acked)
 }
 
 // recordsCurrent reports whether the VMs' own records were read in the current epoch.
 // Conditions of writes use their revisions.
-func (e *Edge) recordsRead() bool {
+func (e *Edge) recordsCurrent() bool {
 	c := e.epochs.current()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k, ok := e.keeper.Epoch()
+	k, ok := e.ownership.Epoch()
 	return ok && k == c
 }
 
 // requestStoreHeartbeat has a store heartbeat written at once.
-func (e *Edge) wakeBeats() {
-	e.kicked.Store(true)
-	notify(e.kick)
+func (e *Edge) requestStoreHeartbeat() {
+	e.storeHeartbeatDue.Store(true)
+	notify(e.storeHeartbeatNotified)
 }
 
 // A heartbeatResult is the result of writing a store heartbeat.
-type beatResult int
+type heartbeatResult int
 
 const (
 	// heartbeatUnsent means that the heartbeat wasn't written, or that its answer was lost.
-	beatUnsent beatResult = iota
-	beatAcknowledged
-	beatRefused
+	heartbeatUnsent heartbeatResult = iota
+	heartbeatAcknowledged
+	heartbeatRefused
 )
 
 // writeHeartbeat writes a store heartbeat.
-func (e *Edge) beatOnce(ctx context.Context, count *uint64) beatResult {
-	if !e.recordsRead() {
-		return beatUnsent
+func (e *Edge) writeHeartbeat(ctx context.Context, count *uint64) heartbeatResult {
+	if !e.recordsCurrent() {
+		return heartbeatUnsent
 	}
 	*count++
 	e.mu.Lock()
-	p := e.keeper.NextHeartbeat(e.Now())
+	p := e.ownership.NextHeartbeat(e.Now())
 	shapes := e.turns.LearnedState()
 	e.mu.Unlock()
 	v, err := json.Marshal(&memberRecord{
-		Domain: string(e.options.Domain), Beats: e.options.Beats.String(), Control: e.options.Control.String(), Count: *count,
+		Domain: string(e.options.Domain), DatagramAddr: e.options.Beats.String(), ControlAddr: e.options.Control.String(), Count: *count,
 		Capacity: e.options.Capacity,
 		Shapes:   shapeRecords(shapes),
 	})
 	if err != nil {
 		_ = level.Error(e.Log).Log("event", ggslog.EventBeatUnencoded, "err", err)
-		return beatUnsent
+		return heartbeatUnsent
 	}
 	t := ggscore.Txn{
 		Epoch:      p.Epoch,
@@ -111,14 +111,14 @@
 		Writes:     []ggscore.TxnWrite{{Key: e.memberKey(e.options.VM), Value: v}},
 	}
 	if p.MarkSettled {
-		t.Writes = append(t.Writes, e.settled(p.Epoch)...)
+		t.Writes = append(t.Writes, e.settledWrite(p.Epoch)...)
 	}
 	for _, r := range p.Records {
-		t.Conditions = append(t.Conditions, ggscore.TxnCondition{Key: e.ordererKey(r.Endpoint), Revision: r.Revision})
+		t.Conditions = append(t.Conditions, ggscore.TxnCondition{Key: e.ownerKey(r.Endpoint), Revision: r.Revision})
 	}
 	for _, r := range p.Drop {
-		t.Conditions = append(t.Conditions, ggscore.TxnCondition{Key: e.ordererKey(r.Endpoint), Revision: r.Revision})
-		t.Deletes = append(t.Deletes, e.ordererKey(r.Endpoint))
+		t.Conditions = append(t.Conditions, ggscore.TxnCondition{Key: e.ownerKey(r.Endpoint), Revision: r.Revision})
+		t.Deletes = append(t.Deletes, e.ownerKey(r.Endpoint))
 	}
 	sent := e.Now()
 	at, err := e.Store.Txn(ctx, t)
@@ -126,32 +126,32 @@
 	refused := errors.As(err, &conflict)
 	if err != nil && !refused {
 		_ = level.Info(e.Log).Log("event", ggslog.EventBeatFailed, "err", err)
-		return beatUnsent
+		return heartbeatUnsent
 	}
 	e.mu.Lock()
-	e.keeper.HeartbeatAnswered(sent, p, at, refused)
+	e.ownership.HeartbeatAnswered(sent, p, at, refused)
 	e.mu.Unlock()
 	if refused {
 		_ = level.Info(e.Log).Log("event", ggslog.EventBeatRefused, "revision", p.Revision, "records", len(p.Records))
-		e.reread(ctx)
-		return beatRefused
+		e.rereadRecords(ctx)
+		return heartbeatRefused
 	}
-	return beatAcknowledged
+	return heartbeatAcknowledged
 }
 
 // rereadRecords reads the VMs' own records again after a refused heartbeat.
-func (e *Edge) reread(ctx context.Context) {
+func (e *Edge) rereadRecords(ctx context.Context) {
 	es, at, err := e.Store.Snapshot(ctx, e.options.Keys.Own+"/", false)
 	if err != nil {
 		_ = level.Info(e.Log).Log("event", ggslog.EventRereadFailed, "err", err)
 		return
 	}
 	e.setMembers(ctx, es, at)
-	e.wakeBeats()
+	e.requestStoreHeartbeat()
 }
 
 // settledWrite returns the write that records that an epoch is settled.
-func (e *Edge) settled(c ggscore.StoreEpoch) []ggscore.TxnWrite {
+func (e *Edge) settledWrite(c ggscore.StoreEpoch) []ggscore.TxnWrite {
 	v, err := json.Marshal(&epochRecord{Settled: uint64(c)})
 	if err != nil {
 		_ = level.Error(e.Log).Log("event", ggslog.EventRecordUnencoded, "err", err)
@@ -161,32 +161,32 @@
 }
 
 // writeClaims writes this VM's due claims of endpoints.
-func (e *Edge) claimAll(ctx context.Context) {
+func (e *Edge) writeClaims(ctx context.Context) {
 	specs := map[ggscore.Service]ggscore.BackendSpec{}
 	if t := e.paths.Load(); t != nil {
 		specs = t.Config.Services
 	}
-	heard := e.livePeers()
+	live := e.livePeers()
 	e.mu.Lock()
-	e.keeper.SetReachable(heard)
+	e.ownership.SetReachable(live)
 	var ready []ggscore.Instance
 	for _, i := range e.table.Instances("") {
 		if specs[i.Service].Engine != nil && !i.Leaving {
 			ready = append(ready, i)
 		}
 	}
-	cs := e.keeper.Claims(e.Now(), ready)
+	cs := e.ownership.Claims(e.Now(), ready)
 	e.mu.Unlock()
 	for _, c := range cs {
-		v, err := json.Marshal(&ordererRecord{Owner: string(e.options.VM), Epoch: uint64(c.Epoch)})
+		v, err := json.Marshal(&ownerRecord{Owner: string(e.options.VM), Epoch: uint64(c.Epoch)})
 		if err != nil {
 			_ = level.Error(e.Log).Log("event", ggslog.EventClaimUnencoded, "err", err)
 			return
 		}
 		t := ggscore.Txn{
 			Epoch:      c.Epoch,
-			Conditions: []ggscore.TxnCondition{{Key: e.ordererKey(c.Endpoint), Revision: c.RecordRevision}},
-			Writes:     []ggscore.TxnWrite{{Key: e.ordererKey(c.Endpoint), Value: v}},
+			Conditions: []ggscore.TxnCondition{{Key: e.ownerKey(c.Endpoint), Revision: c.RecordRevision}},
+			Writes:     []ggscore.TxnWrite{{Key: e.ownerKey(c.Endpoint), Value: v}},
 		}
 		if c.Owner != "" {
 			t.Conditions = append(t.Conditions, ggscore.TxnCondition{Key: e.memberKey(c.Owner), Revision: c.OwnerRevision})
@@ -198,7 +198,7 @@
 			continue
 		}
 		e.mu.Lock()
-		e.keeper.ClaimAcknowledged(sent, c, at)
+		e.ownership.ClaimAcknowledged(sent, c, at)
 		e.setWorkers(ctx)
 		e.mu.Unlock()
 	}
@@ -207,13 +207,13 @@
 // Release stops this VM's orders and releases its endpoints to other VMs.
 func (e *Edge) Release(ctx context.Context) {
 	e.mu.Lock()
-	e.keeper.Stop()
-	p := e.keeper.NextHeartbeat(e.Now())
+	e.ownership.Stop()
+	p := e.ownership.NextHeartbeat(e.Now())
 	e.mu.Unlock()
 	if len(p.Records) == 0 {
 		return
 	}
-	v, err := json.Marshal(&ordererRecord{Owner: string(e.options.VM), Released: true, Epoch: uint64(p.Epoch)})
+	v, err := json.Marshal(&ownerRecord{Owner: string(e.options.VM), Released: true, Epoch: uint64(p.Epoch)})
 	if err != nil {
 		_ = level.Error(e.Log).Log("event", ggslog.EventReleaseUnencoded, "err", err)
 		return
@@ -223,8 +223,8 @@
 		Conditions: []ggscore.TxnCondition{{Key: e.memberKey(e.options.VM), Revision: p.Revision}},
 	}
 	for _, r := range p.Records {
-		t.Conditions = append(t.Conditions, ggscore.TxnCondition{Key: e.ordererKey(r.Endpoint), Revision: r.Revision})
-		t.Writes = append(t.Writes, ggscore.TxnWrite{Key: e.ordererKey(r.Endpoint), Value: v})
+		t.Conditions = append(t.Conditions, ggscore.TxnCondition{Key: e.ownerKey(r.Endpoint), Revision: r.Revision})
+		t.Writes = append(t.Writes, ggscore.TxnWrite{Key: e.ownerKey(r.Endpoint), Value: v})
 	}
 	_, err = e.Store.Txn(ctx, t)
 	_ = level.Info(e.Log).Log("event", ggslog.EventOrdersReleased, "endpoints", len(p.Records), "err", err)
--- a/io/ggsedge/doc.go
+++ b/io/ggsedge/doc.go
@@ -9,23 +9,23 @@
 // # Usage
 //
 //	e := ggsedge.New(options, parts)
-// go e.Run(ctx)                    // follows the store and the peers, sends orders
+//	go e.Run(ctx)                    // follows the store and the peers, sends orders
 //	server := &http.Server{Handler: e}
 //	ready := e.Ready()
-// e.Drain()                        // before a stop: Ready returns an error from now on
-// e.Release(ctx)                   // releases this VM's endpoints to other VMs
+//	e.Drain()                        // before a stop: Ready returns an error from now on
+//	e.Release(ctx)                   // releases this VM's endpoints to other VMs
 //
 // # Answers
 //
 // An endpoint's answer is forwarded unchanged. The edge's own answers are plain text:
 //
-// 400  the request has no ID, or its body can't be read
+//	400  the request has no ID, or its body can't be read
 //	404  no route matches
-// 413  the body is longer than the configuration allows
-// 431  the header is longer than the configuration allows
-// 502  the request may have run and its answer is lost
-// 503  the request has not run and never will; Retry-After says when to retry
-// 504  the deadline has passed and the request may have run
+//	413  the body is longer than the configuration allows
+//	431  the header is longer than the configuration allows
+//	502  the request may have run and its answer is lost
+//	503  the request has not run and never will; Retry-After says when to retry
+//	504  the deadline has passed and the request may have run
 //
 // # Files
 //
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -107,21 +107,21 @@
 	stats   Stats
 	metrics *metrics
 	packer  packer
-	epochs  *epochs
+	epochs  *epochState
 
 	paths    atomic.Pointer[ggspath.Table]
 	draining atomic.Bool
 	// storeUnavailable says that the last read of the operators' entries failed.
-	storeAway atomic.Bool
+	storeUnavailable atomic.Bool
 
-	mu       sync.Mutex
-	table    *ggsplace.Table
-	registry *ggsregistry.Registry
-	keeper   *ggsfencing.OwnershipTracker
-	turns    *ggsturn.Table
-	node     *ggsrelay.Node
-	retries  *ggsretry.Policy
-	limits   *ggsthrottle.Table
+	mu        sync.Mutex
+	table     *ggsplace.Table
+	registry  *ggsregistry.Registry
+	ownership *ggsfencing.OwnershipTracker
+	turns     *ggsturn.Table
+	node      *ggsrelay.Node
+	retries   *ggsretry.Policy
+	limits    *ggsthrottle.Table
 	// versions are the adapters' versions in use, and versionSum is their sum.
 	versions   map[ggscore.ModelAdapter]uint64
 	versionSum uint64
@@ -132,7 +132,7 @@
 	unansweredOrders map[ggscore.EndpointID]*ggsresident.Unanswered
 	peers            map[ggscore.VMID]*member
 	uses             map[use]*usage
-	loads            map[load]*loading
+	loads            map[loadKey]*pendingLoad
 	listed           bool
 	// entries are the store's entries as last read. VMs that start while the store is
 	// unreachable read them from this VM.
@@ -140,21 +140,21 @@
 	// startedAt distinguishes this process from previous ones of the VM. sequence numbers the
 	// heartbeats. lastFullHoldings is when all that the owned endpoints hold was last sent.
 	// lastSummary is when a relay's summary was last applied.
-	startedAt  int64
-	sequence   uint64
-	lastWhole  time.Time
-	summarized time.Time
+	startedAt        int64
+	sequence         uint64
+	lastFullHoldings time.Time
+	lastSummary      time.Time
 	// listChangedAt and operatorsChangedAt are the positions of the last observed changes of the
 	// list of endpoints and of the operators' entries. listRead and operatorsRead are the
 	// positions up to which they were read.
-	listedAt      ggscore.StorePosition
-	operatedAt    ggscore.StorePosition
-	listRead      ggscore.StorePosition
-	operatorsRead ggscore.StorePosition
+	listChangedAt      ggscore.StorePosition
+	operatorsChangedAt ggscore.StorePosition
+	listRead           ggscore.StorePosition
+	operatorsRead      ggscore.StorePosition
 	// resyncedEpoch is the last epoch in which the list, the operators' entries and the VMs' own
 	// records were all read. resyncDuration is the time that this took.
-	resynced   ggscore.StoreEpoch
-	resyncTook time.Duration
+	resyncedEpoch  ggscore.StoreEpoch
+	resyncDuration time.Duration
 	// operatorsAnnounced is the newest position of the operators' entries that a peer
 	// announced. operatorsSynced is the newest position announced before the last full snapshot.
 	// behindSince is when a peer first announced a position that this VM has not read yet.
@@ -175,11 +175,11 @@
 	// once if storeHeartbeatDue is set. listNotified and operatorsNotified wake the loops that
 	// read the list and the operators' entries, after a peer announced a change.
 	// membersNotified wakes the loop that reads the VMs' own records.
-	kick              chan struct{}
-	kicked            atomic.Bool
-	listNotified      chan struct{}
-	operatorsNotified chan struct{}
-	membersNotified   chan struct{}
+	storeHeartbeatNotified chan struct{}
+	storeHeartbeatDue      atomic.Bool
+	listNotified           chan struct{}
+	operatorsNotified      chan struct{}
+	membersNotified        chan struct{}
 }
 
 // A Stats has the counters of an Edge.
@@ -200,15 +200,15 @@
 
 // A member is a peer as described by its record in the store.
 type member struct {
-	beats  netip.AddrPort
-	calls  netip.AddrPort
-	domain ggscore.Domain
-	region ggscore.Region
+	datagramAddr netip.AddrPort
+	controlAddr  netip.AddrPort
+	domain       ggscore.Domain
+	region       ggscore.Region
 	// capacity compares VMs by processor and network link.
 	capacity uint64
 	// lastSeen is when the peer's last heartbeat arrived, when a summary last listed the peer as
 	// live, or when the peer became known.
-	heard    time.Time
+	lastSeen time.Time
 	started  int64
 	sequence uint64
 }
@@ -234,30 +234,30 @@
 		options: o,
 		Parts:   p,
 		turns:   turns,
-		node:    ggsrelay.NewNode(ggsrelay.Options{Self: o.member(), Started: p.Steady().UnixNano()}),
+		node:    ggsrelay.NewNode(ggsrelay.Options{Self: o.relayMember(), Started: p.Steady().UnixNano()}),
 		table: ggsplace.NewTable(ggsplace.Options{
 			Domain: o.Domain, Regions: o.Regions, Seed: o.Seed, Turns: turns, Throttle: limits, Policy: o.Policy,
 		}),
-		keeper:           ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: o.VM, Domain: o.Domain, MinOrderGap: o.Turn, FirstStart: o.FirstStart}),
-		retries:          ggsretry.NewPolicy(retryOptions(o)),
-		limits:           limits,
-		registry:         ggsregistry.NewRegistry(),
-		versions:         map[ggscore.ModelAdapter]uint64{},
-		workers:          map[ggscore.EndpointID]*worker{},
-		unansweredOrders: map[ggscore.EndpointID]*ggsresident.Unanswered{},
-		peers:            map[ggscore.VMID]*member{},
-		uses:             map[use]*usage{},
-		loads:            map[load]*loading{},
-		entries:          map[ggscore.Key][]ggscore.Entry{},
-		startedAt:        p.Steady().UnixNano(),
-		kick:             make(chan struct{}, 1),
+		ownership:              ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: o.VM, Domain: o.Domain, MinOrderGap: o.Turn, FirstStart: o.FirstStart}),
+		retries:                ggsretry.NewPolicy(retryOptions(o)),
+		limits:                 limits,
+		registry:               ggsregistry.NewRegistry(),
+		versions:               map[ggscore.ModelAdapter]uint64{},
+		workers:                map[ggscore.EndpointID]*worker{},
+		unansweredOrders:       map[ggscore.EndpointID]*ggsresident.Unanswered{},
+		peers:                  map[ggscore.VMID]*member{},
+		uses:                   map[use]*usage{},
+		loads:                  map[loadKey]*pendingLoad{},
+		entries:                map[ggscore.Key][]ggscore.Entry{},
+		startedAt:              p.Steady().UnixNano(),
+		storeHeartbeatNotified: make(chan struct{}, 1),
 
 		listNotified:      make(chan struct{}, 1),
 		operatorsNotified: make(chan struct{}, 1),
 		membersNotified:   make(chan struct{}, 1),
 	}
 	e.metrics = newMetrics(e)
-	e.epochs = newEpochs(p.Log, p.Now, e.epochChanged)
+	e.epochs = newEpochState(p.Log, p.Now, e.epochChanged)
 	e.Store = &epochStore{epochs: e.epochs, Store: &meteredStore{Store: p.Store, count: func(call string) {
 		e.stats.Store.Add(1)
 		e.metrics.storeCalls.WithLabelValues(call).Inc()
@@ -266,7 +266,7 @@
 }
 
 // relayMember returns this VM as a member for ggsrelay.
-func (o *Options) member() ggsrelay.Member {
+func (o *Options) relayMember() ggsrelay.Member {
 	return ggsrelay.Member{VM: o.VM, Domain: o.Domain, Region: o.Regions[o.Domain], Capacity: o.Capacity}
 }
 
@@ -277,18 +277,18 @@
 
 func retryOptions(o Options) ggsretry.Options {
 	return ggsretry.Options{
-		Seed: o.Seed, Ratio: o.RetryRatio * retryShare, Depth: retryDepth(o, leastVMs),
+		Seed: o.Seed, Ratio: o.RetryRatio * retryShare, Depth: retryDepth(o, minVMs),
 		MaxAttempts: maxSends, Base: retryBase, MaxWait: retryMaxWait,
 	}
 }
 
 // minVMs is the minimum number of VMs to divide the slack by, before others are known. It is
 // the size of a small deployment.
-const leastVMs = 9
+const minVMs = 9
 
 // retryDepth returns this VM's part of the slack, given the number of VMs.
 func retryDepth(o Options, vms int) float64 {
-	return max(float64(o.RetrySlack)*retryShare/float64(max(vms, leastVMs)), 1)
+	return max(float64(o.RetrySlack)*retryShare/float64(max(vms, minVMs)), 1)
 }
 
 // Run follows the store and the peers and sends orders until the context ends.
@@ -300,9 +300,9 @@
 	g.Go(func() error { return e.sendHeartbeats(ctx) })
 	g.Go(func() error { return e.sendSummaries(ctx) })
 	g.Go(func() error {
-		return e.Peers.Run(ctx, ggspeer.Handler{Heartbeat: e.receiveHeartbeat, Summary: e.receiveSummary, Notice: e.noticed})
+		return e.Peers.Run(ctx, ggspeer.Handler{Heartbeat: e.receiveHeartbeat, Summary: e.receiveSummary, Notice: e.receiveNotice})
 	})
-	g.Go(func() error { return e.giveOrders(ctx) })
+	g.Go(func() error { return e.maintainOwnership(ctx) })
 	g.Go(func() error { return e.askSeeds(ctx) })
 	g.Go(func() error { return e.fetchNewer(ctx) })
 	return g.Wait()
@@ -314,12 +314,12 @@
 		return &NotReadyError{Reason: "stopping"}
 	}
 	if e.paths.Load() == nil {
-		return &NotReadyError{Reason: "no configuration yet"}
+		return &NotReadyError{Reason: "no configuration read from the store yet"}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.listed {
-		return &NotReadyError{Reason: "no list of endpoints yet"}
+		return &NotReadyError{Reason: "list of endpoints not read from the store yet"}
 	}
 	return nil
 }
--- a/io/ggsedge/epoch.go
+++ b/io/ggsedge/epoch.go
@@ -14,12 +14,12 @@
 
 // Sources from which a VM learns of a new epoch.
 const (
-	epochByStore = "store"
-	epochByPeer  = "peer"
+	epochFromStore = "store"
+	epochFromPeer  = "peer"
 )
 
 // An epochState tracks the current epoch of the store.
-type epochs struct {
+type epochState struct {
 	log log.Logger
 	now func() time.Time
 	// changed is called after each change, without mu held.
@@ -32,8 +32,8 @@
 	ignored map[ggsepoch.Reason]bool
 	// lastPosition is the position of the last answer. since is when this VM learned of the
 	// current epoch.
-	last  ggscore.StorePosition
-	since time.Time
+	lastPosition ggscore.StorePosition
+	since        time.Time
 }
 
 // An epochChange describes how a VM learned of a new epoch.
@@ -44,38 +44,38 @@
 	by       string
 }
 
-func newEpochs(l log.Logger, now func() time.Time, changed func(epochChange)) *epochs {
-	return &epochs{log: l, now: now, changed: changed, tracker: ggsepoch.NewTracker(), ignored: map[ggsepoch.Reason]bool{}}
+func newEpochState(l log.Logger, now func() time.Time, changed func(epochChange)) *epochState {
+	return &epochState{log: l, now: now, changed: changed, tracker: ggsepoch.NewTracker(), ignored: map[ggsepoch.Reason]bool{}}
 }
 
 // recordChange records that the current epoch has changed. epochState.mu is held.
-func (e *epochs) enter(from ggscore.StoreEpoch, by string) epochChange {
+func (e *epochState) recordChange(from ggscore.StoreEpoch, by string) epochChange {
 	e.since = e.now()
-	return epochChange{from: from, to: e.tracker.Current(), revision: e.last.Revision, by: by}
+	return epochChange{from: from, to: e.tracker.Current(), revision: e.lastPosition.Revision, by: by}
 }
 
 // currentSince returns the current epoch, and when this VM learned of it.
-func (e *epochs) learntAt() (ggscore.StoreEpoch, time.Time) {
+func (e *epochState) currentSince() (ggscore.StoreEpoch, time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.Current(), e.since
 }
 
 // current returns the current epoch.
-func (e *epochs) current() ggscore.StoreEpoch {
+func (e *epochState) current() ggscore.StoreEpoch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.Current()
 }
 
 // observePeer processes the epoch that a peer knows.
-func (e *epochs) learn(to ggscore.StoreEpoch) {
+func (e *epochState) observePeer(to ggscore.StoreEpoch) {
 	e.mu.Lock()
 	from := e.tracker.Current()
 	changed := e.tracker.ObservePeer(to)
 	var c epochChange
 	if changed {
-		c = e.enter(from, epochByPeer)
+		c = e.recordChange(from, epochFromPeer)
 	}
 	e.mu.Unlock()
 	if changed {
@@ -85,16 +85,16 @@
 
 // observeAnswer processes the position that an answer of the store names. sent is the current
 // epoch at the time of the call.
-func (e *epochs) answer(sent ggscore.StoreEpoch, at ggscore.StorePosition, stale bool) ggsepoch.Answer {
+func (e *epochState) observeAnswer(sent ggscore.StoreEpoch, at ggscore.StorePosition, stale bool) ggsepoch.Answer {
 	e.mu.Lock()
 	from := e.tracker.Current()
 	a := e.tracker.Answer(sent, at.Epoch, stale)
 	var c epochChange
 	if a.Changed {
-		c = e.enter(from, epochByStore)
+		c = e.recordChange(from, epochFromStore)
 	}
 	if !a.Late && at.Revision > 0 {
-		e.last = ggscore.StorePosition{Epoch: a.Epoch, Revision: at.Revision}
+		e.lastPosition = ggscore.StorePosition{Epoch: a.Epoch, Revision: at.Revision}
 	}
 	first := a.Ignored != ggsepoch.ReasonNone && !e.ignored[a.Ignored]
 	if first {
@@ -124,30 +124,30 @@
 // resyncTime returns how long this VM took to read the store in the current epoch, or has
 // taken so far. Edge.mu is held.
 func (e *Edge) resyncTime() time.Duration {
-	c, since := e.epochs.learntAt()
+	c, since := e.epochs.currentSince()
 	if since.IsZero() {
 		return 0
 	}
-	if e.resynced != c {
+	if e.resyncedEpoch != c {
 		return e.Now().Sub(since)
 	}
-	return e.resyncTook
+	return e.resyncDuration
 }
 
 // recordResync records the end of the resync, which is when the list, the operators' entries
 // and the VMs' own records were all read in the current epoch. Edge.mu is held.
-func (e *Edge) noteResynced() {
-	c, since := e.epochs.learntAt()
-	k, _ := e.keeper.Epoch()
-	if e.resynced == c || e.listRead.Epoch != c || e.operatorsRead.Epoch != c || k != c {
+func (e *Edge) recordResync() {
+	c, since := e.epochs.currentSince()
+	k, _ := e.ownership.Epoch()
+	if e.resyncedEpoch == c || e.listRead.Epoch != c || e.operatorsRead.Epoch != c || k != c {
 		return
 	}
-	e.resynced, e.resyncTook = c, e.Now().Sub(since)
-	_ = level.Info(e.Log).Log("event", ggslog.EventStoreResynced, "epoch", c, "took", e.resyncTook)
+	e.resyncedEpoch, e.resyncDuration = c, e.Now().Sub(since)
+	_ = level.Info(e.Log).Log("event", ggslog.EventStoreResynced, "epoch", c, "took", e.resyncDuration)
 }
 
 // start returns the first position of the current epoch, zero if no epoch is known.
-func (e *epochs) begun() ggscore.StorePosition {
+func (e *epochState) start() ggscore.StorePosition {
 	if c := e.current(); c > 0 {
 		return ggscore.StorePosition{Epoch: c, Revision: 1}
 	}
--- a/io/ggsedge/epoch_test.go
+++ b/io/ggsedge/epoch_test.go
@@ -43,7 +43,7 @@
 }
 
 // Guards against using answers of another history of the store than the current one.
-func TestAnswersOfAnotherEpochDontCount(t *testing.T) {
+func TestAnswersOfAnotherEpochAreRejected(t *testing.T) {
 	t.Parallel()
 	const epoch = 2
 	read := ggscore.StorePosition{Epoch: epoch, Revision: 5}
@@ -63,32 +63,32 @@
 	fine := func(err error) bool { return err == nil }
 	for name, tc := range map[string]struct {
 		// named is the answer's epoch, learned is one that a peer names before the answer arrives.
-		named, learnt ggscore.StoreEpoch
-		err           error
-		call          func(Store) error
-		want          func(error) bool
-		current       ggscore.StoreEpoch
+		named, learned ggscore.StoreEpoch
+		err            error
+		call           func(Store) error
+		want           func(error) bool
+		current        ggscore.StoreEpoch
 	}{
-		"reading":                     {named: 2, call: snapshot, want: fine, current: 2},
-		"reading of the next":         {named: 3, call: snapshot, want: fine, current: 3},
-		"late reading":                {named: 2, learnt: 3, call: snapshot, want: is(new(*ggscore.LateAnswerError)), current: 3},
-		"reading, epoch absent":       {call: snapshot, want: fine, current: 2},
-		"late reading, epoch absent":  {learnt: 3, call: snapshot, want: is(new(*ggscore.LateAnswerError)), current: 3},
-		"refusal of the next":         {named: 3, err: &ggscore.StoreBusyError{}, call: snapshot, want: is(new(*ggscore.StoreBusyError)), current: 3},
-		"watch":                       {named: 2, call: watch, want: fine, current: 2},
-		"watch answered by the next":  {named: 3, call: watch, want: is(new(*ggscore.HistoryCompactedError)), current: 3},
-		"write":                       {named: 2, call: txn, want: fine, current: 2},
-		"write in the next":           {named: 3, call: txn, want: is(new(*ggscore.EpochChangedError)), current: 3},
-		"write acknowledged late":     {named: 2, learnt: 3, call: txn, want: is(new(*ggscore.LateAnswerError)), current: 3},
-		"condition fails in the next": {named: 3, err: &ggscore.TxnConflictError{}, call: txn, want: is(new(*ggscore.EpochChangedError)), current: 3},
-		"condition fails":             {named: 2, err: &ggscore.TxnConflictError{}, call: txn, want: is(new(*ggscore.TxnConflictError)), current: 2},
+		"snapshot":                          {named: 2, call: snapshot, want: fine, current: 2},
+		"snapshot of the next epoch":        {named: 3, call: snapshot, want: fine, current: 3},
+		"late snapshot":                     {named: 2, learned: 3, call: snapshot, want: is(new(*ggscore.LateAnswerError)), current: 3},
+		"snapshot, epoch absent":            {call: snapshot, want: fine, current: 2},
+		"late snapshot, epoch absent":       {learned: 3, call: snapshot, want: is(new(*ggscore.LateAnswerError)), current: 3},
+		"refusal in the next epoch":         {named: 3, err: &ggscore.StoreBusyError{}, call: snapshot, want: is(new(*ggscore.StoreBusyError)), current: 3},
+		"watch":                             {named: 2, call: watch, want: fine, current: 2},
+		"watch answered in the next epoch":  {named: 3, call: watch, want: is(new(*ggscore.HistoryCompactedError)), current: 3},
+		"write":                             {named: 2, call: txn, want: fine, current: 2},
+		"write in the next epoch":           {named: 3, call: txn, want: is(new(*ggscore.EpochChangedError)), current: 3},
+		"write acknowledged late":           {named: 2, learned: 3, call: txn, want: is(new(*ggscore.LateAnswerError)), current: 3},
+		"condition fails in the next epoch": {named: 3, err: &ggscore.TxnConflictError{}, call: txn, want: is(new(*ggscore.EpochChangedError)), current: 3},
+		"condition fails":                   {named: 2, err: &ggscore.TxnConflictError{}, call: txn, want: is(new(*ggscore.TxnConflictError)), current: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			e := newEpochs(log.NewNopLogger(), func() time.Time { return time.Unix(1_000, 0) }, func(epochChange) {})
-			e.learn(epoch)
-			f := &epochFake{at: ggscore.StorePosition{Epoch: tc.named, Revision: 9}, err: tc.err, then: func() { e.learn(tc.learnt) }}
+			e := newEpochState(log.NewNopLogger(), func() time.Time { return time.Unix(1_000, 0) }, func(epochChange) {})
+			e.observePeer(epoch)
+			f := &epochFake{at: ggscore.StorePosition{Epoch: tc.named, Revision: 9}, err: tc.err, then: func() { e.observePeer(tc.learned) }}
 			err := tc.call(&epochStore{Store: f, epochs: e})
 			c.Check(tc.want(err), qt.IsTrue, qt.Commentf("%v", err))
 			c.Check(e.current(), qt.Equals, tc.current)
@@ -101,9 +101,9 @@
 func TestTransactionOfAnEndedEpochIsNotSent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	e := newEpochs(log.NewNopLogger(), func() time.Time { return time.Unix(1_000, 0) }, func(epochChange) {})
-	e.learn(2)
-	s := &epochStore{Store: &epochFake{then: func() { t.Error("sent") }}, epochs: e}
+	e := newEpochState(log.NewNopLogger(), func() time.Time { return time.Unix(1_000, 0) }, func(epochChange) {})
+	e.observePeer(2)
+	s := &epochStore{Store: &epochFake{then: func() { t.Error("transaction was sent") }}, epochs: e}
 	_, err := s.Txn(context.Background(), ggscore.Txn{Epoch: 1})
 	var changed *ggscore.EpochChangedError
 	c.Assert(errors.As(err, &changed), qt.IsTrue)
--- a/io/ggsedge/epochstore.go
+++ b/io/ggsedge/epochstore.go
@@ -14,7 +14,7 @@
 // another epoch.
 type epochStore struct {
 	Store
-	epochs *epochs
+	epochs *epochState
 }
 
 var _ Store = (*epochStore)(nil)
@@ -23,7 +23,7 @@
 func (s *epochStore) Snapshot(ctx context.Context, prefix ggscore.Key, stale bool) ([]ggscore.Entry, ggscore.StorePosition, error) {
 	sent := s.epochs.current()
 	es, at, err := s.Store.Snapshot(ctx, prefix, stale)
-	at, err = s.place(sent, at, stale, err)
+	at, err = s.checkEpoch(sent, at, stale, err)
 	if err != nil {
 		return nil, at, err
 	}
@@ -36,7 +36,7 @@
 ) ([]ggscore.Entry, ggscore.StorePosition, error) {
 	sent := s.epochs.current()
 	es, at, err := s.Store.Watch(ctx, prefix, after, wait)
-	at, err = s.place(sent, at, false, err)
+	at, err = s.checkEpoch(sent, at, false, err)
 	if err == nil && at.Epoch != after.Epoch {
 		err = &ggscore.HistoryCompactedError{After: after}
 	}
@@ -53,7 +53,7 @@
 		return ggscore.StorePosition{Epoch: sent}, &ggscore.EpochChangedError{From: t.Epoch, To: sent}
 	}
 	at, err := s.Store.Txn(ctx, t)
-	at, err = s.place(sent, at, false, err)
+	at, err = s.checkEpoch(sent, at, false, err)
 	var conflict *ggscore.TxnConflictError
 	if at.Epoch != t.Epoch && (err == nil || errors.As(err, &conflict)) {
 		err = &ggscore.EpochChangedError{From: t.Epoch, To: at.Epoch}
@@ -63,13 +63,13 @@
 
 // checkEpoch returns the position of an answer with its epoch, and an error for an answer that
 // must be discarded. A call that got no answer names no epoch.
-func (s *epochStore) place(
+func (s *epochStore) checkEpoch(
 	sent ggscore.StoreEpoch, at ggscore.StorePosition, stale bool, err error,
 ) (ggscore.StorePosition, error) {
 	if err != nil && at.Epoch == 0 {
 		return ggscore.StorePosition{Epoch: sent}, err
 	}
-	a := s.epochs.answer(sent, at, stale)
+	a := s.epochs.observeAnswer(sent, at, stale)
 	if a.Late && err == nil {
 		err = &ggscore.LateAnswerError{Named: at.Epoch, Current: a.Epoch}
 	}
--- a/io/ggsedge/errors.go
+++ b/io/ggsedge/errors.go
@@ -18,7 +18,7 @@
 
 // Error implements error.
 func (e *NoOrdererError) Error() string {
-	return fmt.Sprintf("no VM gives orders to %s", e.Endpoint)
+	return fmt.Sprintf("no VM owns endpoint %s", e.Endpoint)
 }
 
 // A LoadTimeoutError says that an adapter wasn't loaded before the deadline.
@@ -30,7 +30,7 @@
 
 // Error implements error.
 func (e *LoadTimeoutError) Error() string {
-	return fmt.Sprintf("%s not loaded on %s after %s", e.Target, e.Endpoint, e.Waited)
+	return fmt.Sprintf("load timed out: %s not loaded on %s after %s", e.Target, e.Endpoint, e.Waited)
 }
 
 // A CrowdedError says that too many adapters wait to be loaded on an endpoint.
@@ -38,7 +38,7 @@
 
 // Error implements error.
 func (e *CrowdedError) Error() string {
-	return fmt.Sprintf("too many adapters wait to be loaded on %s", e.Endpoint)
+	return fmt.Sprintf("load queue full: too many adapters wait to be loaded on %s", e.Endpoint)
 }
 
 // An AnswerError says that an endpoint's answer is invalid and can't be forwarded.
@@ -49,20 +49,24 @@
 
 // Error implements error.
 func (e *AnswerError) Error() string {
-	return fmt.Sprintf("answer with status %d: %s", e.Status, e.Reason)
+	return fmt.Sprintf("invalid answer with status %d: %s", e.Status, e.Reason)
 }
 
 // A DeadlineError says that a request's deadline has passed.
 type DeadlineError struct{ Limit time.Duration }
 
 // Error implements error.
-func (e *DeadlineError) Error() string { return fmt.Sprintf("time of %s is over", e.Limit) }
+func (e *DeadlineError) Error() string {
+	return fmt.Sprintf("request deadline exceeded after %s", e.Limit)
+}
 
 // A PartUnknownError says that a VM has not read the entries below a prefix yet.
 type PartUnknownError struct{ Prefix ggscore.Key }
 
 // Error implements error.
-func (e *PartUnknownError) Error() string { return fmt.Sprintf("%s has not been read yet", e.Prefix) }
+func (e *PartUnknownError) Error() string {
+	return fmt.Sprintf("entries below %s not read from the store yet", e.Prefix)
+}
 
 // A PartBehindError says that a relay has not read the entries below a prefix up to a position.
 type PartBehindError struct {
@@ -73,5 +77,5 @@
 
 // Error implements error.
 func (e *PartBehindError) Error() string {
-	return fmt.Sprintf("%s has been read up to %s, not %s", e.Prefix, e.At, e.Want)
+	return fmt.Sprintf("entries below %s too old: read up to %s, want %s", e.Prefix, e.At, e.Want)
 }
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -17,16 +17,16 @@
 
 const (
 	// listPollInterval is the minimum pause between checks of the list's age.
-	listTick = 50 * time.Millisecond
+	listPollInterval = 50 * time.Millisecond
 	// minResyncInterval is the minimum time between resyncs of the list triggered by peers.
 	minResyncInterval = 300 * time.Millisecond
 )
 
 // pause waits for d. It returns false if the context ends first.
-func pause(ctx context.Context, d time.Duration) bool { return pauseOr(ctx, d, nil) }
+func pause(ctx context.Context, d time.Duration) bool { return pauseOrWake(ctx, d, nil) }
 
 // pauseOrWake is pause, ended early by a message on wake.
-func pauseOr(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
+func pauseOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -45,7 +45,7 @@
 	defer e.mu.Unlock()
 	var vms []ggscore.VMID
 	for vm, p := range e.peers {
-		if e.Now().Sub(p.heard) < peerLiveness {
+		if e.Now().Sub(p.lastSeen) < peerTimeout {
 			vms = append(vms, vm)
 		}
 	}
@@ -62,7 +62,7 @@
 		if left <= 0 {
 			return true
 		}
-		if !pauseOr(ctx, max(left, listTick), e.listNotified) {
+		if !pauseOrWake(ctx, max(left, listPollInterval), e.listNotified) {
 			return false
 		}
 		if e.listBehind() {
@@ -85,14 +85,14 @@
 
 // listLimit returns the age of the list at which this VM reads it.
 func (e *Edge) listLimit() time.Duration {
-	heard := e.livePeers()
-	if len(heard) == 0 {
+	live := e.livePeers()
+	if len(live) == 0 {
 		return ggsgossip.AloneReadAge()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.node.UsesRelays() {
-		return ggsgossip.ReadAge(ggsgossip.Rank(e.options.VM, heard), rand.Float64())
+		return ggsgossip.ReadAge(ggsgossip.Rank(e.options.VM, live), rand.Float64())
 	}
 	relays := e.node.AllRelays(e.Now())
 	if !slices.Contains(relays, e.options.VM) {
@@ -130,21 +130,21 @@
 }
 
 // peerTimeout is the age of a peer's last heartbeat from which the peer counts as gone.
-const peerLiveness = time.Second
+const peerTimeout = time.Second
 
 // logDependency logs when a part of the store becomes unreachable or reachable again.
-func (e *Edge) dependency(away *bool, ok bool, what string, err error) {
+func (e *Edge) logDependency(lost *bool, ok bool, what string, err error) {
 	switch {
-	case ok && *away:
+	case ok && *lost:
 		_ = level.Info(e.Log).Log("event", ggslog.EventDependencyRegained, "dependency", "store", "part", what)
-	case !ok && !*away:
+	case !ok && !*lost:
 		_ = level.Warn(e.Log).Log("event", ggslog.EventDependencyLost, "dependency", "store", "part", what, "err", err)
 	}
-	*away = !ok
+	*lost = !ok
 }
 
 // logReadFailed logs the first, second, fourth, eighth and so on of consecutive failed reads.
-func (e *Edge) readFailed(part string, failures int, err error) {
+func (e *Edge) logReadFailed(part string, failures int, err error) {
 	if failures&(failures-1) == 0 {
 		_ = level.Warn(e.Log).Log("event", ggslog.EventReadFailed, "part", part, "failures", failures, "err", err)
 	}
@@ -152,14 +152,14 @@
 
 // followInstances reads the list of endpoints whenever it is due.
 func (e *Edge) followInstances(ctx context.Context) error {
-	away, failures := false, 0
+	lost, failures := false, 0
 	var read ggscore.StorePosition
 	for ctx.Err() == nil {
 		r, err := e.readList(ctx)
-		e.dependency(&away, err == nil, "instances", err)
+		e.logDependency(&lost, err == nil, "instances", err)
 		if err != nil {
 			failures++
-			e.readFailed("instances", failures, err)
+			e.logReadFailed("instances", failures, err)
 			if !e.pauseFailed(ctx, failures) {
 				return nil
 			}
@@ -183,11 +183,11 @@
 // of this VM's failure domain if possible.
 func (e *Edge) readList(ctx context.Context) (partReading, error) {
 	e.mu.Lock()
-	announced := e.listAnnounced.Max(e.epochs.begun())
+	announced := e.listAnnounced.Max(e.epochs.start())
 	behind := !e.listRead.IsZero() && e.listRead.Before(announced)
 	e.mu.Unlock()
-	if behind && e.follows() {
-		if r, err := e.fromRelay(ctx, e.options.Keys.Instances, announced); err == nil {
+	if behind && e.isFollower() {
+		if r, err := e.readFromRelay(ctx, e.options.Keys.Instances, announced); err == nil {
 			return r, nil
 		}
 	}
@@ -215,10 +215,10 @@
 		list = e.registry.Read(e.Now(), at, readable)
 	}
 	change := e.table.SetInstances(list)
-	e.keeper.SetListed(e.Now(), list)
+	e.ownership.SetListed(e.Now(), list)
 	if !at.IsZero() {
 		e.listRead = e.listRead.Max(at)
-		e.noteResynced()
+		e.recordResync()
 		e.listReadTime = r.read
 		if r.read.After(e.listObserved) {
 			e.listObserved = r.read
@@ -228,7 +228,7 @@
 	// therefore announces the position of its own reading. VMs that have read as far find no
 	// change and announce nothing new.
 	if change.Any && !at.IsZero() {
-		e.listedAt = e.listRead
+		e.listChangedAt = e.listRead
 	}
 	e.listed = true
 	e.entries[e.options.Keys.Instances] = es
--- a/io/ggsedge/handler.go
+++ b/io/ggsedge/handler.go
@@ -21,16 +21,16 @@
 // Retry-After values of the edge's own answers.
 const (
 	// startRetryAfter is sent while the edge has no configuration. A start takes about a second.
-	startWait = 500 * time.Millisecond
+	startRetryAfter = 500 * time.Millisecond
 	// unavailableRetryAfter is sent while the store is unreachable and the edge has no
 	// configuration. Outages of the store last seconds, and with a shorter value callers used
 	// up their retries before the end of the outage.
-	awayWait = 2 * time.Second
+	unavailableRetryAfter = 2 * time.Second
 	// fullRetryAfter is sent when this VM is at its limit of requests. Other VMs may have
 	// capacity.
-	fullWait = 300 * time.Millisecond
+	fullRetryAfter = 300 * time.Millisecond
 	// minRetryAfter prevents immediate retries.
-	minWait = 50 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
 )
 
 // Defaults for the limits of the configuration, in bytes.
@@ -51,8 +51,8 @@
 	body    []byte
 	arrived time.Time
 	// deadline is arrived plus timeout.
-	until time.Time
-	limit time.Duration
+	deadline time.Time
+	timeout  time.Duration
 	// version is the adapter version that has to answer, zero for any.
 	version uint64
 	tried   []ggscore.EndpointID
@@ -63,23 +63,23 @@
 	// counted says that the request was added to the retry budget.
 	counted bool
 	// retryGranted says that the next send was already granted by the retry budget, or needs none.
-	granted bool
+	retryGranted bool
 	// fallback is an endpoint's failure to forward if no other endpoint gives a better answer.
-	kept *keptAnswer
+	fallback *keptFailure
 	// turn is the request's turn at the last endpoint, and sentAt is when it was sent there.
 	turn   ggscore.PromptTurn
 	sentAt time.Time
 	// turnWait is how long the request waited for its turn.
 	turnWait time.Duration
 	// lastPieceAt is when the last piece of the answer arrived.
-	pieceAt time.Time
+	lastPieceAt time.Time
 	// maxGap is the longest gap between two pieces of the answer.
-	gap time.Duration
+	maxGap time.Duration
 	// degraded says that other requests' prompts caused a gap longer than callers of the route
 	// accept, or that the first piece was late because of the turn.
-	hurt bool
+	degraded bool
 	// firstPieceAfter is the time from the request's arrival to the answer's first piece.
-	first time.Duration
+	firstPieceAfter time.Duration
 	// committed says that the answer's head has been sent to the caller.
 	committed bool
 }
@@ -96,14 +96,14 @@
 	// A burst beyond the process's limits of memory and file descriptors would end the process,
 	// and with it all requests in flight.
 	if e.stats.Active.Load() > e.options.MaxActive {
-		e.refuse(j, fullWait, "too many requests are under way here")
+		e.refuse(j, fullRetryAfter, "too many requests in flight at this VM")
 		return
 	}
 	if !e.admit(j) {
 		return
 	}
 	defer e.stats.Bodies.Add(-int64(len(j.body)))
-	ctx, cancel := context.WithDeadlineCause(r.Context(), j.until, &DeadlineError{Limit: j.limit})
+	ctx, cancel := context.WithDeadlineCause(r.Context(), j.deadline, &DeadlineError{Limit: j.timeout})
 	defer cancel()
 	e.run(ctx, j)
 }
@@ -113,11 +113,11 @@
 func (e *Edge) admit(j *job) bool {
 	t := e.paths.Load()
 	if t == nil {
-		wait := startWait
-		if e.storeAway.Load() {
-			wait = awayWait
+		wait := startRetryAfter
+		if e.storeUnavailable.Load() {
+			wait = unavailableRetryAfter
 		}
-		e.refuse(j, wait, "no configuration yet")
+		e.refuse(j, wait, "no configuration read from the store yet")
 		return false
 	}
 	j.uri = j.r.RequestURI
@@ -131,27 +131,27 @@
 		e.reject(j, http.StatusNotFound, "no route matches")
 		return false
 	}
-	if headBytes(j.r.Header) > cmp.Or(t.Config.Limits.MaxHeaderBytes, defaultHeaderBytes) {
-		e.reject(j, http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
+	if headerBytes(j.r.Header) > cmp.Or(t.Config.Limits.MaxHeaderBytes, defaultHeaderBytes) {
+		e.reject(j, http.StatusRequestHeaderFieldsTooLarge, "request header too long")
 		return false
 	}
 	j.meta = e.Dialect.Request(j.r.Header)
 	if j.meta.ID == "" {
-		e.reject(j, http.StatusBadRequest, "the request has no identity")
+		e.reject(j, http.StatusBadRequest, "request ID missing")
 		return false
 	}
 	j.service = ggspath.Pick(j.route, rand.Float64())
 	j.spec = t.Config.Services[j.service]
-	j.limit = j.route.Timeout
-	if d := j.meta.Deadline; d > 0 && d < j.limit {
-		j.limit = d
+	j.timeout = j.route.Timeout
+	if d := j.meta.Deadline; d > 0 && d < j.timeout {
+		j.timeout = d
 	}
-	j.until = j.arrived.Add(j.limit)
-	return e.read(j, cmp.Or(t.Config.Limits.MaxBodyBytes, defaultBodyBytes))
+	j.deadline = j.arrived.Add(j.timeout)
+	return e.readBody(j, cmp.Or(t.Config.Limits.MaxBodyBytes, defaultBodyBytes))
 }
 
 // headerBytes returns the approximate size of a request's headers as they were sent.
-func headBytes(h http.Header) int {
+func headerBytes(h http.Header) int {
 	n := 0
 	for k, vs := range h {
 		for _, v := range vs {
@@ -164,9 +164,9 @@
 // readBody reads the request's whole body before the request is sent to an endpoint. A slow
 // caller then occupies no slot of an endpoint, and the request can be sent to another endpoint
 // again.
-func (e *Edge) read(j *job, limit int64) bool {
+func (e *Edge) readBody(j *job, limit int64) bool {
 	if j.r.ContentLength > limit {
-		e.reject(j, http.StatusRequestEntityTooLarge, "the body is too long")
+		e.reject(j, http.StatusRequestEntityTooLarge, "request body too long")
 		return false
 	}
 	if j.r.ContentLength == 0 {
@@ -178,50 +178,50 @@
 		if e.stats.Bodies.Add(int64(len(b))) > e.options.MaxBodies {
 			e.stats.Bodies.Add(-int64(len(b)))
 			j.body = nil
-			e.refuse(j, fullWait, "the bodies of requests under way take all memory here")
+			e.refuse(j, fullRetryAfter, "request bodies in flight exceed the memory limit of this VM")
 			return false
 		}
 		return true
 	}
 	var long *http.MaxBytesError
 	if errors.As(err, &long) {
-		e.reject(j, http.StatusRequestEntityTooLarge, "the body is too long")
+		e.reject(j, http.StatusRequestEntityTooLarge, "request body too long")
 		return false
 	}
-	e.reject(j, http.StatusBadRequest, "the body can't be read")
+	e.reject(j, http.StatusBadRequest, "reading the request body failed")
 	return false
 }
 
 // refuse answers that the request has not run, with a Retry-After value.
-func (e *Edge) refuse(j *job, wait time.Duration, why string) {
+func (e *Edge) refuse(j *job, wait time.Duration, reason string) {
 	e.stats.Refused.Add(1)
-	wait = max(wait, minWait)
+	wait = max(wait, minRetryAfter)
 	j.w.Header().Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
-	e.answer(j, http.StatusServiceUnavailable, why)
+	e.respond(j, http.StatusServiceUnavailable, reason)
 }
 
 // reject answers that the request is invalid.
-func (e *Edge) reject(j *job, status int, why string) {
-	e.answer(j, status, why)
+func (e *Edge) reject(j *job, status int, reason string) {
+	e.respond(j, status, reason)
 }
 
 // fail answers that the request may have run.
-func (e *Edge) fail(j *job, status int, why string) {
+func (e *Edge) fail(j *job, status int, reason string) {
 	e.stats.Failed.Add(1)
-	e.answer(j, status, why)
+	e.respond(j, status, reason)
 }
 
 // respond writes an answer of the edge's own.
-func (e *Edge) answer(j *job, status int, why string) {
-	_ = level.Info(e.Log).Log("event", ggslog.EventRequestEnded, "request", j.meta.ID, "status", status, "why", why,
+func (e *Edge) respond(j *job, status int, reason string) {
+	_ = level.Info(e.Log).Log("event", ggslog.EventRequestEnded, "request", j.meta.ID, "status", status, "why", reason,
 		"sends", j.sends, "runs", j.runs, "took", e.since(j.arrived))
 	h := j.w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	h.Set("Content-Length", strconv.Itoa(len(why)+1))
+	h.Set("Content-Length", strconv.Itoa(len(reason)+1))
 	if j.meta.ID != "" {
 		h.Set(e.options.IDHeader, string(j.meta.ID))
 	}
 	j.w.WriteHeader(status)
 	// A write error means that the caller has left; nothing remains to be done.
-	_, _ = io.WriteString(j.w, why+"\n")
+	_, _ = io.WriteString(j.w, reason+"\n")
 }
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -17,12 +17,12 @@
 	// heartbeatInterval is the time between heartbeats that go to each VM directly.
 	heartbeatInterval = 150 * time.Millisecond
 	// fullHoldingsInterval is the time after which all holdings are sent, changed or not.
-	wholeInterval = 900 * time.Millisecond
+	fullHoldingsInterval = 900 * time.Millisecond
 	// heartbeatDelay is the assumed delay of a heartbeat: a trip between regions and a relay.
 	heartbeatDelay = 20 * time.Millisecond
 	// summaryMaxAge is the age of the last summary up to which the counts of directly received
 	// heartbeats are ignored, since the summaries of relays include them.
-	summaryAge = time.Second
+	summaryMaxAge = time.Second
 	// fleet stands for all VMs together in summaries that say who uses an adapter.
 	fleet ggscore.VMID = ""
 )
@@ -31,16 +31,16 @@
 func (e *Edge) sendHeartbeats(ctx context.Context) error {
 	for pause(ctx, e.heartbeatInterval()) {
 		h := e.heartbeat()
-		if !e.large() {
-			e.spread(h, ggscore.RelayRegions)
+		if !e.usesRelays() {
+			e.broadcast(h, ggscore.RelayRegions)
 			continue
 		}
 		e.mu.Lock()
-		carrier, vms := e.node.Report(e.Now(), h)
+		countingRelay, vms := e.node.Report(e.Now(), h)
 		to := e.addrs(vms)
 		e.mu.Unlock()
-		h.CountingRelay = carrier
-		e.sent(e.Peers.Send(h, to))
+		h.CountingRelay = countingRelay
+		e.logUnsent(e.Peers.Send(h, to))
 	}
 	return nil
 }
@@ -48,13 +48,13 @@
 // sendSummaries sends summaries while this VM is a relay.
 func (e *Edge) sendSummaries(ctx context.Context) error {
 	for pause(ctx, e.summaryInterval()) {
-		if !e.large() {
+		if !e.usesRelays() {
 			continue
 		}
 		e.mu.Lock()
-		ms, v, ok := e.node.Tick(e.Now(), e.controllerDomain)
+		ms, v, ok := e.node.Tick(e.Now(), e.ownerDomain)
 		if ok {
-			e.adoptView(v)
+			e.applyView(v)
 		}
 		to := make([][]netip.AddrPort, 0, len(ms))
 		for _, m := range ms {
@@ -62,7 +62,7 @@
 		}
 		e.mu.Unlock()
 		for i, m := range ms {
-			e.sent(e.Peers.SendSummary(m.Summary, to[i]))
+			e.logUnsent(e.Peers.SendSummary(m.Summary, to[i]))
 		}
 	}
 	return nil
@@ -82,21 +82,21 @@
 }
 
 // logUnsent logs a datagram that wasn't sent. The next datagram replaces it.
-func (e *Edge) sent(err error) {
+func (e *Edge) logUnsent(err error) {
 	if err != nil {
 		_ = level.Debug(e.Log).Log("event", ggslog.EventBeatUnsent, "err", err)
 	}
 }
 
 func (e *Edge) heartbeatInterval() time.Duration {
-	if e.large() {
+	if e.usesRelays() {
 		return ggsrelay.ReportInterval
 	}
 	return heartbeatInterval
 }
 
 // usesRelays reports whether heartbeats go through relays.
-func (e *Edge) large() bool {
+func (e *Edge) usesRelays() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.node.UsesRelays()
@@ -107,7 +107,7 @@
 	as := make([]netip.AddrPort, 0, len(vms))
 	for _, vm := range vms {
 		if p := e.peers[vm]; p != nil {
-			as = append(as, p.beats)
+			as = append(as, p.datagramAddr)
 		}
 	}
 	return as
@@ -115,8 +115,8 @@
 
 // ownerDomain returns the failure domain of an endpoint's owner, empty for none. Edge.mu is
 // held.
-func (e *Edge) controllerDomain(id ggscore.EndpointID) ggscore.Domain {
-	vm := e.keeper.Owner(id)
+func (e *Edge) ownerDomain(id ggscore.EndpointID) ggscore.Domain {
+	vm := e.ownership.Owner(id)
 	if vm == e.options.VM {
 		return e.options.Domain
 	}
@@ -127,20 +127,20 @@
 }
 
 // broadcast sends a heartbeat to each VM within reach.
-func (e *Edge) spread(h ggscore.Heartbeat, reach ggscore.Relay) {
+func (e *Edge) broadcast(h ggscore.Heartbeat, reach ggscore.Relay) {
 	for relay, addrs := range e.routes(reach, h.Sequence) {
 		h.Relay = relay
-		e.sent(e.Peers.Send(h, addrs))
+		e.logUnsent(e.Peers.Send(h, addrs))
 	}
 }
 
 // gossipSelf returns this VM as a member for ggsgossip.
-func (e *Edge) self() ggsgossip.Member {
+func (e *Edge) gossipSelf() ggsgossip.Member {
 	return ggsgossip.Member{VM: e.options.VM, Domain: e.options.Domain, Region: e.options.Regions[e.options.Domain]}
 }
 
 // gossipMembers returns the peers as members for ggsgossip. Edge.mu is held.
-func (e *Edge) members() []ggsgossip.Member {
+func (e *Edge) gossipMembers() []ggsgossip.Member {
 	ms := make([]ggsgossip.Member, 0, len(e.peers))
 	for vm, p := range e.peers {
 		ms = append(ms, ggsgossip.Member{VM: vm, Domain: p.domain, Region: p.region})
@@ -155,9 +155,9 @@
 	now := e.Now()
 	e.sequence++
 	e.setLoadable()
-	e.turns.SetDecides(e.firstHeard() == e.options.VM)
+	e.turns.SetDecides(e.firstLiveVM() == e.options.VM)
 	h := ggscore.Heartbeat{
-		VM: e.options.VM, Sequence: e.sequence, Started: e.startedAt, Progress: e.news(now),
+		VM: e.options.VM, Sequence: e.sequence, Started: e.startedAt, Progress: e.progress(now),
 		InFlight: e.table.ReportInFlight(), Holdings: e.holdings(now), Uses: e.ownUses(now),
 	}
 	h.Samples, h.Tallies = e.turns.DrainUnreported()
@@ -169,10 +169,10 @@
 }
 
 // progress returns how far this VM has read the store. Edge.mu is held.
-func (e *Edge) news(now time.Time) ggscore.StoreProgress {
+func (e *Edge) progress(now time.Time) ggscore.StoreProgress {
 	return ggscore.StoreProgress{
 		Epoch:    e.epochs.current(),
-		ListedAt: e.listedAt, OperatedAt: e.operatedAt,
+		ListedAt: e.listChangedAt, OperatedAt: e.operatorsChangedAt,
 		ListAge: min(now.Sub(e.listReadTime), time.Hour), OperatorsAge: min(now.Sub(e.operatorsReadTime), time.Hour),
 		Config: e.configVersion(), Versions: e.versionSum,
 	}
@@ -181,9 +181,9 @@
 // holdings returns what this VM's endpoints hold. Unchanged holdings are included only every
 // fullHoldingsInterval. Edge.mu is held.
 func (e *Edge) holdings(now time.Time) []ggscore.Holding {
-	whole := now.Sub(e.lastWhole) >= wholeInterval
-	if whole {
-		e.lastWhole = now
+	full := now.Sub(e.lastFullHoldings) >= fullHoldingsInterval
+	if full {
+		e.lastFullHoldings = now
 	}
 	var hs []ggscore.Holding
 	for id, w := range e.workers {
@@ -192,8 +192,8 @@
 		}
 		h := ggscore.Holding{Endpoint: id, Waiting: w.ledger.Waiting(), Room: w.ledger.FreeCapacity(now)}
 		e.table.SetLoadCapacity(id, h.Waiting, h.Room)
-		if w.untold || whole {
-			w.untold = false
+		if w.unreported || full {
+			w.unreported = false
 			h.Held, h.Whole = w.ledger.Resident(), true
 		}
 		hs = append(hs, h)
@@ -219,7 +219,7 @@
 // receiveHeartbeat processes a peer's heartbeat.
 func (e *Edge) receiveHeartbeat(from netip.AddrPort, h ggscore.Heartbeat) {
 	if h.Relay > ggscore.RelayNone {
-		e.spread(h, h.Relay)
+		e.broadcast(h, h.Relay)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -230,26 +230,26 @@
 		return
 	}
 	now := e.Now()
-	h.Holdings = e.controlled(h.VM, h.Holdings)
+	h.Holdings = e.ownedHoldings(h.VM, h.Holdings)
 	if e.node.UsesRelays() {
-		if from != p.beats {
+		if from != p.datagramAddr {
 			e.metrics.reject(rejectedAddress)
 			return
 		}
 		e.node.Heartbeat(now, h)
 	}
-	p.started, p.sequence, p.heard = h.Started, h.Sequence, now
-	if e.node.UsesRelays() && now.Sub(e.summarized) < summaryAge {
+	p.started, p.sequence, p.lastSeen = h.Started, h.Sequence, now
+	if e.node.UsesRelays() && now.Sub(e.lastSummary) < summaryMaxAge {
 		return
 	}
-	e.adoptNews(now, h.VM, h.Progress)
+	e.applyProgress(now, h.VM, h.Progress)
 	e.table.SetPeerInFlight(now, h.VM, h.InFlight)
-	e.adoptHoldings(now, h.Holdings)
-	e.adoptTurns(now, h.VM, h.Samples, h.Tallies, h.Modes)
-	e.adoptSignals(now, h.Limits, h.Departures)
+	e.applyHoldings(now, h.Holdings)
+	e.applyTurns(now, h.VM, h.Samples, h.Tallies, h.Modes)
+	e.applySignals(now, h.Limits, h.Departures)
 	for _, u := range h.Uses {
 		e.table.RecordRequests(now, u.Target, u.Count)
-		e.used(now, h.VM, u)
+		e.applyUse(now, h.VM, u)
 	}
 }
 
@@ -257,45 +257,45 @@
 func (e *Edge) receiveSummary(from netip.AddrPort, s ggscore.Summary) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if p := e.peers[s.From]; p == nil || p.beats != from {
+	if p := e.peers[s.From]; p == nil || p.datagramAddr != from {
 		e.metrics.reject(rejectedAddress)
 		return
 	}
 	if v, ok := e.node.Summary(e.Now(), s); ok {
-		e.adoptView(v)
+		e.applyView(v)
 	}
 }
 
 // applyView applies the sum over all VMs. Edge.mu is held.
-func (e *Edge) adoptView(v ggsrelay.View) {
+func (e *Edge) applyView(v ggsrelay.View) {
 	now := e.Now()
-	e.summarized = now
+	e.lastSummary = now
 	for _, vm := range v.VMs {
 		if p := e.peers[vm]; p != nil {
-			p.heard = now
+			p.lastSeen = now
 		}
 	}
-	e.adoptNews(now, fleet, v.Progress)
+	e.applyProgress(now, fleet, v.Progress)
 	if v.CountsValid {
 		e.table.SetPeersInFlight(now, v.InFlight)
 	}
-	e.adoptHoldings(now, v.Holdings)
-	e.adoptTurns(now, v.Decider, v.Samples, v.Tallies, v.Modes)
-	e.adoptSignals(now, v.Limits, v.Departures)
+	e.applyHoldings(now, v.Holdings)
+	e.applyTurns(now, v.Decider, v.Samples, v.Tallies, v.Modes)
+	e.applySignals(now, v.Limits, v.Departures)
 	for _, d := range v.Demand {
 		e.table.RecordRequests(now, d.Target, d.Count)
 	}
 	for _, u := range v.Uses {
-		e.used(now, fleet, u)
+		e.applyUse(now, fleet, u)
 	}
 }
 
 // ownedHoldings returns the holdings of endpoints that the VM owns, and drops its reports on
 // other endpoints. Edge.mu is held.
-func (e *Edge) controlled(vm ggscore.VMID, hs []ggscore.Holding) []ggscore.Holding {
+func (e *Edge) ownedHoldings(vm ggscore.VMID, hs []ggscore.Holding) []ggscore.Holding {
 	var own []ggscore.Holding
 	for _, h := range hs {
-		if e.keeper.Owner(h.Endpoint) == vm {
+		if e.ownership.Owner(h.Endpoint) == vm {
 			own = append(own, h)
 		}
 	}
@@ -303,9 +303,9 @@
 }
 
 // applyProgress records how far a VM, or the fleet, has read the store. Edge.mu is held.
-func (e *Edge) adoptNews(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
-	e.epochs.learn(n.Epoch)
-	e.noteNewer(now, vm, n)
+func (e *Edge) applyProgress(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
+	e.epochs.observePeer(n.Epoch)
+	e.recordNewer(now, vm, n)
 	// A reading of an epoch that has ended says nothing about the age of the current data.
 	if n.Epoch == e.epochs.current() {
 		if at := now.Add(-n.ListAge - heartbeatDelay); at.After(e.listObserved) {
@@ -326,7 +326,7 @@
 }
 
 // applyHoldings records what endpoints of other VMs hold. Edge.mu is held.
-func (e *Edge) adoptHoldings(now time.Time, hs []ggscore.Holding) {
+func (e *Edge) applyHoldings(now time.Time, hs []ggscore.Holding) {
 	for _, h := range hs {
 		if e.workers[h.Endpoint] != nil {
 			continue
@@ -340,7 +340,7 @@
 
 // applyTurns applies peers' measurements of prompt processing, and the turn modes of the VM
 // that decides on them. Edge.mu is held.
-func (e *Edge) adoptTurns(
+func (e *Edge) applyTurns(
 	now time.Time, vm ggscore.VMID, xs []ggscore.TurnSample, ys []ggscore.TurnTally, ms []ggscore.TurnMode,
 ) {
 	for _, x := range xs {
@@ -349,7 +349,7 @@
 	for _, y := range ys {
 		e.turns.AddTally(now, y)
 	}
-	if vm != e.firstHeard() || vm == e.options.VM {
+	if vm != e.firstLiveVM() || vm == e.options.VM {
 		return
 	}
 	for _, m := range ms {
@@ -358,7 +358,7 @@
 }
 
 // applyUse records whether a VM's requests use an adapter. Edge.mu is held.
-func (e *Edge) used(now time.Time, vm ggscore.VMID, u ggscore.Use) {
+func (e *Edge) applyUse(now time.Time, vm ggscore.VMID, u ggscore.Use) {
 	w := e.workers[u.Endpoint]
 	if w == nil {
 		return
@@ -369,10 +369,10 @@
 
 // firstLiveVM returns the live VM with the lowest ID, this one included. That VM decides on
 // the turn modes. Edge.mu is held.
-func (e *Edge) firstHeard() ggscore.VMID {
+func (e *Edge) firstLiveVM() ggscore.VMID {
 	first, now := e.options.VM, e.Now()
 	for vm, p := range e.peers {
-		if vm < first && now.Sub(p.heard) < peerLiveness {
+		if vm < first && now.Sub(p.lastSeen) < peerTimeout {
 			first = vm
 		}
 	}
--- a/io/ggsedge/heartbeats_bench_test.go
+++ b/io/ggsedge/heartbeats_bench_test.go
@@ -22,10 +22,10 @@
 	e := listEdge()
 	e.Now = time.Now //nolint:forbidigo // the benchmark's clock
 	e.options.Domain = "d0"
-	e.node = ggsrelay.NewNode(ggsrelay.Options{Self: e.options.member()})
+	e.node = ggsrelay.NewNode(ggsrelay.Options{Self: e.options.relayMember()})
 	for i := range benchVMs - 1 {
 		e.peers[ggscore.VMID(fmt.Sprintf("front-%03d", i))] = &member{
-			beats: netip.MustParseAddrPort("127.0.0.1:9"), domain: ggscore.Domain(fmt.Sprintf("d%d", i%6)), capacity: 4, heard: e.Now(),
+			datagramAddr: netip.MustParseAddrPort("127.0.0.1:9"), domain: ggscore.Domain(fmt.Sprintf("d%d", i%6)), capacity: 4, lastSeen: e.Now(),
 		}
 	}
 	e.node.SetMembers(e.relayMembers())
@@ -70,7 +70,7 @@
 		},
 		"view": func(e *Edge) func() {
 			v := benchView(e)
-			return func() { e.adoptView(v) }
+			return func() { e.applyView(v) }
 		},
 		"choose": func(e *Edge) func() {
 			q := ggsplace.Query{Service: "s", Engine: &ggscore.EngineSpec{AdapterSlots: 11}, Target: ggscore.ModelAdapter{Model: "m", Adapter: "a703"}}
@@ -91,7 +91,7 @@
 			return func() { e.table.SetInstances(l) }
 		},
 		"claims": func(e *Edge) func() {
-			return func() { e.claimAll(b.Context()) }
+			return func() { e.writeClaims(b.Context()) }
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
--- a/io/ggsedge/list_test.go
+++ b/io/ggsedge/list_test.go
@@ -43,7 +43,7 @@
 // Guards against a change that is found during a resync and not announced. The VM announced
 // only the change that triggered the resync, with the list's fresh age. No other VM read the
 // list for over a second, and a runner got requests 2.6 s after it had announced its departure.
-func TestSecondChangeIsTold(t *testing.T) {
+func TestSecondChangeIsAnnounced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	e := listEdge()
@@ -51,25 +51,25 @@
 	e.setInstances(ctx, partReading{entries: entries("ready", "ready"), at: position(490), read: e.Now()})
 	e.listAnnounced = position(500)
 	e.setInstances(ctx, partReading{entries: entries("leaving", "leaving"), at: position(510), read: e.Now()})
-	c.Assert(e.listedAt.Before(position(510)), qt.IsFalse, qt.Commentf("told %s", e.listedAt))
+	c.Assert(e.listChangedAt.Before(position(510)), qt.IsFalse, qt.Commentf("announced %s", e.listChangedAt))
 
 	// Without a change, no new position is announced. Otherwise two VMs would make each other
 	// read the list forever.
-	at := e.listedAt
+	at := e.listChangedAt
 	e.setInstances(ctx, partReading{entries: entries("leaving", "leaving"), at: position(520), read: e.Now()})
-	c.Assert(e.listedAt, qt.Equals, at)
+	c.Assert(e.listChangedAt, qt.Equals, at)
 }
 
 // Guards against one read of the list per change. Runners that start one after the other each
 // change the list, and 65 VMs read it 266 times a second.
-func TestChangesInARowAreReadTogether(t *testing.T) {
+func TestConsecutiveChangesAreReadTogether(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		read        time.Duration
 		least, most time.Duration
 	}{
-		"read just now":         {0, minResyncInterval - 50*time.Millisecond, minResyncInterval + 300*time.Millisecond},
-		"read some time before": {minResyncInterval, 0, 200 * time.Millisecond},
+		"read just now":                    {0, minResyncInterval - 50*time.Millisecond, minResyncInterval + 300*time.Millisecond},
+		"read one minimum interval before": {minResyncInterval, 0, 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/io/ggsedge/load_test.go
+++ b/io/ggsedge/load_test.go
@@ -29,9 +29,9 @@
 }
 
 // A loadedOwner answers like a peer that holds each adapter already.
-type orderer struct{}
+type loadedOwner struct{}
 
-func (orderer) Ensure(_ *EnsureArgs, r *EnsureReply) error {
+func (loadedOwner) Ensure(_ *EnsureArgs, r *EnsureReply) error {
 	r.Version = 3
 	return nil
 }
@@ -45,17 +45,17 @@
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	s := ggsrpc.NewServer()
-	c.Assert(s.Register("Placement", orderer{}), qt.IsNil)
+	c.Assert(s.Register("Placement", loadedOwner{}), qt.IsNil)
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ctx, &muteFirst{Listener: l}) }()
 
 	e := listEdge()
 	e.Calls = ggsrpc.NewPool(ggsrpc.PoolOptions{})
-	e.keeper.Observe(e.Now(), position(1), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: "r", Owner: "peer", Revision: 1}}})
-	e.peers["peer"] = &member{calls: netip.MustParseAddrPort(l.Addr().String())}
+	e.ownership.Observe(e.Now(), position(1), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: "r", Owner: "peer", Revision: 1}}})
+	e.peers["peer"] = &member{controlAddr: netip.MustParseAddrPort(l.Addr().String())}
 	loadOnce := func() error {
-		g := &loading{done: make(chan struct{})}
-		e.load(ctx, load{endpoint: "r", target: ggscore.ModelAdapter{Model: "m", Adapter: "a"}}, g)
+		g := &pendingLoad{done: make(chan struct{})}
+		e.load(ctx, loadKey{endpoint: "r", target: ggscore.ModelAdapter{Model: "m", Adapter: "a"}}, g)
 		<-g.done
 		return g.err
 	}
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -19,16 +19,16 @@
 
 // Key parts of the VMs' own records below the prefix.
 const (
-	memberPart  = "vm"
-	ordererPart = "orderer"
-	epochPart   = "epoch"
+	memberPart = "vm"
+	ownerPart  = "orderer"
+	epochPart  = "epoch"
 )
 
 // A memberRecord is a VM's store heartbeat.
 type memberRecord struct {
-	Domain  string `json:"domain"`
-	Beats   string `json:"beats"`
-	Control string `json:"control"`
+	Domain       string `json:"domain"`
+	DatagramAddr string `json:"beats"`
+	ControlAddr  string `json:"control"`
 	// Capacity compares VMs by processor and network link.
 	Capacity uint64 `json:"capacity,omitempty"`
 	// Count makes each store heartbeat a change.
@@ -39,12 +39,12 @@
 
 // A shapeRecord is the JSON form of a ggscore.TurnShape. The fields' tags name the units.
 type shapeRecord struct {
-	Service  string  `json:"service"`
-	PerToken int64   `json:"perTokenNanoseconds"`
-	Start    int64   `json:"startMicroseconds"`
-	Quiet    int64   `json:"quietMicroseconds"`
-	Waits    bool    `json:"waits"`
-	Without  float64 `json:"without"`
+	Service        string  `json:"service"`
+	PerToken       int64   `json:"perTokenNanoseconds"`
+	Start          int64   `json:"startMicroseconds"`
+	Quiet          int64   `json:"quietMicroseconds"`
+	Waits          bool    `json:"waits"`
+	DegradedBefore float64 `json:"without"`
 }
 
 func shapeRecords(hs []ggscore.TurnShape) []shapeRecord {
@@ -52,7 +52,7 @@
 	for _, h := range hs {
 		rs = append(rs, shapeRecord{
 			Service: string(h.Service), PerToken: h.PerToken.Nanoseconds(), Start: h.Start.Microseconds(),
-			Quiet: h.Quiet.Microseconds(), Waits: h.Mode.Waits, Without: h.Mode.DegradedBefore,
+			Quiet: h.Quiet.Microseconds(), Waits: h.Mode.Waits, DegradedBefore: h.Mode.DegradedBefore,
 		})
 	}
 	return rs
@@ -62,12 +62,12 @@
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return ggscore.TurnShape{
 		Service: ggscore.Service(r.Service), PerToken: time.Duration(r.PerToken), Start: us(r.Start),
-		Quiet: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Waits: r.Waits, DegradedBefore: r.Without},
+		Quiet: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Waits: r.Waits, DegradedBefore: r.DegradedBefore},
 	}
 }
 
 // An ownerRecord names the VM that owns an endpoint and sends it orders.
-type ordererRecord struct {
+type ownerRecord struct {
 	Owner    string `json:"owner"`
 	Released bool   `json:"released"`
 	// Epoch is the store epoch in which the record was written. A record restored from a copy of
@@ -83,23 +83,23 @@
 // member returns the peer that a record describes. A record without valid addresses is from
 // another version of the program, and its VM isn't called.
 func (w *memberRecord) member() (*member, bool) {
-	b, err := netip.ParseAddrPort(w.Beats)
+	b, err := netip.ParseAddrPort(w.DatagramAddr)
 	if err != nil {
 		return nil, false
 	}
-	c, err := netip.ParseAddrPort(w.Control)
+	c, err := netip.ParseAddrPort(w.ControlAddr)
 	if err != nil {
 		return nil, false
 	}
-	return &member{beats: b, calls: c, capacity: w.Capacity}, true
+	return &member{datagramAddr: b, controlAddr: c, capacity: w.Capacity}, true
 }
 
 func (e *Edge) memberKey(vm ggscore.VMID) ggscore.Key {
 	return ggscore.KeyOf(string(e.options.Keys.Own), memberPart, string(vm))
 }
 
-func (e *Edge) ordererKey(id ggscore.EndpointID) ggscore.Key {
-	return ggscore.KeyOf(string(e.options.Keys.Own), ordererPart, string(id))
+func (e *Edge) ownerKey(id ggscore.EndpointID) ggscore.Key {
+	return ggscore.KeyOf(string(e.options.Keys.Own), ownerPart, string(id))
 }
 
 func (e *Edge) epochKey() ggscore.Key {
@@ -113,7 +113,7 @@
 // followMembers reads the records of VMs and of owners. Stale reads suffice outside of
 // freshRecords, since all writes are conditional on revisions.
 func (e *Edge) followMembers(ctx context.Context) error {
-	away, failures := false, 0
+	lost, failures := false, 0
 	var epoch ggscore.StoreEpoch
 	fresh := e.Now().Add(freshRecords)
 	read := false
@@ -122,7 +122,7 @@
 			epoch, fresh, read = c, e.Now().Add(freshRecords), false
 		}
 		es, at, err := e.Store.Snapshot(ctx, e.options.Keys.Own+"/", read && (epoch == 0 || !e.Now().Before(fresh)))
-		e.dependency(&away, err == nil, "members", err)
+		e.logDependency(&lost, err == nil, "members", err)
 		wait := ggsgossip.RecordsInterval(len(e.livePeers()) + 1)
 		if err != nil {
 			failures++
@@ -131,11 +131,11 @@
 			failures = 0
 			e.setMembers(ctx, es, at)
 			if !read {
-				e.wakeBeats()
+				e.requestStoreHeartbeat()
 			}
 			read = true
 		}
-		if !pauseOr(ctx, wait, e.membersNotified) {
+		if !pauseOrWake(ctx, wait, e.membersNotified) {
 			return nil
 		}
 	}
@@ -157,19 +157,19 @@
 	r, peers := e.readOwn(es)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keeper.Observe(e.Now(), at, r)
-	e.noteResynced()
+	e.ownership.Observe(e.Now(), at, r)
+	e.recordResync()
 	if len(peers) > 0 || !at.IsZero() {
 		for vm, p := range peers {
 			if o := e.peers[vm]; o != nil {
-				p.started, p.sequence, p.heard = o.started, o.sequence, o.heard
+				p.started, p.sequence, p.lastSeen = o.started, o.sequence, o.lastSeen
 			} else {
-				p.heard = e.Now()
+				p.lastSeen = e.Now()
 			}
 		}
 		// A peer whose record was lost in the store writes it again.
 		for vm, p := range e.peers {
-			if peers[vm] == nil && e.Now().Sub(p.heard) < peerLiveness {
+			if peers[vm] == nil && e.Now().Sub(p.lastSeen) < peerTimeout {
 				peers[vm] = p
 			}
 		}
@@ -200,8 +200,8 @@
 		part, name, _ := strings.Cut(strings.TrimPrefix(string(n.Key), string(e.options.Keys.Own)+"/"), "/")
 		var err error
 		switch part {
-		case ordererPart:
-			var w ordererRecord
+		case ownerPart:
+			var w ownerRecord
 			if err = json.Unmarshal(n.Value, &w); err == nil {
 				r.Records = append(r.Records, ggsfencing.Record{
 					Endpoint: ggscore.EndpointID(name), Owner: ggscore.VMID(w.Owner), Released: w.Released,
@@ -215,7 +215,7 @@
 				r.Heartbeats = append(r.Heartbeats, ggsfencing.Heartbeat{
 					VM: vm, Domain: ggscore.Domain(w.Domain), Capacity: w.Capacity, Revision: n.Revision,
 				})
-				e.adoptShapes(w.Shapes)
+				e.restoreShapes(w.Shapes)
 			}
 			if p, ok := w.member(); ok && vm != e.options.VM {
 				p.domain = ggscore.Domain(w.Domain)
@@ -236,7 +236,7 @@
 }
 
 // restoreShapes restores what another VM had learned about prompt processing.
-func (e *Edge) adoptShapes(rs []shapeRecord) {
+func (e *Edge) restoreShapes(rs []shapeRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range rs {
--- a/io/ggsedge/members_test.go
+++ b/io/ggsedge/members_test.go
@@ -28,7 +28,7 @@
 
 // Guards against a VM that repeats a refused store heartbeat without a pause. Nine VMs made
 // 430 calls a second.
-func TestRefusedBeatsArePaced(t *testing.T) {
+func TestRefusedHeartbeatsArePaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	e, s := listEdge(), &refusingStore{}
@@ -42,6 +42,6 @@
 	)
 	ctx, cancel := context.WithTimeout(context.Background(), length)
 	defer cancel()
-	c.Assert(e.giveOrders(ctx), qt.IsNil)
-	c.Assert(s.txns.Load() <= most, qt.IsTrue, qt.Commentf("%d beats", s.txns.Load()))
+	c.Assert(e.maintainOwnership(ctx), qt.IsNil)
+	c.Assert(s.txns.Load() <= most, qt.IsTrue, qt.Commentf("%d heartbeats", s.txns.Load()))
 }
--- a/io/ggsedge/metrics.go
+++ b/io/ggsedge/metrics.go
@@ -15,7 +15,7 @@
 // Buckets of the latency histograms, in seconds. Latency targets are 0.12 to 1 s, and deadlines
 // are 1.2 to 12 s.
 const (
-	latencyLeast   = 0.005
+	latencyMin     = 0.005
 	latencyFactor  = 1.8
 	latencyBuckets = 14
 )
@@ -38,7 +38,7 @@
 	h := func(name, help string) prometheus.HistogramOpts {
 		return prometheus.HistogramOpts{
 			Namespace: "ggs", Name: name, Help: help,
-			Buckets: prometheus.ExponentialBuckets(latencyLeast, latencyFactor, latencyBuckets),
+			Buckets: prometheus.ExponentialBuckets(latencyMin, latencyFactor, latencyBuckets),
 		}
 	}
 	m := &metrics{
@@ -55,13 +55,13 @@
 	}, []string{"call"})
 	m.registry.MustRegister(m.answers, m.first, m.loads, m.rejected, m.storeCalls, collectors.NewGoCollector(),
 		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m.count(e)
-	m.believe(e)
+	m.registerCounters(e)
+	m.registerGauges(e)
 	return m
 }
 
 // registerCounters registers the counters of Stats.
-func (m *metrics) count(e *Edge) {
+func (m *metrics) registerCounters(e *Edge) {
 	s := &e.stats
 	for _, c := range []struct {
 		name, help string
@@ -82,7 +82,7 @@
 }
 
 // registerGauges registers gauges of the edge's state.
-func (m *metrics) believe(e *Edge) {
+func (m *metrics) registerGauges(e *Edge) {
 	locked := func(f func() float64) func() float64 {
 		return func() float64 {
 			e.mu.Lock()
@@ -115,10 +115,10 @@
 			return 0
 		})},
 		{"summary_age_seconds", "Time since a relay's summary was adopted, 0 where none was.", locked(func() float64 {
-			if e.summarized.IsZero() {
+			if e.lastSummary.IsZero() {
 				return 0
 			}
-			return e.Now().Sub(e.summarized).Seconds()
+			return e.Now().Sub(e.lastSummary).Seconds()
 		})},
 		{"endpoints", "Endpoints on the list.", locked(func() float64 { return float64(len(e.table.Instances(""))) })},
 		{"limited_endpoints", "Endpoints whose answers name a rate limit.", locked(func() float64 { return float64(e.limits.LimitedCount()) })},
@@ -139,11 +139,11 @@
 func (m *metrics) reject(cause string) { m.rejected.WithLabelValues(cause).Inc() }
 
 // observeAnswer records an endpoint's answer that was forwarded completely.
-func (m *metrics) answered(k ggscore.RouteKind, took time.Duration) {
+func (m *metrics) observeAnswer(k ggscore.RouteKind, took time.Duration) {
 	m.answers.WithLabelValues(k.String()).Observe(took.Seconds())
 }
 
 // observeFirstPiece records the first piece of an answer.
-func (m *metrics) began(k ggscore.RouteKind, took time.Duration) {
+func (m *metrics) observeFirstPiece(k ggscore.RouteKind, took time.Duration) {
 	m.first.WithLabelValues(k.String()).Observe(took.Seconds())
 }
--- a/io/ggsedge/newer.go
+++ b/io/ggsedge/newer.go
@@ -25,7 +25,7 @@
 }
 
 // recordNewer compares a peer's entries in use with those of this VM. Edge.mu is held.
-func (e *Edge) noteNewer(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
+func (e *Edge) recordNewer(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
 	switch {
 	case n.Config <= e.configVersion() && n.Versions <= e.versionSum:
 		if vm == e.newer.by {
@@ -41,19 +41,19 @@
 // fetchNewer reads from peers the operators' entries that the store has lost. Otherwise a VM
 // that starts on an older copy of the store would use older entries than its peers.
 func (e *Edge) fetchNewer(ctx context.Context) error {
-	for pause(ctx, seedPause) {
+	for pause(ctx, seedInterval) {
 		e.mu.Lock()
 		n, now := e.newer, e.Now()
 		var to []netip.AddrPort
 		if p := e.peers[n.by]; p != nil {
-			to = append(to, p.calls)
+			to = append(to, p.controlAddr)
 		}
 		e.mu.Unlock()
 		if n.since.IsZero() || now.Sub(n.since) < newerGrace {
 			continue
 		}
 		if n.by == fleet {
-			to = e.relayCalls()
+			to = e.relayControlAddrs()
 		}
 		e.fetchFrom(ctx, to)
 		e.mu.Lock()
@@ -66,7 +66,7 @@
 // fetchFrom applies the operators' entries of the first VM that answers.
 func (e *Edge) fetchFrom(ctx context.Context, to []netip.AddrPort) {
 	for _, addr := range to {
-		r, err := e.partOf(ctx, addr, e.options.Keys.Operators, ggscore.StorePosition{})
+		r, err := e.fetchPart(ctx, addr, e.options.Keys.Operators, ggscore.StorePosition{})
 		_ = level.Info(e.Log).Log("event", ggslog.EventNewerEntriesRead, "peer", addr, "entries", len(r.entries), "err", err)
 		if err == nil {
 			e.adoptOperators(r.entries)
--- a/io/ggsedge/operators.go
+++ b/io/ggsedge/operators.go
@@ -18,35 +18,35 @@
 // followOperators follows the configuration and the adapters' versions.
 func (e *Edge) followOperators(ctx context.Context) error {
 	var at ggscore.StorePosition
-	away, failures := false, 0
+	lost, failures := false, 0
 	for ctx.Err() == nil {
 		es, next, err := e.operators(ctx, &at)
 		if err != nil && ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			var gone *ggscore.HistoryCompactedError
-			if errors.As(err, &gone) {
+			var compacted *ggscore.HistoryCompactedError
+			if errors.As(err, &compacted) {
 				at = ggscore.StorePosition{}
 				continue
 			}
 			// The store may have compacted changes that were written while it was unreachable.
 			// Only a full snapshot has them.
 			at = ggscore.StorePosition{}
-			e.storeAway.Store(true)
-			e.dependency(&away, false, "operators", err)
+			e.storeUnavailable.Store(true)
+			e.logDependency(&lost, false, "operators", err)
 			failures++
-			e.readFailed("operators", failures, err)
+			e.logReadFailed("operators", failures, err)
 			if !e.pauseFailed(ctx, failures) {
 				return nil
 			}
 			continue
 		}
 		failures = 0
-		e.storeAway.Store(false)
-		e.dependency(&away, true, "operators", nil)
+		e.storeUnavailable.Store(false)
+		e.logDependency(&lost, true, "operators", nil)
 		at = at.Max(next)
-		e.readOperators(at, es)
+		e.recordOperatorsRead(at, es)
 		e.adoptOperators(es)
 	}
 	return nil
@@ -67,7 +67,7 @@
 		if !preempted {
 			return es, next, err
 		}
-		e.watchPreempted(*at)
+		e.logWatchPreempted(*at)
 	}
 	*at = ggscore.StorePosition{}
 	return e.snapshotOperators(ctx)
@@ -77,11 +77,11 @@
 // returns true once a peer has announced entries that this VM has not read, and false if this
 // VM has to read the store itself.
 func (e *Edge) awaitRelays(ctx context.Context) bool {
-	for e.follows() && e.operatorsAge() < ggsgossip.MaxOperatorsAge {
+	for e.isFollower() && e.operatorsAge() < ggsgossip.MaxOperatorsAge {
 		if e.operatorsBehind() {
 			return true
 		}
-		if !pauseOr(ctx, ggsgossip.MaxOperatorsAge/4, e.operatorsNotified) {
+		if !pauseOrWake(ctx, ggsgossip.MaxOperatorsAge/4, e.operatorsNotified) {
 			return false
 		}
 	}
@@ -98,9 +98,9 @@
 // operatorsFromRelay returns the operators' entries as read by a relay.
 func (e *Edge) operatorsFromRelay(ctx context.Context) (partReading, error) {
 	e.mu.Lock()
-	announced := e.operatorsAnnounced.Max(e.epochs.begun())
+	announced := e.operatorsAnnounced.Max(e.epochs.start())
 	e.mu.Unlock()
-	r, err := e.fromRelay(ctx, e.options.Keys.Operators, announced)
+	r, err := e.readFromRelay(ctx, e.options.Keys.Operators, announced)
 	if err == nil {
 		e.mu.Lock()
 		e.operatorsSynced = e.operatorsSynced.Max(announced)
@@ -130,7 +130,7 @@
 	if err == nil {
 		e.mu.Lock()
 		e.operatorsSynced = announced
-		e.storeAnswered()
+		e.recordOperatorsFresh()
 		e.mu.Unlock()
 	}
 	return es, next, err
@@ -138,7 +138,7 @@
 
 // recordOperatorsFresh records that the store returned the current state of the operators'
 // entries. Edge.mu is held.
-func (e *Edge) storeAnswered() {
+func (e *Edge) recordOperatorsFresh() {
 	e.operatorsReadTime = e.Now()
 	e.operatorsObserved = e.operatorsReadTime
 }
@@ -153,13 +153,13 @@
 	c, f := ggsconn.Track(c)
 	ended := make(chan bool, 1)
 	go func() {
-		ended <- e.overtaken(c, f)
+		ended <- e.watchStalled(c, f)
 		cancel()
 	}()
 	es, next, err = e.Store.Watch(c, e.options.Keys.Operators, at, ggsgossip.WatchWait(e.watchers(), rand.Float64()))
 	if err == nil {
 		e.mu.Lock()
-		e.storeAnswered()
+		e.recordOperatorsFresh()
 		e.mu.Unlock()
 	}
 	cancel()
@@ -169,7 +169,7 @@
 
 // watchStalled waits until a peer has announced a newer change and the watch has then received
 // nothing for ggsgossip.WatchGrace. It returns false if the context ends first.
-func (e *Edge) overtaken(ctx context.Context, f *ggsconn.Flight) bool {
+func (e *Edge) watchStalled(ctx context.Context, f *ggsconn.Flight) bool {
 	for {
 		select {
 		case <-e.operatorsNotified:
@@ -198,7 +198,7 @@
 	return e.operatorsRead.Max(e.operatorsSynced).Before(e.operatorsAnnounced) || e.operatorsRead.Epoch < epoch
 }
 
-func (e *Edge) watchPreempted(at ggscore.StorePosition) {
+func (e *Edge) logWatchPreempted(at ggscore.StorePosition) {
 	e.mu.Lock()
 	announced := e.operatorsAnnounced
 	e.mu.Unlock()
@@ -210,16 +210,16 @@
 //
 // Peers are sent the revision of the change itself. The store's revision grows with each
 // store heartbeat, and VMs that announced it would make each other resync forever.
-func (e *Edge) readOperators(at ggscore.StorePosition, es []ggscore.Entry) {
+func (e *Edge) recordOperatorsRead(at ggscore.StorePosition, es []ggscore.Entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.operatorsRead = e.operatorsRead.Max(at)
-	e.noteResynced()
+	e.recordResync()
 	if !e.operatorsRead.Before(e.operatorsAnnounced) {
 		e.behindSince = time.Time{}
 	}
 	for _, n := range es {
-		e.operatedAt = e.operatedAt.Max(ggscore.StorePosition{Epoch: at.Epoch, Revision: n.Revision})
+		e.operatorsChangedAt = e.operatorsChangedAt.Max(ggscore.StorePosition{Epoch: at.Epoch, Revision: n.Revision})
 	}
 }
 
@@ -246,7 +246,7 @@
 func (e *Edge) adoptOperators(es []ggscore.Entry) {
 	var kept []ggscore.Entry
 	for _, n := range es {
-		if e.adopt(n) {
+		if e.adoptEntry(n) {
 			kept = append(kept, n)
 		}
 	}
@@ -255,7 +255,7 @@
 
 // adoptEntry applies an operators' entry, and reports whether it is at least as new as the one
 // in use. An invalid entry leaves the previous one in use.
-func (e *Edge) adopt(n ggscore.Entry) bool {
+func (e *Edge) adoptEntry(n ggscore.Entry) bool {
 	if n.Key == e.options.Keys.Config && n.Value != nil {
 		return e.adoptConfig(n)
 	}
--- a/io/ggsedge/operators_test.go
+++ b/io/ggsedge/operators_test.go
@@ -24,7 +24,7 @@
 		e.peers["peer"].sequence = 0
 		e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 1, Progress: ggscore.StoreProgress{OperatedAt: at}})
 	}
-	e.readOperators(position(10), nil)
+	e.recordOperatorsRead(position(10), nil)
 	announce(position(10))
 	now = now.Add(time.Second)
 	c.Assert(e.operatorsLag(), qt.Equals, time.Duration(0))
@@ -32,9 +32,9 @@
 	now = now.Add(time.Second)
 	announce(position(14))
 	now = now.Add(time.Second)
-	e.readOperators(position(12), nil)
+	e.recordOperatorsRead(position(12), nil)
 	c.Assert(e.operatorsLag(), qt.Equals, 2*time.Second)
-	e.readOperators(position(14), nil)
+	e.recordOperatorsRead(position(14), nil)
 	c.Assert(e.operatorsLag(), qt.Equals, time.Duration(0))
 }
 
@@ -65,7 +65,7 @@
 	e, s := listEdge(), &silentStore{watches: make(chan struct{}, 1)}
 	e.Store = s
 	e.peers["peer"] = &member{}
-	e.readOperators(position(10), nil)
+	e.recordOperatorsRead(position(10), nil)
 	ctx, cancel := context.WithTimeout(context.Background(), 4*ggsgossip.WatchGrace)
 	defer cancel()
 	go func() {
@@ -81,18 +81,18 @@
 
 // Guards against a VM that takes snapshots over and over for a revision that the store doesn't
 // have.
-func TestAnnouncedRevisionIsAskedForOnce(t *testing.T) {
+func TestAnnouncedRevisionIsReadOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	e, s := listEdge(), &silentStore{watches: make(chan struct{}, 1)}
 	e.Store = s
 	e.peers["peer"] = &member{}
-	e.readOperators(position(10), nil)
+	e.recordOperatorsRead(position(10), nil)
 	e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 1, Progress: ggscore.StoreProgress{OperatedAt: position(99)}})
 	at := position(10)
 	es, next, err := e.operators(context.Background(), &at)
 	c.Assert(err, qt.IsNil)
-	e.readOperators(next, es)
+	e.recordOperatorsRead(next, es)
 	e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 2, Progress: ggscore.StoreProgress{OperatedAt: position(99)}})
 	ctx, cancel := context.WithTimeout(context.Background(), 2*ggsgossip.WatchGrace)
 	defer cancel()
--- a/io/ggsedge/parts.go
+++ b/io/ggsedge/parts.go
@@ -22,9 +22,9 @@
 	// partWait is how long a relay waits until it has itself read the requested position.
 	partWait = 500 * time.Millisecond
 	// partIdleTimeout is how long a relay may send nothing before the call fails.
-	partSilence = partWait + 300*time.Millisecond
+	partIdleTimeout = partWait + 300*time.Millisecond
 	// maxPartBytes bounds the uncompressed size of a part.
-	partBytes = 64 << 20
+	maxPartBytes = 64 << 20
 )
 
 const partMethod = "Placement.Part"
@@ -98,13 +98,13 @@
 	var b bytes.Buffer
 	z, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "packing entries")
+		return nil, errors.Wrap(err, "encoding and compressing entries")
 	}
 	if err := gob.NewEncoder(z).Encode(ws); err != nil {
-		return nil, errors.Wrap(err, "packing entries")
+		return nil, errors.Wrap(err, "encoding and compressing entries")
 	}
 	if err := z.Close(); err != nil {
-		return nil, errors.Wrap(err, "packing entries")
+		return nil, errors.Wrap(err, "encoding and compressing entries")
 	}
 	return b.Bytes(), nil
 }
@@ -113,8 +113,8 @@
 	z := flate.NewReader(bytes.NewReader(b))
 	defer func() { _ = z.Close() }()
 	var ws []StoredEntry
-	if err := gob.NewDecoder(io.LimitReader(z, partBytes)).Decode(&ws); err != nil {
-		return nil, errors.Wrap(err, "unpacking entries")
+	if err := gob.NewDecoder(io.LimitReader(z, maxPartBytes)).Decode(&ws); err != nil {
+		return nil, errors.Wrap(err, "decompressing and decoding entries")
 	}
 	es := make([]ggscore.Entry, 0, len(ws))
 	for _, w := range ws {
@@ -129,10 +129,10 @@
 	prefix := ggscore.Key(a.Prefix)
 	ctx, cancel := context.WithTimeout(p.ctx, partWait)
 	defer cancel()
-	part, err := p.edge.part(prefix)
+	part, err := p.edge.localPart(prefix)
 	up := ggscore.StorePosition{Epoch: ggscore.StoreEpoch(a.Epoch), Revision: ggscore.StoreRevision(a.Up)}
-	for err == nil && part.at.Before(up) && pause(ctx, listTick) {
-		part, err = p.edge.part(prefix)
+	for err == nil && part.at.Before(up) && pause(ctx, listPollInterval) {
+		part, err = p.edge.localPart(prefix)
 	}
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 
 // localPart returns a part of the store as this VM last read it, and a *PartUnknownError if
 // this VM has not read the part.
-func (e *Edge) part(prefix ggscore.Key) (partReading, error) {
+func (e *Edge) localPart(prefix ggscore.Key) (partReading, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := partReading{entries: append([]ggscore.Entry(nil), e.entries[prefix]...)}
@@ -161,21 +161,21 @@
 }
 
 // isFollower reports whether this VM reads the store through the relays of its domain.
-func (e *Edge) follows() bool {
+func (e *Edge) isFollower() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Now()
-	return e.node.UsesRelays() && now.Sub(e.summarized) < summaryAge && !e.node.IsRelay(now)
+	return e.node.UsesRelays() && now.Sub(e.lastSummary) < summaryMaxAge && !e.node.IsRelay(now)
 }
 
 // relayControlAddrs returns the addresses for calls of the failure domain's relays.
-func (e *Edge) relayCalls() []netip.AddrPort {
+func (e *Edge) relayControlAddrs() []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var to []netip.AddrPort
 	for _, vm := range e.node.Relays(e.Now()) {
 		if p := e.peers[vm]; p != nil {
-			to = append(to, p.calls)
+			to = append(to, p.controlAddr)
 		}
 	}
 	return to
@@ -183,14 +183,14 @@
 
 // readFromRelay returns a part of the store as read by a relay of the failure domain, at least
 // up to the position. It tries the relays in an order that depends on this VM's ID.
-func (e *Edge) fromRelay(ctx context.Context, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
-	to := e.relayCalls()
+func (e *Edge) readFromRelay(ctx context.Context, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
+	to := e.relayControlAddrs()
 	var err error = &PartUnknownError{Prefix: prefix}
 	first := int(ggsrelay.Hash(e.options.VM))
 	for i := range to {
 		addr := to[(first+i)%len(to)]
 		var r partReading
-		if r, err = e.partOf(ctx, addr, prefix, up); err == nil {
+		if r, err = e.fetchPart(ctx, addr, prefix, up); err == nil {
 			return r, nil
 		}
 		_ = level.Info(e.Log).Log("event", ggslog.EventPartUnread, "part", prefix, "relay", addr, "want", up, "err", err)
@@ -200,9 +200,9 @@
 
 // fetchPart returns a part of the store as read by the VM at an address, at least up to the
 // position.
-func (e *Edge) partOf(ctx context.Context, addr netip.AddrPort, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
+func (e *Edge) fetchPart(ctx context.Context, addr netip.AddrPort, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
 	var r PartReply
-	err := e.Calls.CallLong(ctx, partSilence, addr, partMethod, &PartArgs{
+	err := e.Calls.CallLong(ctx, partIdleTimeout, addr, partMethod, &PartArgs{
 		Prefix: string(prefix), Epoch: uint64(up.Epoch), Up: uint64(up.Revision),
 	}, &r)
 	if err != nil {
--- a/io/ggsedge/parts_test.go
+++ b/io/ggsedge/parts_test.go
@@ -27,17 +27,17 @@
 func follower(s Store, relay netip.AddrPort) *Edge {
 	e := listEdge()
 	e.options.Domain, e.options.Keys.Operators = "d", "op/"
-	e.node = ggsrelay.NewNode(ggsrelay.Options{Self: e.options.member()})
+	e.node = ggsrelay.NewNode(ggsrelay.Options{Self: e.options.relayMember()})
 	e.Store, e.Calls = s, ggsrpc.NewPool(ggsrpc.PoolOptions{})
 	for i := range fleetSize {
-		p := &member{calls: relay, domain: "d", capacity: uint64(1 << (2 * (i % 10)))}
+		p := &member{controlAddr: relay, domain: "d", capacity: uint64(1 << (2 * (i % 10)))}
 		e.peers[ggscore.VMID(fmt.Sprintf("peer-%d", i))] = p
 	}
 	e.node.SetMembers(e.relayMembers())
-	e.summarized, e.operatorsObserved = e.Now(), e.Now()
+	e.lastSummary, e.operatorsObserved = e.Now(), e.Now()
 	e.listed = true
 	e.paths.Store(ggspath.NewTable(&ggscore.RoutingConfig{}))
-	e.readOperators(position(10), nil)
+	e.recordOperatorsRead(position(10), nil)
 	e.announceOperators(e.Now(), position(12))
 	return e
 }
@@ -73,7 +73,7 @@
 			relay.Now = time.Now //nolint:forbidigo // the relay waits in real time
 			value := []byte(strings.Repeat("routes ", 1000))
 			relay.keepOperators([]ggscore.Entry{{Key: configKey, Value: value, Revision: 12}})
-			relay.readOperators(tc.relayAt, nil)
+			relay.recordOperatorsRead(tc.relayAt, nil)
 			addr, done := serveParts(ctx, c, relay)
 			s := &silentStore{watches: make(chan struct{}, 1)}
 			e := follower(s, addr)
@@ -94,14 +94,14 @@
 }
 
 // Guards against VMs that keep calling a failing store although their relays can reach it.
-func TestFollowerLeavesAStoreThatFailsToRelays(t *testing.T) {
+func TestFollowerReadsFromRelayAfterStoreFailure(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	relay := listEdge()
 	relay.options.Keys.Operators = "op/"
 	relay.keepOperators([]ggscore.Entry{{Key: configKey, Revision: 12}})
-	relay.readOperators(position(12), nil)
+	relay.recordOperatorsRead(position(12), nil)
 	addr, done := serveParts(ctx, c, relay)
 	s := &silentStore{watches: make(chan struct{}, 1)}
 	e := follower(s, addr)
@@ -116,12 +116,12 @@
 }
 
 // Guards against VMs that wait for relays which no longer reach the store.
-func TestFollowerWatchesWhenNobodyReads(t *testing.T) {
+func TestFollowerWatchesWhenNoRelayReads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := &silentStore{watches: make(chan struct{}, 1)}
 	e := follower(s, netip.AddrPort{})
-	e.readOperators(position(12), nil)
+	e.recordOperatorsRead(position(12), nil)
 	e.operatorsObserved = e.Now().Add(-ggsgossip.MaxOperatorsAge)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -134,7 +134,7 @@
 	c.Assert(e.Calls.Close(), qt.IsNil)
 }
 
-func TestPackedEntriesComeBack(t *testing.T) {
+func TestPackedEntriesRoundTrip(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	want := []ggscore.Entry{{Key: "a", Value: []byte("x"), Revision: 3}, {Key: "b", Revision: 4}}
--- a/io/ggsedge/placement.go
+++ b/io/ggsedge/placement.go
@@ -13,26 +13,26 @@
 const callMargin = 150 * time.Millisecond
 
 // A loadKey identifies a load: an adapter version and the endpoint that has to hold it.
-type load struct {
+type loadKey struct {
 	endpoint ggscore.EndpointID
 	target   ggscore.ModelAdapter
 	version  uint64
 }
 
 // A pendingLoad is a load in progress. Requests of this VM that need it share it.
-type loading struct {
+type pendingLoad struct {
 	done chan struct{}
 	err  error
 }
 
 // ensureLoaded has the request's adapter loaded at the endpoint. Requests that need the same
 // load share one wait.
-func (e *Edge) ensure(ctx context.Context, i ggscore.Instance, j *job) error {
-	l := load{endpoint: i.ID, target: j.meta.Model, version: j.version}
+func (e *Edge) ensureLoaded(ctx context.Context, i ggscore.Instance, j *job) error {
+	l := loadKey{endpoint: i.ID, target: j.meta.Model, version: j.version}
 	e.mu.Lock()
 	g := e.loads[l]
 	if g == nil {
-		g = &loading{done: make(chan struct{})}
+		g = &pendingLoad{done: make(chan struct{})}
 		e.loads[l] = g
 		// The wait continues after the request that began it has ended, since others share it.
 		go e.load(context.WithoutCancel(ctx), l, g)
@@ -49,29 +49,29 @@
 }
 
 // load has an adapter loaded by the endpoint's owner.
-func (e *Edge) load(ctx context.Context, l load, g *loading) {
+func (e *Edge) load(ctx context.Context, l loadKey, g *pendingLoad) {
 	ctx, cancel := context.WithTimeout(ctx, ggsplace.LoadWait+callMargin)
 	defer cancel()
 	e.mu.Lock()
-	owner := e.keeper.Owner(l.endpoint)
+	owner := e.ownership.Owner(l.endpoint)
 	p := e.peers[owner]
 	e.mu.Unlock()
 	var version uint64
 	switch {
 	case owner == e.options.VM:
-		version, g.err = e.await(ctx, l)
+		version, g.err = e.awaitLoad(ctx, l)
 	case p != nil:
 		a := EnsureArgs{
 			Endpoint: string(l.endpoint), Model: string(l.target.Model), Adapter: l.target.Adapter, Version: l.version,
 		}
 		var r EnsureReply
-		g.err = e.Calls.Call(ctx, p.calls, ensureMethod, &a, &r)
+		g.err = e.Calls.Call(ctx, p.controlAddr, ensureMethod, &a, &r)
 		version = r.Version
 		// A peer answers within its own wait. A peer that doesn't is gone, or its connection has
 		// stalled. If the stalled connection were kept, each load would wait in vain for as long
 		// as it stayed open.
 		if ctx.Err() != nil {
-			e.Calls.Forget(p.calls)
+			e.Calls.Forget(p.controlAddr)
 		}
 	default:
 		g.err = &NoOrdererError{Endpoint: l.endpoint}
@@ -87,7 +87,7 @@
 
 // awaitLoad has an adapter loaded at an endpoint that this VM owns, and returns the loaded
 // version.
-func (e *Edge) await(ctx context.Context, l load) (uint64, error) {
+func (e *Edge) awaitLoad(ctx context.Context, l loadKey) (uint64, error) {
 	begun := e.Steady()
 	for {
 		e.mu.Lock()
@@ -144,7 +144,7 @@
 func (p *Placement) Ensure(a *EnsureArgs, r *EnsureReply) error {
 	ctx, cancel := context.WithTimeout(p.ctx, ggsplace.LoadWait)
 	defer cancel()
-	v, err := p.edge.await(ctx, load{
+	v, err := p.edge.awaitLoad(ctx, loadKey{
 		endpoint: ggscore.EndpointID(a.Endpoint), version: a.Version,
 		target: ggscore.ModelAdapter{Model: ggscore.BaseModel(a.Model), Adapter: a.Adapter},
 	})
--- a/io/ggsedge/relay.go
+++ b/io/ggsedge/relay.go
@@ -17,42 +17,42 @@
 
 // maxBufferedBytes is the length up to which an answer is read completely before its head is
 // sent to the caller. A buffered answer that is truncated can still be replaced.
-const wholeBytes = 64 << 10
+const maxBufferedBytes = 64 << 10
 
 // pieceBytes is the read size, in bytes, for longer answers and streams.
 const pieceBytes = 8 << 10
 
 // forwardAnswer forwards an answer. The failure is nil if the caller has received the answer.
-func (e *Edge) relay(ctx context.Context, j *job, i ggscore.Instance, a *ggsexchange.Answer) (*ggscore.Failure, ggsretry.Result) {
+func (e *Edge) forwardAnswer(ctx context.Context, j *job, i ggscore.Instance, a *ggsexchange.Answer) (*ggscore.Failure, ggsretry.Result) {
 	m := e.Dialect.Answer(a.Status, a.Header)
-	e.observe(j, i, m)
+	e.observeAnswer(j, i, m)
 	if m.NotRun {
-		return e.notRun(j, i, a, m), ggsretry.ResultNeutral
+		return e.refusedByEndpoint(j, i, a, m), ggsretry.ResultNeutral
 	}
 	j.runs++
 	success := a.Status >= http.StatusOK && a.Status < http.StatusMultipleChoices
-	if reason := unfit(a, m, success); reason != "" {
-		return e.broken(j, i, &AnswerError{Status: a.Status, Reason: reason}), ggsretry.ResultFailed
+	if reason := invalidReason(a, m, success); reason != "" {
+		return e.brokenAnswer(j, i, &AnswerError{Status: a.Status, Reason: reason}), ggsretry.ResultFailed
 	}
 	if a.Status >= http.StatusInternalServerError && j.route.Idempotent() && j.runs < j.route.MaxAttempts {
-		if f := e.keep(ctx, j, i, a); f != nil {
+		if f := e.keepFailure(ctx, j, i, a); f != nil {
 			return f, ggsretry.ResultFailed
 		}
 	}
 	var err error
-	if success && j.route.Kind == ggscore.RouteStreaming || a.Length > wholeBytes || a.Length < 0 {
-		err = e.passOn(ctx, j, a)
+	if success && j.route.Kind == ggscore.RouteStreaming || a.Length > maxBufferedBytes || a.Length < 0 {
+		err = e.forwardStream(ctx, j, a)
 	} else {
-		err = e.passWhole(j, a)
+		err = e.forwardBuffered(j, a)
 	}
 	if err != nil {
-		return e.broken(j, i, err), ggsretry.ResultFailed
+		return e.brokenAnswer(j, i, err), ggsretry.ResultFailed
 	}
-	e.streamed(j)
+	e.recordStream(j)
 	e.stats.Answered.Add(1)
-	e.metrics.answered(j.route.Kind, e.since(j.arrived))
+	e.metrics.observeAnswer(j.route.Kind, e.since(j.arrived))
 	_ = level.Info(e.Log).Log("event", ggslog.EventRequestEnded, "request", j.meta.ID, "endpoint", i.ID, "status", a.Status,
-		"sends", j.sends, "first", j.first, "target", j.route.Target, "gap", j.gap, "gapAim", j.route.GapAim, "took", e.since(j.arrived))
+		"sends", j.sends, "first", j.firstPieceAfter, "target", j.route.Target, "gap", j.maxGap, "gapAim", j.route.GapAim, "took", e.since(j.arrived))
 	if a.Status >= http.StatusInternalServerError {
 		return nil, ggsretry.ResultFailed
 	}
@@ -61,21 +61,21 @@
 
 // A keptFailure is an endpoint's failure answer that is forwarded if no other endpoint gives a
 // better answer.
-type keptAnswer struct {
+type keptFailure struct {
 	answer *ggsexchange.Answer
 	body   []byte
 }
 
 // keepFailure keeps an endpoint's failure answer if the request is sent to another endpoint,
 // else it returns nil. The kept body has at most maxBufferedBytes.
-func (e *Edge) keep(ctx context.Context, j *job, i ggscore.Instance, a *ggsexchange.Answer) *ggscore.Failure {
-	f := &ggscore.Failure{Kind: ggscore.FailureEndpoint, Detail: "endpoint answered " + strconv.Itoa(a.Status)}
-	if a.Length < 0 || a.Length > wholeBytes || !e.again(ctx, j, f) {
+func (e *Edge) keepFailure(ctx context.Context, j *job, i ggscore.Instance, a *ggsexchange.Answer) *ggscore.Failure {
+	f := &ggscore.Failure{Kind: ggscore.FailureEndpoint, Detail: "endpoint answered with status " + strconv.Itoa(a.Status)}
+	if a.Length < 0 || a.Length > maxBufferedBytes || !e.retry(ctx, j, f) {
 		return nil
 	}
 	_ = level.Info(e.Log).Log("event", ggslog.EventAttemptFailed, "request", j.meta.ID, "endpoint", i.ID,
 		"outcome", ggscore.OutcomeDone, "err", f.Detail)
-	j.granted = true
+	j.retryGranted = true
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
 		// A truncated failure answer can't be forwarded. Only another endpoint's answer can
@@ -83,40 +83,40 @@
 		_ = level.Info(e.Log).Log("event", ggslog.EventAnswerBroken, "request", j.meta.ID, "endpoint", i.ID, "begun", false, "err", err)
 		return f
 	}
-	j.kept = &keptAnswer{answer: a, body: b}
+	j.fallback = &keptFailure{answer: a, body: b}
 	return f
 }
 
 // forwardKept forwards the failure answer that was kept.
-func (e *Edge) passKept(j *job) {
-	k := j.kept
+func (e *Edge) forwardKept(j *job) {
+	k := j.fallback
 	_ = level.Info(e.Log).Log("event", ggslog.EventRequestEnded, "request", j.meta.ID, "status", k.answer.Status,
-		"why", "no other endpoint did better", "sends", j.sends, "runs", j.runs, "took", e.since(j.arrived))
+		"why", "no other endpoint gave a better answer", "sends", j.sends, "runs", j.runs, "took", e.since(j.arrived))
 	e.stats.Answered.Add(1)
-	e.head(j, k.answer, int64(len(k.body)))
+	e.writeHead(j, k.answer, int64(len(k.body)))
 	// A write error means that the caller has left; nothing remains to be done.
 	_, _ = j.w.Write(k.body)
 }
 
 // invalidReason returns why an answer can't be forwarded, empty if it can. A success has to be
 // signed by the endpoint. A body in an encoding that wasn't requested isn't the endpoint's own.
-func unfit(a *ggsexchange.Answer, m ggscore.AnswerMeta, success bool) string {
+func invalidReason(a *ggsexchange.Answer, m ggscore.AnswerMeta, success bool) string {
 	switch {
 	case success && !m.Signed:
-		return "a success without the endpoint's mark"
+		return "success not signed by the endpoint"
 	case success && a.Header.Get("Content-Encoding") != "":
-		return "a body in an encoding that nobody asked for"
+		return "body has a Content-Encoding that wasn't requested"
 	case a.Status < http.StatusOK || a.Status > 599:
-		return "a status that doesn't end a request"
+		return "not a final status"
 	}
 	return ""
 }
 
 // refusedByEndpoint returns the failure for an endpoint's answer that it did not run the
 // request.
-func (e *Edge) notRun(j *job, i ggscore.Instance, a *ggsexchange.Answer, m ggscore.AnswerMeta) *ggscore.Failure {
+func (e *Edge) refusedByEndpoint(j *job, i ggscore.Instance, a *ggsexchange.Answer, m ggscore.AnswerMeta) *ggscore.Failure {
 	// The rest of the body is read so that the connection can be reused.
-	_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, wholeBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedBytes))
 	if a.Status == http.StatusMisdirectedRequest && j.meta.Model.Adapter != "" {
 		e.mu.Lock()
 		e.table.SetMissing(e.Now(), i.ID, j.meta.Model)
@@ -126,49 +126,49 @@
 		"adapter", j.meta.Model, "version", j.version, "retryAfter", m.RetryAfter)
 	return &ggscore.Failure{
 		Kind: ggscore.FailureNoCapacity, Outcome: ggscore.OutcomeNotRun,
-		Detail: "endpoint refused with " + strconv.Itoa(a.Status),
+		Detail: "endpoint refused the request with status " + strconv.Itoa(a.Status),
 	}
 }
 
 // brokenAnswer returns the failure for an answer that is truncated or invalid.
-func (e *Edge) broken(j *job, i ggscore.Instance, err error) *ggscore.Failure {
+func (e *Edge) brokenAnswer(j *job, i ggscore.Instance, err error) *ggscore.Failure {
 	_ = level.Info(e.Log).Log("event", ggslog.EventAnswerBroken, "request", j.meta.ID, "endpoint", i.ID, "begun", j.committed, "err", err)
 	return &ggscore.Failure{Kind: ggscore.FailureBroken, Detail: err.Error()}
 }
 
 // forwardBuffered forwards an answer after reading it completely.
-func (e *Edge) passWhole(j *job, a *ggsexchange.Answer) error {
+func (e *Edge) forwardBuffered(j *job, a *ggsexchange.Answer) error {
 	b, err := io.ReadAll(a.Body)
 	if err != nil {
-		return errors.Wrap(err, "reading an answer")
+		return errors.Wrap(err, "reading the endpoint's answer")
 	}
-	e.head(j, a, int64(len(b)))
+	e.writeHead(j, a, int64(len(b)))
 	// A write error means that the caller has left; nothing remains to be done.
 	_, _ = j.w.Write(b)
 	return nil
 }
 
 // forwardStream forwards an answer piece by piece as the pieces arrive.
-func (e *Edge) passOn(ctx context.Context, j *job, a *ggsexchange.Answer) error {
+func (e *Edge) forwardStream(ctx context.Context, j *job, a *ggsexchange.Answer) error {
 	b := make([]byte, pieceBytes)
 	c := http.NewResponseController(j.w)
 	for {
 		n, err := a.Body.Read(b)
 		if n > 0 {
-			e.piece(j)
+			e.recordPiece(j)
 			if !j.committed {
-				e.head(j, a, a.Length)
+				e.writeHead(j, a, a.Length)
 			}
 			if _, err := j.w.Write(b[:n]); err != nil {
-				return errors.Wrap(err, "passing an answer on")
+				return errors.Wrap(err, "forwarding the answer to the caller")
 			}
 			if err := c.Flush(); err != nil {
-				return errors.Wrap(err, "passing an answer on")
+				return errors.Wrap(err, "forwarding the answer to the caller")
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			if !j.committed {
-				e.head(j, a, a.Length)
+				e.writeHead(j, a, a.Length)
 			}
 			return nil
 		}
@@ -176,36 +176,36 @@
 			if cause := context.Cause(ctx); cause != nil {
 				err = errors.CombineErrors(cause, err)
 			}
-			return errors.Wrap(err, "reading an answer")
+			return errors.Wrap(err, "reading the endpoint's answer")
 		}
 	}
 }
 
 // recordPiece records the arrival of a piece of a stream.
-func (e *Edge) piece(j *job) {
+func (e *Edge) recordPiece(j *job) {
 	now := e.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	hurt := false
+	degraded := false
 	if !j.committed {
 		e.turns.RecordFirstPiece(now, j.turn, j.sentAt)
 		first := e.since(j.arrived)
-		hurt = first > j.route.Target && first-j.turnWait <= j.route.Target
+		degraded = first > j.route.Target && first-j.turnWait <= j.route.Target
 	} else {
-		gap := now.Sub(j.pieceAt)
-		j.gap = max(j.gap, gap)
-		hurt = e.turns.RecordGap(now, j.service, j.turn.Endpoint, gap)
+		gap := now.Sub(j.lastPieceAt)
+		j.maxGap = max(j.maxGap, gap)
+		degraded = e.turns.RecordGap(now, j.service, j.turn.Endpoint, gap)
 	}
-	j.pieceAt = now
-	if hurt && !j.hurt {
-		j.hurt = true
+	j.lastPieceAt = now
+	if degraded && !j.degraded {
+		j.degraded = true
 		e.turns.RecordStream(now, j.service, j.turn.Endpoint, true)
 	}
 }
 
 // recordStream records a stream that ended without having been degraded.
-func (e *Edge) streamed(j *job) {
-	if j.hurt || j.route.Kind != ggscore.RouteStreaming {
+func (e *Edge) recordStream(j *job) {
+	if j.degraded || j.route.Kind != ggscore.RouteStreaming {
 		return
 	}
 	e.mu.Lock()
@@ -214,10 +214,10 @@
 }
 
 // writeHead writes an answer's head.
-func (e *Edge) head(j *job, a *ggsexchange.Answer, length int64) {
+func (e *Edge) writeHead(j *job, a *ggsexchange.Answer, length int64) {
 	j.committed = true
-	j.first = e.since(j.arrived)
-	e.metrics.began(j.route.Kind, j.first)
+	j.firstPieceAfter = e.since(j.arrived)
+	e.metrics.observeFirstPiece(j.route.Kind, j.firstPieceAfter)
 	h := j.w.Header()
 	for k, vs := range a.Header {
 		switch k {
--- a/io/ggsedge/seeds.go
+++ b/io/ggsedge/seeds.go
@@ -14,9 +14,9 @@
 const (
 	// seedInterval is the time between calls to seeds, and the time that the store has to answer
 	// after a start before seeds are called.
-	seedPause = 300 * time.Millisecond
+	seedInterval = 300 * time.Millisecond
 	// seedIdleTimeout is how long a seed, which may be gone, may send nothing.
-	seedSilence = 700 * time.Millisecond
+	seedIdleTimeout = 700 * time.Millisecond
 )
 
 const entriesMethod = "Placement.Entries"
@@ -51,21 +51,21 @@
 		}
 		r.Parts = append(r.Parts, part)
 	}
-	r.Parts = append(r.Parts, p.edge.ordererPart())
+	r.Parts = append(r.Parts, p.edge.ownerRecords())
 	return nil
 }
 
 // ownerRecords returns the ownership records as this VM knows them. A claim of this VM may be
 // newer than its last read of the store. Edge.mu is held.
-func (e *Edge) ordererPart() EntriesPart {
+func (e *Edge) ownerRecords() EntriesPart {
 	part := EntriesPart{Prefix: string(e.options.Keys.Own)}
-	for _, r := range e.keeper.Records() {
-		v, err := json.Marshal(&ordererRecord{Owner: string(r.Owner), Released: r.Released, Epoch: uint64(r.Epoch)})
+	for _, r := range e.ownership.Records() {
+		v, err := json.Marshal(&ownerRecord{Owner: string(r.Owner), Released: r.Released, Epoch: uint64(r.Epoch)})
 		if err != nil {
 			_ = level.Error(e.Log).Log("event", ggslog.EventRecordUnencoded, "err", err)
 			continue
 		}
-		part.Entries = append(part.Entries, StoredEntry{Key: string(e.ordererKey(r.Endpoint)), Value: v, Revision: uint64(r.Revision)})
+		part.Entries = append(part.Entries, StoredEntry{Key: string(e.ownerKey(r.Endpoint)), Value: v, Revision: uint64(r.Revision)})
 	}
 	return part
 }
@@ -75,11 +75,11 @@
 // reachable. Without seeds, a VM that restarts while the store is unreachable can't serve
 // requests until the store returns.
 func (e *Edge) askSeeds(ctx context.Context) error {
-	for n := 0; pause(ctx, seedPause); n++ {
+	for n := 0; pause(ctx, seedInterval); n++ {
 		if e.started() || len(e.options.Seeds) == 0 {
 			return nil
 		}
-		if !e.storeAway.Load() {
+		if !e.storeUnavailable.Load() {
 			continue
 		}
 		e.askSeed(ctx, n%len(e.options.Seeds))
@@ -97,7 +97,7 @@
 func (e *Edge) askSeed(ctx context.Context, n int) {
 	seed := e.options.Seeds[n]
 	var r EntriesReply
-	err := e.Calls.CallLong(ctx, seedSilence, seed, entriesMethod, &EntriesArgs{}, &r)
+	err := e.Calls.CallLong(ctx, seedIdleTimeout, seed, entriesMethod, &EntriesArgs{}, &r)
 	_ = level.Info(e.Log).Log("event", ggslog.EventSeedAsked, "seed", seed, "parts", len(r.Parts), "err", err)
 	if err != nil {
 		return
--- a/io/ggsedge/signals.go
+++ b/io/ggsedge/signals.go
@@ -11,7 +11,7 @@
 
 // observeAnswer processes what an answer announces about its endpoint: that it leaves, its
 // rate limit, and a pause in the requests of this VM.
-func (e *Edge) observe(j *job, i ggscore.Instance, m ggscore.AnswerMeta) {
+func (e *Edge) observeAnswer(j *job, i ggscore.Instance, m ggscore.AnswerMeta) {
 	e.mu.Lock()
 	now := e.Now()
 	leaves := m.Leaving && e.table.RecordDeparture(ggscore.Departure{Endpoint: i.ID, StartedAt: i.StartedAt})
@@ -53,7 +53,7 @@
 	}
 	vms := []ggscore.VMID{e.options.VM}
 	for vm, p := range e.peers {
-		if now.Sub(p.heard) < peerLiveness {
+		if now.Sub(p.lastSeen) < peerTimeout {
 			vms = append(vms, vm)
 		}
 	}
@@ -61,7 +61,7 @@
 }
 
 // applySignals applies the rate limits and departures that peers observed. Edge.mu is held.
-func (e *Edge) adoptSignals(now time.Time, ls []ggscore.EndpointLimit, ds []ggscore.Departure) {
+func (e *Edge) applySignals(now time.Time, ls []ggscore.EndpointLimit, ds []ggscore.Departure) {
 	e.limits.Learn(now.Add(-heartbeatDelay), ls)
 	for _, d := range ds {
 		if e.table.RecordDeparture(d) {
@@ -79,7 +79,7 @@
 }
 
 // accepts reports whether an endpoint still accepts requests.
-func (e *Edge) takes(id ggscore.EndpointID) bool {
+func (e *Edge) accepts(id ggscore.EndpointID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.table.Accepts(e.Now(), id)
--- a/io/ggsedge/state.go
+++ b/io/ggsedge/state.go
@@ -52,7 +52,7 @@
 
 // State returns the edge's state, sorted by names.
 func (e *Edge) State() State {
-	s := State{Domain: e.options.Domain, StoreAway: e.storeAway.Load()}
+	s := State{Domain: e.options.Domain, StoreAway: e.storeUnavailable.Load()}
 	if t := e.paths.Load(); t != nil {
 		s.Config, s.Routes = t.Config.Version, len(t.Config.Routes)
 	}
@@ -64,7 +64,7 @@
 		s.ListAge = now.Sub(e.listObserved)
 	}
 	for _, i := range e.table.Instances("") {
-		n := EndpointState{ID: i.ID, Service: i.Service, Domain: i.Domain, Leaving: i.Leaving, Limit: e.limits.Limit(i.ID), Orderer: e.keeper.Owner(i.ID)}
+		n := EndpointState{ID: i.ID, Service: i.Service, Domain: i.Domain, Leaving: i.Leaving, Limit: e.limits.Limit(i.ID), Orderer: e.ownership.Owner(i.ID)}
 		if w := e.workers[i.ID]; w != nil {
 			n.Held = w.ledger.Resident()
 			sortVersions(n.Held)
@@ -72,7 +72,7 @@
 		s.Endpoints = append(s.Endpoints, n)
 	}
 	for vm, p := range e.peers {
-		s.Peers = append(s.Peers, PeerState{VM: vm, Domain: p.domain, Silence: now.Sub(p.heard)})
+		s.Peers = append(s.Peers, PeerState{VM: vm, Domain: p.domain, Silence: now.Sub(p.lastSeen)})
 	}
 	for t, v := range e.versions {
 		s.Versions = append(s.Versions, ggscore.AdapterVersion{Target: t, Version: v})
--- a/io/ggsedge/turns.go
+++ b/io/ggsedge/turns.go
@@ -17,10 +17,10 @@
 	// sameRegionDelay and crossRegionDelay are the propagation delays of a turn's notice to the
 	// other VMs, if the endpoint is in this VM's region or in another one. They cover a trip of
 	// 1 or 8 ms, a relay and a scheduling delay.
-	nearWay = 3 * time.Millisecond
-	farWay  = 12 * time.Millisecond
+	sameRegionDelay  = 3 * time.Millisecond
+	crossRegionDelay = 12 * time.Millisecond
 	// maxTurnChecks bounds how often a request's turn is checked and replaced.
-	mostTurns = 3
+	maxTurnChecks = 3
 )
 
 // takeTurn waits until the request's prompt may be sent to the endpoint. It returns false if
@@ -46,16 +46,16 @@
 // turn takes a turn for a request, or confirms its turn on later tries. It returns the turn and
 // the time until it is due, zero if the request may be sent now.
 func (e *Edge) turn(j *job, i ggscore.Instance, tries int) (ggscore.PromptTurn, time.Duration) {
-	way := nearWay
-	if !e.near(i.Domain) {
-		way = farWay
+	delay := sameRegionDelay
+	if !e.sameRegion(i.Domain) {
+		delay = crossRegionDelay
 	}
 	e.mu.Lock()
 	now := e.Now()
 	n, ok := j.turn, false
 	if tries == 0 {
-		n = e.turns.Take(now, j.service, i.ID, j.meta.PromptTokens, way)
-	} else if n, ok = e.turns.Confirm(now, n); tries >= mostTurns {
+		n = e.turns.Take(now, j.service, i.ID, j.meta.PromptTokens, delay)
+	} else if n, ok = e.turns.Confirm(now, n); tries >= maxTurnChecks {
 		ok = true
 	}
 	announced := e.turns.Announces(now, n)
@@ -67,12 +67,12 @@
 	if !announced {
 		return n, wait
 	}
-	e.notify(n, ggspeer.Notice{Wait: max(wait, 0)})
+	e.announceTurn(n, ggspeer.Notice{Wait: max(wait, 0)})
 	return n, wait
 }
 
 // sameRegion reports whether a failure domain is in this VM's region.
-func (e *Edge) near(d ggscore.Domain) bool {
+func (e *Edge) sameRegion(d ggscore.Domain) bool {
 	return d == e.options.Domain || e.options.Regions[d] == e.options.Regions[e.options.Domain]
 }
 
@@ -88,19 +88,19 @@
 	announced := e.turns.Announces(e.Now(), j.turn)
 	e.mu.Unlock()
 	if announced {
-		e.notify(j.turn, ggspeer.Notice{Unused: true})
+		e.announceTurn(j.turn, ggspeer.Notice{Unused: true})
 	}
 	j.turn = ggscore.PromptTurn{}
 }
 
 // announceTurn sends a notice of this VM's turn to the peers.
-func (e *Edge) notify(n ggscore.PromptTurn, w ggspeer.Notice) {
+func (e *Edge) announceTurn(n ggscore.PromptTurn, w ggspeer.Notice) {
 	w.VM, w.Number, w.Service, w.Endpoint, w.Tokens = n.VM, n.Number, n.Service, n.Endpoint, n.Tokens
-	e.spreadNotice(w, ggscore.RelayRegions)
+	e.broadcastNotice(w, ggscore.RelayRegions)
 }
 
 // broadcastNotice sends a notice to each VM within reach.
-func (e *Edge) spreadNotice(n ggspeer.Notice, reach ggscore.Relay) {
+func (e *Edge) broadcastNotice(n ggspeer.Notice, reach ggscore.Relay) {
 	for relay, addrs := range e.routes(reach, n.Number) {
 		n.Relay = relay
 		if err := e.Peers.SendNotice(n, addrs); err != nil {
@@ -114,16 +114,16 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	to := map[ggscore.Relay][]netip.AddrPort{}
-	for _, r := range ggsgossip.Routes(e.self(), e.members(), reach, sequence) {
-		to[r.Relay] = append(to[r.Relay], e.peers[r.To].beats)
+	for _, r := range ggsgossip.Routes(e.gossipSelf(), e.gossipMembers(), reach, sequence) {
+		to[r.Relay] = append(to[r.Relay], e.peers[r.To].datagramAddr)
 	}
 	return to
 }
 
 // receiveNotice processes a peer's notice.
-func (e *Edge) noticed(n ggspeer.Notice) {
+func (e *Edge) receiveNotice(n ggspeer.Notice) {
 	if n.Relay > ggscore.RelayNone {
-		e.spreadNotice(n, n.Relay)
+		e.broadcastNotice(n, n.Relay)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -21,11 +21,11 @@
 	orderTimeout = 80 * time.Millisecond
 	// minOrderTimeout is the timeout for endpoints that answer at once. An order takes 1 to 5 ms
 	// within a failure domain, and 18 ms to another region.
-	leastOrderTimeout = 25 * time.Millisecond
+	minOrderTimeout = 25 * time.Millisecond
 	// orderTimeoutFactor is the timeout of an order as a multiple of the usual order time.
-	orderTimes = 5
+	orderTimeoutFactor = 5
 	// orderTimeSmoothing is the weight of the last order in the usual order time.
-	orderWeight = 0.1
+	orderTimeSmoothing = 0.1
 	// statusTimeout bounds the request for an endpoint's status report.
 	statusTimeout = 400 * time.Millisecond
 	// workerPause is the pause of a worker that may not send orders, or whose endpoint doesn't
@@ -41,39 +41,39 @@
 	// changed is closed and replaced after each change of the ledger.
 	changed chan struct{}
 	// unreported says that the last change was not sent to the peers yet.
-	untold bool
-	kick   chan struct{}
-	cancel context.CancelFunc
+	unreported bool
+	wakeups    chan struct{}
+	cancel     context.CancelFunc
 	// usualOrderTime is the moving average of the time that orders take, zero for unknown.
-	usual time.Duration
+	usualOrderTime time.Duration
 }
 
 // timeout returns the timeout of the next order.
 func (w *worker) timeout() time.Duration {
-	if w.usual == 0 {
+	if w.usualOrderTime == 0 {
 		return orderTimeout
 	}
-	return min(max(orderTimes*w.usual, leastOrderTimeout), orderTimeout)
+	return min(max(orderTimeoutFactor*w.usualOrderTime, minOrderTimeout), orderTimeout)
 }
 
 // recordOrderTime adds the time that an order took to the moving average.
-func (w *worker) took(d time.Duration) {
-	if w.usual == 0 {
-		w.usual = d
+func (w *worker) recordOrderTime(d time.Duration) {
+	if w.usualOrderTime == 0 {
+		w.usualOrderTime = d
 		return
 	}
-	w.usual += time.Duration(orderWeight * float64(d-w.usual))
+	w.usualOrderTime += time.Duration(orderTimeSmoothing * float64(d-w.usualOrderTime))
 }
 
 func (w *worker) wake() {
 	select {
-	case w.kick <- struct{}{}:
+	case w.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-func (w *worker) notify() {
-	w.untold = true
+func (w *worker) signalChange() {
+	w.unreported = true
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
@@ -88,7 +88,7 @@
 	want := map[ggscore.EndpointID]bool{}
 	for _, i := range e.table.Instances("") {
 		s := specs[i.Service]
-		if s.Engine == nil || e.keeper.Owner(i.ID) != e.options.VM {
+		if s.Engine == nil || e.ownership.Owner(i.ID) != e.options.VM {
 			continue
 		}
 		want[i.ID] = true
@@ -105,9 +105,9 @@
 			instance: i,
 			ledger: ggsresident.NewLedger(ggsresident.Options{
 				Endpoint: i.ID, Demand: e.table, Slots: s.Engine.AdapterCapacity(), Unanswered: e.unansweredOf(i.ID),
-				ReportDelay: e.newsDelay(), Policy: e.options.Policy,
+				ReportDelay: e.reportDelay(), Policy: e.options.Policy,
 			}),
-			changed: make(chan struct{}), kick: make(chan struct{}, 1), cancel: cancel,
+			changed: make(chan struct{}), wakeups: make(chan struct{}, 1), cancel: cancel,
 		}
 		e.workers[i.ID] = w
 		go e.work(c, w, s.Engine)
@@ -116,7 +116,7 @@
 	for id, w := range e.workers {
 		if !want[id] {
 			w.cancel()
-			w.notify()
+			w.signalChange()
 			delete(e.workers, id)
 		}
 	}
@@ -139,7 +139,7 @@
 }
 
 // reportDelay returns the extra delay of heartbeats through relays. Edge.mu is held.
-func (e *Edge) newsDelay() time.Duration {
+func (e *Edge) reportDelay() time.Duration {
 	if e.node.UsesRelays() {
 		return ggsrelay.RelayDelay
 	}
@@ -149,18 +149,18 @@
 // ownerTimeout is the age of an owner's last heartbeat from which this VM doesn't call the
 // owner to load adapters. It is six heartbeat intervals. An owner that is gone, suspended or
 // cut off doesn't answer, and requests waited 900 ms before they tried other endpoints.
-const peerSilence = 900 * time.Millisecond
+const ownerTimeout = 900 * time.Millisecond
 
 // setLoadable records at which endpoints adapters can be loaded now. Edge.mu is held.
 func (e *Edge) setLoadable() {
 	now := e.Now()
 	for _, i := range e.table.Instances("") {
-		owner := e.keeper.Owner(i.ID)
+		owner := e.ownership.Owner(i.ID)
 		loadable := false
 		if owner == e.options.VM {
-			_, loadable = e.keeper.AuthorizeOrder(now, i.ID)
+			_, loadable = e.ownership.AuthorizeOrder(now, i.ID)
 		} else if p := e.peers[owner]; p != nil {
-			loadable = now.Sub(p.heard) < peerSilence
+			loadable = now.Sub(p.lastSeen) < ownerTimeout
 		}
 		e.table.SetLoadable(i.ID, loadable)
 	}
@@ -168,17 +168,17 @@
 
 // work sends orders until the context ends.
 func (e *Edge) work(ctx context.Context, w *worker, g *ggscore.EngineSpec) {
-	var questions sync.WaitGroup
-	defer questions.Wait()
+	var polls sync.WaitGroup
+	defer polls.Wait()
 	for ctx.Err() == nil {
-		pause := e.step(ctx, w, g, &questions)
+		pause := e.step(ctx, w, g, &polls)
 		if pause == 0 {
 			continue
 		}
 		t := time.NewTimer(pause)
 		select {
 		case <-t.C:
-		case <-w.kick:
+		case <-w.wakeups:
 		case <-ctx.Done():
 		}
 		t.Stop()
@@ -189,25 +189,25 @@
 //
 // Polls run concurrently with the orders. One after the other, an unanswered poll blocked all
 // loads of the runner for its timeout; with three in ten unanswered, that was half of the time.
-func (e *Edge) step(ctx context.Context, w *worker, g *ggscore.EngineSpec, questions *sync.WaitGroup) time.Duration {
+func (e *Edge) step(ctx context.Context, w *worker, g *ggscore.EngineSpec, polls *sync.WaitGroup) time.Duration {
 	e.mu.Lock()
 	now := e.Now()
 	i := w.instance
-	fence, may := e.keeper.AuthorizeOrder(now, i.ID)
+	fence, authorized := e.ownership.AuthorizeOrder(now, i.ID)
 	synced := w.ledger.Synced(now)
-	if may && synced {
+	if authorized && synced {
 		e.wantModels(now, w, g)
 	}
 	s, ok := w.ledger.Next(now)
 	due := w.ledger.Due(now)
-	moved := w.ledger.RecentlyMisdirected(now)
+	misdirected := w.ledger.RecentlyMisdirected(now)
 	timeout := w.timeout()
 	e.mu.Unlock()
-	if !may {
+	if !authorized {
 		return workerPause
 	}
 	if !synced {
-		if moved || !e.sync(ctx, w, i) {
+		if misdirected || !e.sync(ctx, w, i) {
 			return workerPause
 		}
 		return 0
@@ -223,7 +223,7 @@
 		Expected: s.Expected, Holder: e.options.VM, Fence: fence,
 	}
 	if s.Poll && e.options.Policy.On(ggscore.MechanismQuestions) {
-		questions.Go(func() {
+		polls.Go(func() {
 			e.order(ctx, w, o, s, timeout)
 			w.wake()
 		})
@@ -258,14 +258,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	w.ledger.Sync(e.Now(), st)
-	e.noteHeld(i.ID, w)
-	w.notify()
+	e.recordHeld(i.ID, w)
+	w.signalChange()
 	return true
 }
 
 // recordHeld updates the placement table with what an endpoint of this VM holds. Edge.mu is
 // held.
-func (e *Edge) noteHeld(id ggscore.EndpointID, w *worker) {
+func (e *Edge) recordHeld(id ggscore.EndpointID, w *worker) {
 	now := e.Now()
 	e.table.SetHeld(now, id, w.ledger.Resident())
 	e.table.SetLoadCapacity(id, w.ledger.Waiting(), w.ledger.FreeCapacity(now))
@@ -281,11 +281,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if a != ggscore.PlacementUnknown {
-		w.took(e.since(begun))
+		w.recordOrderTime(e.since(begun))
 	}
 	w.ledger.HandleAnswer(e.Now(), s, a)
-	e.noteHeld(o.Endpoint, w)
-	w.notify()
+	e.recordHeld(o.Endpoint, w)
+	w.signalChange()
 	l := level.Debug(e.Log)
 	if a != ggscore.PlacementAccepted && a != ggscore.PlacementSatisfied {
 		l = level.Info(e.Log)
