--- a/io/ggsedge/attempt.go
+++ b/io/ggsedge/attempt.go
@@ -19,9 +19,8 @@
 	// maxSends bounds the number of endpoints that a request is sent to, including those that
 	// refused it.
 	maxSends = 4
-	// retryBase and retryMaxWait bound the backoff before another endpoint is tried. They are
-	// short because the other endpoint isn't overloaded by this request; the jitter only spreads
-	// simultaneous retries.
+	// retryBase and retryMaxWait bound the backoff before a retry. A retry goes to another
+	// endpoint, so the backoff only has to spread simultaneous retries.
 	retryBase    = time.Millisecond
 	retryMaxWait = 20 * time.Millisecond
 	// giveUpShare is the share of a request's timeout after which a failed load isn't followed by
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -45,7 +45,7 @@
 	// FirstStart says that the deployment starts for the first time.
 	FirstStart bool
 	// RetryRatio and RetrySlack bound the retries to a service, summed over all VMs. RetryRatio
-	// is per first send, and RetrySlack is a number of retries.
+	// is the number of retries per request, and RetrySlack is a number of further retries.
 	RetryRatio float64
 	RetrySlack int
 	// IDHeader is the header with the ID of a request and its answer.
@@ -132,7 +132,7 @@
 	unansweredOrders map[ggscore.EndpointID]*ggsresident.Unanswered
 	peers            map[ggscore.VMID]*member
 	uses             map[use]*usage
-	loads            map[loadKey]*pendingLoad
+	loads            map[load]*pendingLoad
 	listed           bool
 	// entries are the store's entries as last read. VMs that start while the store is
 	// unreachable read them from this VM.
@@ -247,7 +247,7 @@
 		unansweredOrders:       map[ggscore.EndpointID]*ggsresident.Unanswered{},
 		peers:                  map[ggscore.VMID]*member{},
 		uses:                   map[use]*usage{},
-		loads:                  map[loadKey]*pendingLoad{},
+		loads:                  map[load]*pendingLoad{},
 		entries:                map[ggscore.Key][]ggscore.Entry{},
 		startedAt:              p.Steady().UnixNano(),
 		storeHeartbeatNotified: make(chan struct{}, 1),
--- a/io/ggsedge/load_test.go
+++ b/io/ggsedge/load_test.go
@@ -55,7 +55,7 @@
 	e.peers["peer"] = &member{controlAddr: netip.MustParseAddrPort(l.Addr().String())}
 	loadOnce := func() error {
 		g := &pendingLoad{done: make(chan struct{})}
-		e.load(ctx, loadKey{endpoint: "r", target: ggscore.ModelAdapter{Model: "m", Adapter: "a"}}, g)
+		e.load(ctx, load{endpoint: "r", target: ggscore.ModelAdapter{Model: "m", Adapter: "a"}}, g)
 		<-g.done
 		return g.err
 	}
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -167,7 +167,7 @@
 				p.lastSeen = e.Now()
 			}
 		}
-		// A peer whose record was lost in the store writes it again.
+		// A live peer whose record was lost in the store stays known: it writes the record again.
 		for vm, p := range e.peers {
 			if peers[vm] == nil && e.Now().Sub(p.lastSeen) < peerTimeout {
 				peers[vm] = p
--- a/io/ggsedge/metrics.go
+++ b/io/ggsedge/metrics.go
@@ -20,7 +20,7 @@
 	latencyBuckets = 14
 )
 
-// metrics has the latency histograms of an edge. The counters are those of Stats.
+// A metrics has the latency histograms of an edge. The counters are those of Stats.
 type metrics struct {
 	registry *prometheus.Registry
 	answers  *prometheus.HistogramVec
--- a/io/ggsedge/newer.go
+++ b/io/ggsedge/newer.go
@@ -15,8 +15,8 @@
 // it reads them from the peer.
 const newerGrace = time.Second
 
-// newerEntries records that a peer uses newer operators' entries than this VM, although this VM
-// has read the store as far as the peer.
+// A newerEntries records that a peer uses newer operators' entries than this VM, although this
+// VM has read the store as far as the peer.
 type newerEntries struct {
 	// by is the VM that uses the newer entries, or fleet if a summary reported them.
 	by ggscore.VMID
--- a/io/ggsedge/parts.go
+++ b/io/ggsedge/parts.go
@@ -29,8 +29,8 @@
 
 const partMethod = "Placement.Part"
 
-// PartArgs requests the entries below a prefix, as of revision Up of an epoch or later. Such
-// a set of entries is a part of the store.
+// A PartArgs requests a part of the store, which is all entries below a prefix, as of revision
+// Up of an epoch or later.
 type PartArgs struct {
 	Prefix string
 	Epoch  uint64
@@ -43,7 +43,7 @@
 	At    uint64
 	// Age is the time since the part was read.
 	Age time.Duration
-	// Entries are compressed with DEFLATE and encoded with gob.
+	// Entries are encoded with gob and compressed with DEFLATE.
 	Entries []byte
 }
 
--- a/io/ggsedge/placement.go
+++ b/io/ggsedge/placement.go
@@ -12,8 +12,8 @@
 // covers a round trip between regions and scheduling delays.
 const callMargin = 150 * time.Millisecond
 
-// A loadKey identifies a load: an adapter version and the endpoint that has to hold it.
-type loadKey struct {
+// A load identifies an order to load: an adapter version and the endpoint that has to hold it.
+type load struct {
 	endpoint ggscore.EndpointID
 	target   ggscore.ModelAdapter
 	version  uint64
@@ -28,7 +28,7 @@
 // ensureLoaded has the request's adapter loaded at the endpoint. Requests that need the same
 // load share one wait.
 func (e *Edge) ensureLoaded(ctx context.Context, i ggscore.Instance, j *job) error {
-	l := loadKey{endpoint: i.ID, target: j.meta.Model, version: j.version}
+	l := load{endpoint: i.ID, target: j.meta.Model, version: j.version}
 	e.mu.Lock()
 	g := e.loads[l]
 	if g == nil {
@@ -49,7 +49,7 @@
 }
 
 // load has an adapter loaded by the endpoint's owner.
-func (e *Edge) load(ctx context.Context, l loadKey, g *pendingLoad) {
+func (e *Edge) load(ctx context.Context, l load, g *pendingLoad) {
 	ctx, cancel := context.WithTimeout(ctx, ggsplace.LoadWait+callMargin)
 	defer cancel()
 	e.mu.Lock()
@@ -87,7 +87,7 @@
 
 // awaitLoad has an adapter loaded at an endpoint that this VM owns, and returns the loaded
 // version.
-func (e *Edge) awaitLoad(ctx context.Context, l loadKey) (uint64, error) {
+func (e *Edge) awaitLoad(ctx context.Context, l load) (uint64, error) {
 	begun := e.Steady()
 	for {
 		e.mu.Lock()
@@ -125,7 +125,7 @@
 	ctx  context.Context //nolint:containedctx // net/rpc hands its methods none
 }
 
-// EnsureArgs requests that an endpoint holds an adapter.
+// An EnsureArgs requests that an endpoint holds an adapter.
 type EnsureArgs struct {
 	Endpoint string
 	Model    string
@@ -144,7 +144,7 @@
 func (p *Placement) Ensure(a *EnsureArgs, r *EnsureReply) error {
 	ctx, cancel := context.WithTimeout(p.ctx, ggsplace.LoadWait)
 	defer cancel()
-	v, err := p.edge.awaitLoad(ctx, loadKey{
+	v, err := p.edge.awaitLoad(ctx, load{
 		endpoint: ggscore.EndpointID(a.Endpoint), version: a.Version,
 		target: ggscore.ModelAdapter{Model: ggscore.BaseModel(a.Model), Adapter: a.Adapter},
 	})
--- a/io/ggsedge/seeds.go
+++ b/io/ggsedge/seeds.go
@@ -21,7 +21,7 @@
 
 const entriesMethod = "Placement.Entries"
 
-// EntriesArgs requests the store's entries as the VM last read them.
+// An EntriesArgs requests the store's entries as the VM last read them.
 type EntriesArgs struct{}
 
 // An EntriesReply has the entries, grouped by the prefixes of their keys.
--- a/io/ggsedge/state.go
+++ b/io/ggsedge/state.go
@@ -89,7 +89,7 @@
 	slices.SortFunc(vs, func(a, b ggscore.AdapterVersion) int { return cmp.Compare(a.Target.String(), b.Target.String()) })
 }
 
-// stateWire is the JSON form of a State. Durations are in seconds.
+// A stateWire is the JSON form of a State. Durations are in seconds.
 type stateWire struct {
 	Domain         string         `json:"domain"`
 	ConfigVersion  uint64         `json:"configVersion"`
