--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -20,8 +20,8 @@
 	fullHoldingsInterval = 900 * time.Millisecond
 	// heartbeatDelay is the assumed delay of a heartbeat: a trip between regions and a relay.
 	heartbeatDelay = 20 * time.Millisecond
-	// summaryMaxAge is the age of the last summary up to which the counts of directly received
-	// heartbeats are ignored, since the summaries of relays include them.
+	// summaryMaxAge is the age of the last summary up to which directly received heartbeats
+	// aren't applied, since the summaries of relays include their counts.
 	summaryMaxAge = time.Second
 	// fleet stands for all VMs together in summaries that say who uses an adapter.
 	fleet ggscore.VMID = ""
--- a/io/ggsedge/load_test.go
+++ b/io/ggsedge/load_test.go
@@ -14,15 +14,15 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// A muteFirst is a listener that doesn't serve its first connection.
-type muteFirst struct {
+// A silentFirstListener is a listener that doesn't serve its first connection.
+type silentFirstListener struct {
 	net.Listener
-	seen atomic.Bool
+	accepted atomic.Bool
 }
 
-func (m *muteFirst) Accept() (net.Conn, error) {
+func (m *silentFirstListener) Accept() (net.Conn, error) {
 	c, err := m.Listener.Accept()
-	if err != nil || m.seen.Swap(true) {
+	if err != nil || m.accepted.Swap(true) {
 		return c, err
 	}
 	return m.Listener.Accept()
@@ -47,7 +47,7 @@
 	s := ggsrpc.NewServer()
 	c.Assert(s.Register("Placement", loadedOwner{}), qt.IsNil)
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(ctx, &muteFirst{Listener: l}) }()
+	go func() { done <- s.Serve(ctx, &silentFirstListener{Listener: l}) }()
 
 	e := listEdge()
 	e.Calls = ggsrpc.NewPool(ggsrpc.PoolOptions{})
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -75,7 +75,7 @@
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// An epochRecord says that no right to send orders from before an epoch is still valid.
+// An epochRecord says that no right to send orders from before the epoch Settled is valid.
 type epochRecord struct {
 	Settled uint64 `json:"settled"`
 }
@@ -106,20 +106,20 @@
 	return ggscore.KeyOf(string(e.options.Keys.Own), epochPart)
 }
 
-// freshRecords is how long the VMs' own records are read without stale reads in a new epoch. A
-// stale read may return data of the previous epoch and name the new one.
-const freshRecords = 5 * time.Second
+// freshReadPeriod is how long the VMs' own records are read without stale reads in a new
+// epoch. A stale read may return data of the previous epoch and name the new one.
+const freshReadPeriod = 5 * time.Second
 
 // followMembers reads the records of VMs and of owners. Stale reads suffice outside of
-// freshRecords, since all writes are conditional on revisions.
+// freshReadPeriod, since all writes are conditional on revisions.
 func (e *Edge) followMembers(ctx context.Context) error {
 	lost, failures := false, 0
 	var epoch ggscore.StoreEpoch
-	fresh := e.Now().Add(freshRecords)
+	fresh := e.Now().Add(freshReadPeriod)
 	read := false
 	for ctx.Err() == nil {
 		if c := e.epochs.current(); c != epoch {
-			epoch, fresh, read = c, e.Now().Add(freshRecords), false
+			epoch, fresh, read = c, e.Now().Add(freshReadPeriod), false
 		}
 		es, at, err := e.Store.Snapshot(ctx, e.options.Keys.Own+"/", read && (epoch == 0 || !e.Now().Before(fresh)))
 		e.logDependency(&lost, err == nil, "members", err)
@@ -142,15 +142,15 @@
 	return nil
 }
 
-// recordsRetryShare divides the interval between reads of the VMs' own records. The quotient
+// recordsRetryDivisor divides the interval between reads of the VMs' own records. The quotient
 // is the minimum pause after a failed read on a VM that serves.
-const recordsRetryShare = 4
+const recordsRetryDivisor = 4
 
 func (e *Edge) recordsRetry(interval time.Duration) time.Duration {
 	if !e.started() {
 		return 0
 	}
-	return interval / recordsRetryShare
+	return interval / recordsRetryDivisor
 }
 
 func (e *Edge) setMembers(ctx context.Context, es []ggscore.Entry, at ggscore.StorePosition) {
