--- a/io/ggsedge/attempt_test.go
+++ b/io/ggsedge/attempt_test.go
@@ -12,12 +12,13 @@
 	"greengageslip/io/ggsexchange"
 )
 
-// Guards against a request that is placed anew before it is sent and earns repeats twice.
-func TestRequestEarnsRepeatsOnce(t *testing.T) {
+// Guards against a request that is added to the retry budget twice because it is sent to a
+// second endpoint.
+func TestRequestIsAddedToRetryBudgetOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	now := func() time.Time { return time.Unix(1_000, 0) }
-	// Each request earns half a repeat.
+	// Each request adds half a retry to the budget.
 	e := New(Options{VM: "vm", RetryRatio: 0.5 / retryShare}, Parts{
 		Log: log.NewNopLogger(), Now: now, Steady: now, Pool: ggsexchange.NewPool(ggsexchange.Options{Now: now}),
 	})
@@ -31,10 +32,10 @@
 	}
 	j := &job{service: "s"}
 	for _, id := range []ggscore.EndpointID{"a", "b"} {
-		e.begin(j, id)
-		e.end(j, id, ggsretry.ResultNeutral)
+		e.beginSend(j, id)
+		e.endSend(j, id, ggsretry.ResultNeutral)
 	}
 	c.Assert(granted(), qt.IsFalse)
-	e.begin(&job{service: "s"}, "a")
+	e.beginSend(&job{service: "s"}, "a")
 	c.Assert(granted(), qt.IsTrue)
 }
--- a/io/ggsedge/epoch.go
+++ b/io/ggsedge/epoch.go
@@ -12,69 +12,70 @@
 	"greengageslip/io/ggslog"
 )
 
-// The sources from which a VM learns of a new epoch.
+// Sources from which a VM learns of a new epoch.
 const (
-	epochByStore = "store"
-	epochByPeer  = "peer"
+	epochFromStore = "store"
+	epochFromPeer  = "peer"
 )
 
-// An epochs is what a VM knows of the store's epoch.
-type epochs struct {
+// An epochState tracks the current epoch of the store.
+type epochState struct {
 	log log.Logger
 	now func() time.Time
-	// changed is called after each change, without the lock held.
+	// changed is called after each change, without mu held.
 	changed func(epochChange)
 
-	// mu guards what follows and is a leaf.
+	// mu guards the fields below and is a leaf lock.
 	mu      sync.Mutex
 	tracker *ggsepoch.Tracker
-	// ignored are the reasons for which named epochs were ignored, each logged once.
+	// ignored has the reasons for which epochs in answers were ignored. Each is logged once.
 	ignored map[ggsepoch.Reason]bool
-	// last is the position of the last answer, since when the current epoch was learnt.
-	last  ggscore.StorePosition
-	since time.Time
+	// lastPosition is the position of the last answer. since is when this VM learned of the
+	// current epoch.
+	lastPosition ggscore.StorePosition
+	since        time.Time
 }
 
-// An epochChange says how a VM learnt of a new epoch.
+// An epochChange describes how a VM learned of a new epoch.
 type epochChange struct {
 	from, to ggscore.StoreEpoch
-	// revision is that of the last answer in the epoch before.
+	// revision is that of the last answer in the previous epoch.
 	revision ggscore.StoreRevision
 	by       string
 }
 
-func newEpochs(l log.Logger, now func() time.Time, changed func(epochChange)) *epochs {
-	return &epochs{log: l, now: now, changed: changed, tracker: ggsepoch.NewTracker(), ignored: map[ggsepoch.Reason]bool{}}
+func newEpochState(l log.Logger, now func() time.Time, changed func(epochChange)) *epochState {
+	return &epochState{log: l, now: now, changed: changed, tracker: ggsepoch.NewTracker(), ignored: map[ggsepoch.Reason]bool{}}
 }
 
-// enter notes that a new epoch was learnt. epochs.mu is held.
-func (e *epochs) enter(from ggscore.StoreEpoch, by string) epochChange {
+// recordChange records that the current epoch has changed. epochState.mu is held.
+func (e *epochState) recordChange(from ggscore.StoreEpoch, by string) epochChange {
 	e.since = e.now()
-	return epochChange{from: from, to: e.tracker.Current(), revision: e.last.Revision, by: by}
+	return epochChange{from: from, to: e.tracker.Current(), revision: e.lastPosition.Revision, by: by}
 }
 
-// learntAt returns the current epoch, and when it was learnt.
-func (e *epochs) learntAt() (ggscore.StoreEpoch, time.Time) {
+// currentSince returns the current epoch, and when this VM learned of it.
+func (e *epochState) currentSince() (ggscore.StoreEpoch, time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.Current(), e.since
 }
 
 // current returns the current epoch.
-func (e *epochs) current() ggscore.StoreEpoch {
+func (e *epochState) current() ggscore.StoreEpoch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.tracker.Current()
 }
 
-// learn takes an epoch that a peer knows.
-func (e *epochs) learn(to ggscore.StoreEpoch) {
+// observePeer processes the epoch that a peer knows.
+func (e *epochState) observePeer(to ggscore.StoreEpoch) {
 	e.mu.Lock()
 	from := e.tracker.Current()
 	changed := e.tracker.ObservePeer(to)
 	var c epochChange
 	if changed {
-		c = e.enter(from, epochByPeer)
+		c = e.recordChange(from, epochFromPeer)
 	}
 	e.mu.Unlock()
 	if changed {
@@ -82,17 +83,18 @@
 	}
 }
 
-// answer takes the position that an answer of the store named.
-func (e *epochs) answer(sent ggscore.StoreEpoch, at ggscore.StorePosition, stale bool) ggsepoch.Answer {
+// observeAnswer processes the position that an answer of the store names. sent is the current
+// epoch at the time of the call.
+func (e *epochState) observeAnswer(sent ggscore.StoreEpoch, at ggscore.StorePosition, stale bool) ggsepoch.Answer {
 	e.mu.Lock()
 	from := e.tracker.Current()
 	a := e.tracker.Answer(sent, at.Epoch, stale)
 	var c epochChange
 	if a.Changed {
-		c = e.enter(from, epochByStore)
+		c = e.recordChange(from, epochFromStore)
 	}
 	if !a.Late && at.Revision > 0 {
-		e.last = ggscore.StorePosition{Epoch: a.Epoch, Revision: at.Revision}
+		e.lastPosition = ggscore.StorePosition{Epoch: a.Epoch, Revision: at.Revision}
 	}
 	first := a.Ignored != ggsepoch.ReasonNone && !e.ignored[a.Ignored]
 	if first {
@@ -108,7 +110,8 @@
 	return a
 }
 
-// epochChanged has all that was read in the epoch before read anew. It takes no lock.
+// epochChanged has everything read again that was read in the previous epoch. It takes no
+// lock.
 func (e *Edge) epochChanged(c epochChange) {
 	if c.from > 0 {
 		_ = level.Info(e.Log).Log("event", ggslog.EventStoreEpochChanged, "from", c.from, "to", c.to, "revision", c.revision, "by", c.by)
@@ -121,30 +124,30 @@
 // resyncTime returns how long this VM took to read the store in the current epoch, or has
 // taken so far. Edge.mu is held.
 func (e *Edge) resyncTime() time.Duration {
-	c, since := e.epochs.learntAt()
+	c, since := e.epochs.currentSince()
 	if since.IsZero() {
 		return 0
 	}
-	if e.resynced != c {
+	if e.resyncedEpoch != c {
 		return e.Now().Sub(since)
 	}
-	return e.resyncTook
+	return e.resyncDuration
 }
 
-// noteResynced notes that list, operators' entries and records were read in the current epoch.
-// Edge.mu is held.
-func (e *Edge) noteResynced() {
-	c, since := e.epochs.learntAt()
-	k, _ := e.keeper.Epoch()
-	if e.resynced == c || e.listRead.Epoch != c || e.operatorsRead.Epoch != c || k != c {
+// recordResync records the end of the resync, which is when the list, the operators' entries
+// and the VMs' own records were all read in the current epoch. Edge.mu is held.
+func (e *Edge) recordResync() {
+	c, since := e.epochs.currentSince()
+	k, _ := e.ownership.Epoch()
+	if e.resyncedEpoch == c || e.listRead.Epoch != c || e.operatorsRead.Epoch != c || k != c {
 		return
 	}
-	e.resynced, e.resyncTook = c, e.Now().Sub(since)
-	_ = level.Info(e.Log).Log("event", ggslog.EventStoreResynced, "epoch", c, "took", e.resyncTook)
+	e.resyncedEpoch, e.resyncDuration = c, e.Now().Sub(since)
+	_ = level.Info(e.Log).Log("event", ggslog.EventStoreResynced, "epoch", c, "took", e.resyncDuration)
 }
 
-// begun returns the first position of the current epoch.
-func (e *epochs) begun() ggscore.StorePosition {
+// start returns the first position of the current epoch, zero if no epoch is known.
+func (e *epochState) start() ggscore.StorePosition {
 	if c := e.current(); c > 0 {
 		return ggscore.StorePosition{Epoch: c, Revision: 1}
 	}
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// listTick is how often the list's age is looked at.
-	listTick = 50 * time.Millisecond
-	// minResyncInterval limits resyncs of the list triggered by peers.
+	// listPollInterval is the minimum pause between checks of the list's age.
+	listPollInterval = 50 * time.Millisecond
+	// minResyncInterval is the minimum time between resyncs of the list triggered by peers.
 	minResyncInterval = 300 * time.Millisecond
 )
 
-// pause waits, or returns false when the context ends.
-func pause(ctx context.Context, d time.Duration) bool { return pauseOr(ctx, d, nil) }
+// pause waits for d. It returns false if the context ends first.
+func pause(ctx context.Context, d time.Duration) bool { return pauseOrWake(ctx, d, nil) }
 
-// pauseOr is pause, cut short by a wake-up.
-func pauseOr(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
+// pauseOrWake is pause, ended early by a message on wake.
+func pauseOrWake(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -39,21 +39,22 @@
 	}
 }
 
-// livePeers returns the VMs whose heartbeats arrive.
+// livePeers returns the VMs whose last heartbeat is younger than peerTimeout.
 func (e *Edge) livePeers() []ggscore.VMID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var vms []ggscore.VMID
 	for vm, p := range e.peers {
-		if e.Now().Sub(p.heard) < peerLiveness {
+		if e.Now().Sub(p.lastSeen) < peerTimeout {
 			vms = append(vms, vm)
 		}
 	}
 	return vms
 }
 
-// waitForList waits until the list of endpoints is to be read: a peer saw it
-// change, or nobody has read it for some time.
+// waitForList waits until the list of endpoints has to be read: a peer observed a change, or
+// the last read by any VM is older than this VM's limit. It returns false if the context ends
+// first.
 func (e *Edge) waitForList(ctx context.Context) bool {
 	limit := e.listLimit()
 	for {
@@ -61,7 +62,7 @@
 		if left <= 0 {
 			return true
 		}
-		if !pauseOr(ctx, max(left, listTick), e.listNotified) {
+		if !pauseOrWake(ctx, max(left, listPollInterval), e.listNotified) {
 			return false
 		}
 		if e.listBehind() {
@@ -70,7 +71,7 @@
 	}
 }
 
-// untilListDue returns the time until the list may change though no entry does.
+// untilListDue returns the time until the list may change without a change of its entries.
 func (e *Edge) untilListDue() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,16 +83,16 @@
 	return due.Sub(now)
 }
 
-// listLimit returns the age of the list from which this VM reads it.
+// listLimit returns the age of the list at which this VM reads it.
 func (e *Edge) listLimit() time.Duration {
-	heard := e.livePeers()
-	if len(heard) == 0 {
+	live := e.livePeers()
+	if len(live) == 0 {
 		return ggsgossip.AloneReadAge()
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.node.UsesRelays() {
-		return ggsgossip.ReadAge(ggsgossip.Rank(e.options.VM, heard), rand.Float64())
+		return ggsgossip.ReadAge(ggsgossip.Rank(e.options.VM, live), rand.Float64())
 	}
 	relays := e.node.AllRelays(e.Now())
 	if !slices.Contains(relays, e.options.VM) {
@@ -114,8 +115,8 @@
 	return e.Now().Sub(e.listObserved)
 }
 
-// listBehind reports whether a peer saw the list change after this VM read it, or the store
-// came back from a copy since.
+// listBehind reports whether a peer announced a change of the list that this VM has not read,
+// or the store has returned from an older copy since.
 func (e *Edge) listBehind() bool {
 	epoch := e.epochs.current()
 	e.mu.Lock()
@@ -123,42 +124,42 @@
 	return e.listRead.Before(e.listAnnounced) || e.listRead.Epoch < epoch
 }
 
-// pauseFailed waits after so many failed calls of the store in a row.
+// pauseFailed waits for the backoff after a number of consecutive failed calls of the store.
 func (e *Edge) pauseFailed(ctx context.Context, failures int) bool {
 	return pause(ctx, ggsgossip.RetryPause(failures, e.started(), rand.Float64()))
 }
 
-// peerLiveness is the age of a peer's last heartbeat from which it counts as gone.
-const peerLiveness = time.Second
+// peerTimeout is the age of a peer's last heartbeat from which the peer counts as gone.
+const peerTimeout = time.Second
 
-// dependency logs that a part of the store was lost or is back.
-func (e *Edge) dependency(away *bool, ok bool, what string, err error) {
+// logDependency logs when a part of the store becomes unreachable or reachable again.
+func (e *Edge) logDependency(lost *bool, ok bool, what string, err error) {
 	switch {
-	case ok && *away:
+	case ok && *lost:
 		_ = level.Info(e.Log).Log("event", ggslog.EventDependencyRegained, "dependency", "store", "part", what)
-	case !ok && !*away:
+	case !ok && !*lost:
 		_ = level.Warn(e.Log).Log("event", ggslog.EventDependencyLost, "dependency", "store", "part", what, "err", err)
 	}
-	*away = !ok
+	*lost = !ok
 }
 
-// readFailed logs the first, second, fourth, eighth … failure in a row of a reading.
-func (e *Edge) readFailed(part string, failures int, err error) {
+// logReadFailed logs the first, second, fourth, eighth and so on of consecutive failed reads.
+func (e *Edge) logReadFailed(part string, failures int, err error) {
 	if failures&(failures-1) == 0 {
 		_ = level.Warn(e.Log).Log("event", ggslog.EventReadFailed, "part", part, "failures", failures, "err", err)
 	}
 }
 
-// followInstances keeps the endpoints' entries.
+// followInstances reads the list of endpoints whenever it is due.
 func (e *Edge) followInstances(ctx context.Context) error {
-	away, failures := false, 0
+	lost, failures := false, 0
 	var read ggscore.StorePosition
 	for ctx.Err() == nil {
 		r, err := e.readList(ctx)
-		e.dependency(&away, err == nil, "instances", err)
+		e.logDependency(&lost, err == nil, "instances", err)
 		if err != nil {
 			failures++
-			e.readFailed("instances", failures, err)
+			e.logReadFailed("instances", failures, err)
 			if !e.pauseFailed(ctx, failures) {
 				return nil
 			}
@@ -178,15 +179,15 @@
 	return nil
 }
 
-// readList reads the list of endpoints, from a relay of the domain where a peer saw it
-// change.
+// readList reads the list of endpoints. After a peer announced a change, it reads from a relay
+// of this VM's failure domain if possible.
 func (e *Edge) readList(ctx context.Context) (partReading, error) {
 	e.mu.Lock()
-	announced := e.listAnnounced.Max(e.epochs.begun())
+	announced := e.listAnnounced.Max(e.epochs.start())
 	behind := !e.listRead.IsZero() && e.listRead.Before(announced)
 	e.mu.Unlock()
-	if behind && e.follows() {
-		if r, err := e.fromRelay(ctx, e.options.Keys.Instances, announced); err == nil {
+	if behind && e.isFollower() {
+		if r, err := e.readFromRelay(ctx, e.options.Keys.Instances, announced); err == nil {
 			return r, nil
 		}
 	}
@@ -194,8 +195,8 @@
 	return partReading{entries: es, at: at, read: e.Now()}, err
 }
 
-// setInstances takes a reading of the list of endpoints. Its position is zero where a seed
-// answered it.
+// setInstances applies a reading of the list of endpoints. The reading's position is zero if
+// it came from a seed.
 func (e *Edge) setInstances(ctx context.Context, r partReading) {
 	es, at := r.entries, r.at
 	readable := make([]ggsregistry.Entry, 0, len(es))
@@ -214,19 +215,20 @@
 		list = e.registry.Read(e.Now(), at, readable)
 	}
 	change := e.table.SetInstances(list)
-	e.keeper.SetListed(e.Now(), list)
+	e.ownership.SetListed(e.Now(), list)
 	if !at.IsZero() {
 		e.listRead = e.listRead.Max(at)
-		e.noteResynced()
+		e.recordResync()
 		e.listReadTime = r.read
 		if r.read.After(e.listObserved) {
 			e.listObserved = r.read
 		}
 	}
-	// A VM that was told of one change may see another: it tells its own reading,
-	// and those who have read as much already find nothing new and tell nothing.
+	// A VM that reads the list because of one announced change may find further changes. It
+	// therefore announces the position of its own reading. VMs that have read as far find no
+	// change and announce nothing new.
 	if change.Any && !at.IsZero() {
-		e.listedAt = e.listRead
+		e.listChangedAt = e.listRead
 	}
 	e.listed = true
 	e.entries[e.options.Keys.Instances] = es
--- a/io/ggsedge/heartbeats_bench_test.go
+++ b/io/ggsedge/heartbeats_bench_test.go
@@ -17,15 +17,15 @@
 	benchEndpoints = 68
 )
 
-// benchEdge returns a VM of a large deployment that knows the others and all endpoints.
+// benchEdge returns a VM of a large deployment that knows all VMs and endpoints.
 func benchEdge() *Edge {
 	e := listEdge()
 	e.Now = time.Now //nolint:forbidigo // the benchmark's clock
 	e.options.Domain = "d0"
-	e.node = ggsrelay.NewNode(ggsrelay.Options{Self: e.options.member()})
+	e.node = ggsrelay.NewNode(ggsrelay.Options{Self: e.options.relayMember()})
 	for i := range benchVMs - 1 {
 		e.peers[ggscore.VMID(fmt.Sprintf("front-%03d", i))] = &member{
-			beats: netip.MustParseAddrPort("127.0.0.1:9"), domain: ggscore.Domain(fmt.Sprintf("d%d", i%6)), capacity: 4, heard: e.Now(),
+			datagramAddr: netip.MustParseAddrPort("127.0.0.1:9"), domain: ggscore.Domain(fmt.Sprintf("d%d", i%6)), capacity: 4, lastSeen: e.Now(),
 		}
 	}
 	e.node.SetMembers(e.relayMembers())
@@ -50,7 +50,7 @@
 	return list
 }
 
-// benchView returns what a relay tells.
+// benchView returns a view as a relay's summary gives it.
 func benchView(e *Edge) ggsrelay.View {
 	v := ggsrelay.View{CountsValid: true}
 	for vm := range e.peers {
@@ -70,7 +70,7 @@
 		},
 		"view": func(e *Edge) func() {
 			v := benchView(e)
-			return func() { e.adoptView(v) }
+			return func() { e.applyView(v) }
 		},
 		"choose": func(e *Edge) func() {
 			q := ggsplace.Query{Service: "s", Engine: &ggscore.EngineSpec{AdapterSlots: 11}, Target: ggscore.ModelAdapter{Model: "m", Adapter: "a703"}}
@@ -91,7 +91,7 @@
 			return func() { e.table.SetInstances(l) }
 		},
 		"claims": func(e *Edge) func() {
-			return func() { e.claimAll(b.Context()) }
+			return func() { e.writeClaims(b.Context()) }
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
--- a/io/ggsedge/list_test.go
+++ b/io/ggsedge/list_test.go
@@ -14,7 +14,7 @@
 	"greengageslip/io/ggsexchange"
 )
 
-// A listCodec reads an entry whose value is "ready" or "leaving".
+// A listCodec decodes an entry whose value is "ready" or "leaving".
 type listCodec struct{ Codec }
 
 func (listCodec) Instance(e ggscore.Entry) (ggscore.Instance, error) {
@@ -24,7 +24,7 @@
 	}, nil
 }
 
-// position returns a position of the store's only epoch.
+// position returns a position in the store's only epoch.
 func position(r ggscore.StoreRevision) ggscore.StorePosition {
 	return ggscore.StorePosition{Revision: r}
 }
@@ -40,11 +40,10 @@
 	return []ggscore.Entry{{Key: "list/a", Value: []byte(first)}, {Key: "list/b", Value: []byte(second)}}
 }
 
-// Two runners leave shortly after each other. A VM that was told of the first reads
-// the list, and sees that the second leaves as well. It passed on only what it was
-// told, with the list's fresh age, so nobody else read the list for a second and
-// more, and the second runner got requests 2.6 s after it had said that it leaves.
-func TestSecondChangeIsTold(t *testing.T) {
+// Guards against a change that is found during a resync and not announced. The VM announced
+// only the change that triggered the resync, with the list's fresh age. No other VM read the
+// list for over a second, and a runner got requests 2.6 s after it had announced its departure.
+func TestSecondChangeIsAnnounced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	e := listEdge()
@@ -52,25 +51,25 @@
 	e.setInstances(ctx, partReading{entries: entries("ready", "ready"), at: position(490), read: e.Now()})
 	e.listAnnounced = position(500)
 	e.setInstances(ctx, partReading{entries: entries("leaving", "leaving"), at: position(510), read: e.Now()})
-	c.Assert(e.listedAt.Before(position(510)), qt.IsFalse, qt.Commentf("told %s", e.listedAt))
+	c.Assert(e.listChangedAt.Before(position(510)), qt.IsFalse, qt.Commentf("announced %s", e.listChangedAt))
 
-	// Without a change nothing new is told, or two VMs would have each other read
-	// the list for ever.
-	at := e.listedAt
+	// Without a change, no new position is announced. Otherwise two VMs would make each other
+	// read the list forever.
+	at := e.listChangedAt
 	e.setInstances(ctx, partReading{entries: entries("leaving", "leaving"), at: position(520), read: e.Now()})
-	c.Assert(e.listedAt, qt.Equals, at)
+	c.Assert(e.listChangedAt, qt.Equals, at)
 }
 
-// Runners start one after the other, and each changes the list. Each VM read it anew
-// for each of them, 266 times a second in a deployment of 65 VMs.
-func TestChangesInARowAreReadTogether(t *testing.T) {
+// Guards against one read of the list per change. Runners that start one after the other each
+// change the list, and 65 VMs read it 266 times a second.
+func TestConsecutiveChangesAreReadTogether(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		read        time.Duration
 		least, most time.Duration
 	}{
-		"read just now":         {0, minResyncInterval - 50*time.Millisecond, minResyncInterval + 300*time.Millisecond},
-		"read some time before": {minResyncInterval, 0, 200 * time.Millisecond},
+		"read just now":                    {0, minResyncInterval - 50*time.Millisecond, minResyncInterval + 300*time.Millisecond},
+		"read one minimum interval before": {minResyncInterval, 0, 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/io/ggsedge/load_test.go
+++ b/io/ggsedge/load_test.go
@@ -14,30 +14,30 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// A muteFirst is a listener whose first connection nobody serves.
-type muteFirst struct {
+// A silentFirstListener is a listener that doesn't serve its first connection.
+type silentFirstListener struct {
 	net.Listener
-	seen atomic.Bool
+	accepted atomic.Bool
 }
 
-func (m *muteFirst) Accept() (net.Conn, error) {
+func (m *silentFirstListener) Accept() (net.Conn, error) {
 	c, err := m.Listener.Accept()
-	if err != nil || m.seen.Swap(true) {
+	if err != nil || m.accepted.Swap(true) {
 		return c, err
 	}
 	return m.Listener.Accept()
 }
 
-// An orderer answers like a peer that has everything loaded at once.
-type orderer struct{}
+// A loadedOwner answers like a peer that holds each adapter already.
+type loadedOwner struct{}
 
-func (orderer) Ensure(_ *EnsureArgs, r *EnsureReply) error {
+func (loadedOwner) Ensure(_ *EnsureArgs, r *EnsureReply) error {
 	r.Version = 3
 	return nil
 }
 
-// The connection to a peer goes silent for good, while new ones work. Every load at
-// the peer's runners waited 0.9 s and failed, for as long as both processes ran.
+// Guards against keeping a stalled connection to a peer. Every load at the peer's runners
+// waited 0.9 s and failed for as long as both processes ran.
 func TestSilentConnectionToAPeerIsReplaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -45,16 +45,16 @@
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	s := ggsrpc.NewServer()
-	c.Assert(s.Register("Placement", orderer{}), qt.IsNil)
+	c.Assert(s.Register("Placement", loadedOwner{}), qt.IsNil)
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(ctx, &muteFirst{Listener: l}) }()
+	go func() { done <- s.Serve(ctx, &silentFirstListener{Listener: l}) }()
 
 	e := listEdge()
 	e.Calls = ggsrpc.NewPool(ggsrpc.PoolOptions{})
-	e.keeper.Observe(e.Now(), position(1), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: "r", Owner: "peer", Revision: 1}}})
-	e.peers["peer"] = &member{calls: netip.MustParseAddrPort(l.Addr().String())}
+	e.ownership.Observe(e.Now(), position(1), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: "r", Owner: "peer", Revision: 1}}})
+	e.peers["peer"] = &member{controlAddr: netip.MustParseAddrPort(l.Addr().String())}
 	loadOnce := func() error {
-		g := &loading{done: make(chan struct{})}
+		g := &pendingLoad{done: make(chan struct{})}
 		e.load(ctx, load{endpoint: "r", target: ggscore.ModelAdapter{Model: "m", Adapter: "a"}}, g)
 		<-g.done
 		return g.err
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -17,34 +17,34 @@
 	"greengageslip/io/ggslog"
 )
 
-// The own records' keys below the prefix.
+// Key parts of the VMs' own records below the prefix.
 const (
-	memberPart  = "vm"
-	ordererPart = "orderer"
-	epochPart   = "epoch"
+	memberPart = "vm"
+	ownerPart  = "orderer"
+	epochPart  = "epoch"
 )
 
-// A memberRecord is a VM's beat in the store.
+// A memberRecord is a VM's store heartbeat.
 type memberRecord struct {
-	Domain  string `json:"domain"`
-	Beats   string `json:"beats"`
-	Control string `json:"control"`
-	// Capacity compares VMs by processor and link.
+	Domain       string `json:"domain"`
+	DatagramAddr string `json:"beats"`
+	ControlAddr  string `json:"control"`
+	// Capacity compares VMs by processor and network link.
 	Capacity uint64 `json:"capacity,omitempty"`
-	// Count makes each beat a change.
+	// Count makes each store heartbeat a change.
 	Count uint64 `json:"count"`
-	// Shapes are what the VM has learnt of how endpoints read, for VMs that start.
+	// Shapes are the learned prompt processing times of services, for VMs that start.
 	Shapes []shapeRecord `json:"shapes,omitempty"`
 }
 
-// A shapeRecord is a ggscore.TurnShape. Durations are in microseconds.
+// A shapeRecord is the JSON form of a ggscore.TurnShape. The fields' tags name the units.
 type shapeRecord struct {
-	Service  string  `json:"service"`
-	PerToken int64   `json:"perTokenNanoseconds"`
-	Start    int64   `json:"startMicroseconds"`
-	Quiet    int64   `json:"quietMicroseconds"`
-	Waits    bool    `json:"waits"`
-	Without  float64 `json:"without"`
+	Service        string  `json:"service"`
+	PerToken       int64   `json:"perTokenNanoseconds"`
+	Start          int64   `json:"startMicroseconds"`
+	Quiet          int64   `json:"quietMicroseconds"`
+	Waits          bool    `json:"waits"`
+	DegradedBefore float64 `json:"without"`
 }
 
 func shapeRecords(hs []ggscore.TurnShape) []shapeRecord {
@@ -52,7 +52,7 @@
 	for _, h := range hs {
 		rs = append(rs, shapeRecord{
 			Service: string(h.Service), PerToken: h.PerToken.Nanoseconds(), Start: h.Start.Microseconds(),
-			Quiet: h.Quiet.Microseconds(), Waits: h.Mode.Waits, Without: h.Mode.DegradedBefore,
+			Quiet: h.Quiet.Microseconds(), Waits: h.Mode.Waits, DegradedBefore: h.Mode.DegradedBefore,
 		})
 	}
 	return rs
@@ -62,67 +62,67 @@
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return ggscore.TurnShape{
 		Service: ggscore.Service(r.Service), PerToken: time.Duration(r.PerToken), Start: us(r.Start),
-		Quiet: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Waits: r.Waits, DegradedBefore: r.Without},
+		Quiet: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Waits: r.Waits, DegradedBefore: r.DegradedBefore},
 	}
 }
 
-// An ordererRecord says who gives an endpoint its orders.
-type ordererRecord struct {
+// An ownerRecord names the VM that owns an endpoint and sends it orders.
+type ownerRecord struct {
 	Owner    string `json:"owner"`
 	Released bool   `json:"released"`
-	// Epoch is the store's when the record was written: a copy of the store, and a write
-	// that is carried out late, have another one than the store.
+	// Epoch is the store epoch in which the record was written. A record restored from a copy of
+	// the store, or written late, has an epoch other than the current one.
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// An epochRecord says that no right to give orders goes on from before an epoch.
+// An epochRecord says that no right to send orders from before the epoch Settled is valid.
 type epochRecord struct {
 	Settled uint64 `json:"settled"`
 }
 
-// member returns the peer that a record names. One without readable addresses
-// is of another version of the program and isn't called.
+// member returns the peer that a record describes. A record without valid addresses is from
+// another version of the program, and its VM isn't called.
 func (w *memberRecord) member() (*member, bool) {
-	b, err := netip.ParseAddrPort(w.Beats)
+	b, err := netip.ParseAddrPort(w.DatagramAddr)
 	if err != nil {
 		return nil, false
 	}
-	c, err := netip.ParseAddrPort(w.Control)
+	c, err := netip.ParseAddrPort(w.ControlAddr)
 	if err != nil {
 		return nil, false
 	}
-	return &member{beats: b, calls: c, capacity: w.Capacity}, true
+	return &member{datagramAddr: b, controlAddr: c, capacity: w.Capacity}, true
 }
 
 func (e *Edge) memberKey(vm ggscore.VMID) ggscore.Key {
 	return ggscore.KeyOf(string(e.options.Keys.Own), memberPart, string(vm))
 }
 
-func (e *Edge) ordererKey(id ggscore.EndpointID) ggscore.Key {
-	return ggscore.KeyOf(string(e.options.Keys.Own), ordererPart, string(id))
+func (e *Edge) ownerKey(id ggscore.EndpointID) ggscore.Key {
+	return ggscore.KeyOf(string(e.options.Keys.Own), ownerPart, string(id))
 }
 
 func (e *Edge) epochKey() ggscore.Key {
 	return ggscore.KeyOf(string(e.options.Keys.Own), epochPart)
 }
 
-// freshRecords is the time for which the own records are read fresh in a new epoch: a stale
-// reading may be of the one before and name the new one.
-const freshRecords = 5 * time.Second
+// freshReadPeriod is how long the VMs' own records are read without stale reads in a new
+// epoch. A stale read may return data of the previous epoch and name the new one.
+const freshReadPeriod = 5 * time.Second
 
-// followMembers keeps the records of VMs and of who gives orders. A stale
-// reading is enough: what is written goes by revisions.
+// followMembers reads the records of VMs and of owners. Stale reads suffice outside of
+// freshReadPeriod, since all writes are conditional on revisions.
 func (e *Edge) followMembers(ctx context.Context) error {
-	away, failures := false, 0
+	lost, failures := false, 0
 	var epoch ggscore.StoreEpoch
-	fresh := e.Now().Add(freshRecords)
+	fresh := e.Now().Add(freshReadPeriod)
 	read := false
 	for ctx.Err() == nil {
 		if c := e.epochs.current(); c != epoch {
-			epoch, fresh, read = c, e.Now().Add(freshRecords), false
+			epoch, fresh, read = c, e.Now().Add(freshReadPeriod), false
 		}
 		es, at, err := e.Store.Snapshot(ctx, e.options.Keys.Own+"/", read && (epoch == 0 || !e.Now().Before(fresh)))
-		e.dependency(&away, err == nil, "members", err)
+		e.logDependency(&lost, err == nil, "members", err)
 		wait := ggsgossip.RecordsInterval(len(e.livePeers()) + 1)
 		if err != nil {
 			failures++
@@ -131,45 +131,45 @@
 			failures = 0
 			e.setMembers(ctx, es, at)
 			if !read {
-				e.wakeBeats()
+				e.requestStoreHeartbeat()
 			}
 			read = true
 		}
-		if !pauseOr(ctx, wait, e.membersNotified) {
+		if !pauseOrWake(ctx, wait, e.membersNotified) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// recordsRetryShare is the part of the time between readings of the own records after which
-// one that failed is repeated by a VM that serves.
-const recordsRetryShare = 4
+// recordsRetryDivisor divides the interval between reads of the VMs' own records. The quotient
+// is the minimum pause after a failed read on a VM that serves.
+const recordsRetryDivisor = 4
 
 func (e *Edge) recordsRetry(interval time.Duration) time.Duration {
 	if !e.started() {
 		return 0
 	}
-	return interval / recordsRetryShare
+	return interval / recordsRetryDivisor
 }
 
 func (e *Edge) setMembers(ctx context.Context, es []ggscore.Entry, at ggscore.StorePosition) {
 	r, peers := e.readOwn(es)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keeper.Observe(e.Now(), at, r)
-	e.noteResynced()
+	e.ownership.Observe(e.Now(), at, r)
+	e.recordResync()
 	if len(peers) > 0 || !at.IsZero() {
 		for vm, p := range peers {
 			if o := e.peers[vm]; o != nil {
-				p.started, p.sequence, p.heard = o.started, o.sequence, o.heard
+				p.started, p.sequence, p.lastSeen = o.started, o.sequence, o.lastSeen
 			} else {
-				p.heard = e.Now()
+				p.lastSeen = e.Now()
 			}
 		}
-		// A peer whose record is lost writes it again.
+		// A live peer whose record was lost in the store stays known: it writes the record again.
 		for vm, p := range e.peers {
-			if peers[vm] == nil && e.Now().Sub(p.heard) < peerLiveness {
+			if peers[vm] == nil && e.Now().Sub(p.lastSeen) < peerTimeout {
 				peers[vm] = p
 			}
 		}
@@ -183,7 +183,7 @@
 	e.setWorkers(ctx)
 }
 
-// relayMembers returns the peers' places and capacities. Edge.mu is held.
+// relayMembers returns the peers as members for ggsrelay. Edge.mu is held.
 func (e *Edge) relayMembers() []ggsrelay.Member {
 	ms := make([]ggsrelay.Member, 0, len(e.peers))
 	for vm, p := range e.peers {
@@ -192,8 +192,7 @@
 	return ms
 }
 
-// readOwn reads the system's own records. One that can't be read is passed
-// over.
+// readOwn decodes the VMs' own records. An invalid record is logged and skipped.
 func (e *Edge) readOwn(es []ggscore.Entry) (ggsfencing.Reading, map[ggscore.VMID]*member) {
 	var r ggsfencing.Reading
 	peers := map[ggscore.VMID]*member{}
@@ -201,8 +200,8 @@
 		part, name, _ := strings.Cut(strings.TrimPrefix(string(n.Key), string(e.options.Keys.Own)+"/"), "/")
 		var err error
 		switch part {
-		case ordererPart:
-			var w ordererRecord
+		case ownerPart:
+			var w ownerRecord
 			if err = json.Unmarshal(n.Value, &w); err == nil {
 				r.Records = append(r.Records, ggsfencing.Record{
 					Endpoint: ggscore.EndpointID(name), Owner: ggscore.VMID(w.Owner), Released: w.Released,
@@ -216,7 +215,7 @@
 				r.Heartbeats = append(r.Heartbeats, ggsfencing.Heartbeat{
 					VM: vm, Domain: ggscore.Domain(w.Domain), Capacity: w.Capacity, Revision: n.Revision,
 				})
-				e.adoptShapes(w.Shapes)
+				e.restoreShapes(w.Shapes)
 			}
 			if p, ok := w.member(); ok && vm != e.options.VM {
 				p.domain = ggscore.Domain(w.Domain)
@@ -236,8 +235,8 @@
 	return r, peers
 }
 
-// adoptShapes takes what a VM had learnt of how endpoints read.
-func (e *Edge) adoptShapes(rs []shapeRecord) {
+// restoreShapes restores what another VM had learned about prompt processing.
+func (e *Edge) restoreShapes(rs []shapeRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range rs {
--- a/io/ggsedge/parts.go
+++ b/io/ggsedge/parts.go
@@ -19,41 +19,42 @@
 )
 
 const (
-	// partWait is how long a relay waits for its own reading of what it is asked for.
+	// partWait is how long a relay waits until it has itself read the requested position.
 	partWait = 500 * time.Millisecond
-	// partSilence is how long a relay may send nothing.
-	partSilence = partWait + 300*time.Millisecond
-	// partBytes bounds a part when it is unpacked.
-	partBytes = 64 << 20
+	// partIdleTimeout is how long a relay may send nothing before the call fails.
+	partIdleTimeout = partWait + 300*time.Millisecond
+	// maxPartBytes bounds the uncompressed size of a part.
+	maxPartBytes = 64 << 20
 )
 
 const partMethod = "Placement.Part"
 
-// A PartArgs asks for a part of the store that was read up to a revision of an epoch.
+// A PartArgs requests a part of the store, which is all entries below a prefix, as of revision
+// Up of an epoch or later.
 type PartArgs struct {
 	Prefix string
 	Epoch  uint64
 	Up     uint64
 }
 
-// A PartReply has a part of the store as of a revision of an epoch.
+// A PartReply is a part of the store as of revision At of an epoch.
 type PartReply struct {
 	Epoch uint64
 	At    uint64
-	// Age is the time since it was read.
+	// Age is the time since the part was read.
 	Age time.Duration
-	// Entries are packed.
+	// Entries are encoded with gob and compressed with DEFLATE.
 	Entries []byte
 }
 
-// A partReading is a part of the store as this VM last read it.
+// A partReading is a part of the store as last read.
 type partReading struct {
 	entries []ggscore.Entry
 	at      ggscore.StorePosition
 	read    time.Time
 }
 
-// A packer keeps the parts that it packed last: many VMs ask for each.
+// A packer caches the last compressed form of each part, since many VMs request each part.
 type packer struct {
 	mu     sync.Mutex
 	packed map[ggscore.Key]packedPart
@@ -64,7 +65,7 @@
 	bytes []byte
 }
 
-// pack returns the packed entries of a part.
+// pack returns the compressed entries of a part.
 func (p *packer) pack(prefix ggscore.Key, r partReading) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,7 +83,7 @@
 	return b, nil
 }
 
-// forget has a part packed anew: its entries have changed at the same position.
+// forget drops a part from the cache after its entries have changed at the same position.
 func (p *packer) forget(prefix ggscore.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,13 +98,13 @@
 	var b bytes.Buffer
 	z, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "packing entries")
+		return nil, errors.Wrap(err, "encoding and compressing entries")
 	}
 	if err := gob.NewEncoder(z).Encode(ws); err != nil {
-		return nil, errors.Wrap(err, "packing entries")
+		return nil, errors.Wrap(err, "encoding and compressing entries")
 	}
 	if err := z.Close(); err != nil {
-		return nil, errors.Wrap(err, "packing entries")
+		return nil, errors.Wrap(err, "encoding and compressing entries")
 	}
 	return b.Bytes(), nil
 }
@@ -112,8 +113,8 @@
 	z := flate.NewReader(bytes.NewReader(b))
 	defer func() { _ = z.Close() }()
 	var ws []StoredEntry
-	if err := gob.NewDecoder(io.LimitReader(z, partBytes)).Decode(&ws); err != nil {
-		return nil, errors.Wrap(err, "unpacking entries")
+	if err := gob.NewDecoder(io.LimitReader(z, maxPartBytes)).Decode(&ws); err != nil {
+		return nil, errors.Wrap(err, "decompressing and decoding entries")
 	}
 	es := make([]ggscore.Entry, 0, len(ws))
 	for _, w := range ws {
@@ -122,16 +123,16 @@
 	return es, nil
 }
 
-// Part answers with a part of the store, once this VM has read it so far or partWait has
-// passed.
+// Part returns a part of the store. It waits up to partWait until this VM has read the part up
+// to the requested position.
 func (p *Placement) Part(a *PartArgs, r *PartReply) error {
 	prefix := ggscore.Key(a.Prefix)
 	ctx, cancel := context.WithTimeout(p.ctx, partWait)
 	defer cancel()
-	part, err := p.edge.part(prefix)
+	part, err := p.edge.localPart(prefix)
 	up := ggscore.StorePosition{Epoch: ggscore.StoreEpoch(a.Epoch), Revision: ggscore.StoreRevision(a.Up)}
-	for err == nil && part.at.Before(up) && pause(ctx, listTick) {
-		part, err = p.edge.part(prefix)
+	for err == nil && part.at.Before(up) && pause(ctx, listPollInterval) {
+		part, err = p.edge.localPart(prefix)
 	}
 	if err != nil {
 		return err
@@ -141,8 +142,9 @@
 	return err
 }
 
-// part returns a part of the store as this VM last read it.
-func (e *Edge) part(prefix ggscore.Key) (partReading, error) {
+// localPart returns a part of the store as this VM last read it, and a *PartUnknownError if
+// this VM has not read the part.
+func (e *Edge) localPart(prefix ggscore.Key) (partReading, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := partReading{entries: append([]ggscore.Entry(nil), e.entries[prefix]...)}
@@ -158,37 +160,37 @@
 	return r, nil
 }
 
-// follows reports whether this VM leaves it to the relays of its domain to read the store.
-func (e *Edge) follows() bool {
+// isFollower reports whether this VM reads the store through the relays of its domain.
+func (e *Edge) isFollower() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.Now()
-	return e.node.UsesRelays() && now.Sub(e.summarized) < summaryAge && !e.node.IsRelay(now)
+	return e.node.UsesRelays() && now.Sub(e.lastSummary) < summaryMaxAge && !e.node.IsRelay(now)
 }
 
-// relayCalls returns where the relays of the domain take calls.
-func (e *Edge) relayCalls() []netip.AddrPort {
+// relayControlAddrs returns the addresses for calls of the failure domain's relays.
+func (e *Edge) relayControlAddrs() []netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var to []netip.AddrPort
 	for _, vm := range e.node.Relays(e.Now()) {
 		if p := e.peers[vm]; p != nil {
-			to = append(to, p.calls)
+			to = append(to, p.controlAddr)
 		}
 	}
 	return to
 }
 
-// fromRelay returns a part of the store as a relay of the domain read it, up to the
-// position at least.
-func (e *Edge) fromRelay(ctx context.Context, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
-	to := e.relayCalls()
+// readFromRelay returns a part of the store as read by a relay of the failure domain, at least
+// up to the position. It tries the relays in an order that depends on this VM's ID.
+func (e *Edge) readFromRelay(ctx context.Context, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
+	to := e.relayControlAddrs()
 	var err error = &PartUnknownError{Prefix: prefix}
 	first := int(ggsrelay.Hash(e.options.VM))
 	for i := range to {
 		addr := to[(first+i)%len(to)]
 		var r partReading
-		if r, err = e.partOf(ctx, addr, prefix, up); err == nil {
+		if r, err = e.fetchPart(ctx, addr, prefix, up); err == nil {
 			return r, nil
 		}
 		_ = level.Info(e.Log).Log("event", ggslog.EventPartUnread, "part", prefix, "relay", addr, "want", up, "err", err)
@@ -196,11 +198,11 @@
 	return partReading{}, err
 }
 
-// partOf returns a part of the store as the VM at an address read it, up to the position at
-// least.
-func (e *Edge) partOf(ctx context.Context, addr netip.AddrPort, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
+// fetchPart returns a part of the store as read by the VM at an address, at least up to the
+// position.
+func (e *Edge) fetchPart(ctx context.Context, addr netip.AddrPort, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
 	var r PartReply
-	err := e.Calls.CallLong(ctx, partSilence, addr, partMethod, &PartArgs{
+	err := e.Calls.CallLong(ctx, partIdleTimeout, addr, partMethod, &PartArgs{
 		Prefix: string(prefix), Epoch: uint64(up.Epoch), Up: uint64(up.Revision),
 	}, &r)
 	if err != nil {
--- a/io/ggsedge/seeds.go
+++ b/io/ggsedge/seeds.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// seedPause is the pause between questions to seeds, and the time that the
-	// store has at a start before they are asked.
-	seedPause = 300 * time.Millisecond
-	// seedSilence is how long a seed, which may be gone, may send nothing.
-	seedSilence = 700 * time.Millisecond
+	// seedInterval is the time between calls to seeds, and the time that the store has to answer
+	// after a start before seeds are called.
+	seedInterval = 300 * time.Millisecond
+	// seedIdleTimeout is how long a seed, which may be gone, may send nothing.
+	seedIdleTimeout = 700 * time.Millisecond
 )
 
 const entriesMethod = "Placement.Entries"
 
-// An EntriesArgs asks for the store's entries as the VM last read them.
+// An EntriesArgs requests the store's entries as the VM last read them.
 type EntriesArgs struct{}
 
-// An EntriesReply has the entries by the prefix of their keys.
+// An EntriesReply has the entries, grouped by the prefixes of their keys.
 type EntriesReply struct{ Parts []EntriesPart }
 
-// An EntriesPart is the entries below a prefix.
+// An EntriesPart has the entries below a prefix.
 type EntriesPart struct {
 	Prefix  string
 	Entries []StoredEntry
@@ -40,7 +40,7 @@
 	Revision uint64
 }
 
-// Entries answers with the store's entries as this VM last read them.
+// Entries returns the store's entries as this VM last read them.
 func (p *Placement) Entries(_ *EntriesArgs, r *EntriesReply) error {
 	p.edge.mu.Lock()
 	defer p.edge.mu.Unlock()
@@ -51,35 +51,35 @@
 		}
 		r.Parts = append(r.Parts, part)
 	}
-	r.Parts = append(r.Parts, p.edge.ordererPart())
+	r.Parts = append(r.Parts, p.edge.ownerRecords())
 	return nil
 }
 
-// ordererPart returns who gives endpoints orders, as this VM knows it: a claim of
-// its own may be newer than its last reading. Edge.mu is held.
-func (e *Edge) ordererPart() EntriesPart {
+// ownerRecords returns the ownership records as this VM knows them. A claim of this VM may be
+// newer than its last read of the store. Edge.mu is held.
+func (e *Edge) ownerRecords() EntriesPart {
 	part := EntriesPart{Prefix: string(e.options.Keys.Own)}
-	for _, r := range e.keeper.Records() {
-		v, err := json.Marshal(&ordererRecord{Owner: string(r.Owner), Released: r.Released, Epoch: uint64(r.Epoch)})
+	for _, r := range e.ownership.Records() {
+		v, err := json.Marshal(&ownerRecord{Owner: string(r.Owner), Released: r.Released, Epoch: uint64(r.Epoch)})
 		if err != nil {
 			_ = level.Error(e.Log).Log("event", ggslog.EventRecordUnencoded, "err", err)
 			continue
 		}
-		part.Entries = append(part.Entries, StoredEntry{Key: string(e.ordererKey(r.Endpoint)), Value: v, Revision: uint64(r.Revision)})
+		part.Entries = append(part.Entries, StoredEntry{Key: string(e.ownerKey(r.Endpoint)), Value: v, Revision: uint64(r.Revision)})
 	}
 	return part
 }
 
-// askSeeds asks other VMs for what this one goes by, as long as the store hasn't
-// told it since the start. What they know may be old, and is replaced by the
-// store's word when it comes; without it a VM that was restarted while the store
-// is away serves nobody until its return.
+// askSeeds reads the store's entries from other VMs until this VM has read the store for the
+// first time. The entries may be old, and are replaced by the store's own once the store is
+// reachable. Without seeds, a VM that restarts while the store is unreachable can't serve
+// requests until the store returns.
 func (e *Edge) askSeeds(ctx context.Context) error {
-	for n := 0; pause(ctx, seedPause); n++ {
+	for n := 0; pause(ctx, seedInterval); n++ {
 		if e.started() || len(e.options.Seeds) == 0 {
 			return nil
 		}
-		if !e.storeAway.Load() {
+		if !e.storeUnavailable.Load() {
 			continue
 		}
 		e.askSeed(ctx, n%len(e.options.Seeds))
@@ -97,7 +97,7 @@
 func (e *Edge) askSeed(ctx context.Context, n int) {
 	seed := e.options.Seeds[n]
 	var r EntriesReply
-	err := e.Calls.CallLong(ctx, seedSilence, seed, entriesMethod, &EntriesArgs{}, &r)
+	err := e.Calls.CallLong(ctx, seedIdleTimeout, seed, entriesMethod, &EntriesArgs{}, &r)
 	_ = level.Info(e.Log).Log("event", ggslog.EventSeedAsked, "seed", seed, "parts", len(r.Parts), "err", err)
 	if err != nil {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-// adoptPart takes a seed's entries where the store hasn't told its own.
+// adoptPart applies a seed's entries if they weren't read from the store yet.
 func (e *Edge) adoptPart(ctx context.Context, prefix ggscore.Key, es []ggscore.Entry) {
 	switch prefix {
 	case e.options.Keys.Operators:
@@ -125,7 +125,7 @@
 	}
 }
 
-// keepOperators keeps operators' entries in place of those of the same keys.
+// keepOperators stores operators' entries and replaces those with the same keys.
 func (e *Edge) keepOperators(es []ggscore.Entry) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
