--- a/io/ggsgateway/admit.go
+++ b/io/ggsgateway/admit.go
@@ -29,14 +29,14 @@
 	defaultDeadline     = 30 * time.Second
 )
 
-// A chatBody is what the gateway reads of a chat request. All other members
-// are passed on as they came.
+// A chatBody holds the members of a chat request that the gateway reads. All other
+// members are forwarded unchanged.
 type chatBody struct {
 	Model  string `json:"model"`
 	Stream bool   `json:"stream"`
 }
 
-// admitChat reads a request of a model service and resolves it.
+// admitChat reads and resolves a request to a model service.
 func (g *Gateway) admitChat(c *gin.Context, d *ggscore.Document) (*ggscore.Request, *ggscore.Failure) {
 	body, f := readBody(c, d)
 	if f != nil {
@@ -69,7 +69,7 @@
 	return r, g.setKey(c, r, false)
 }
 
-// admitCall reads a request of a plain service and resolves it.
+// admitCall reads and resolves a request to a plain service.
 func (g *Gateway) admitCall(c *gin.Context, d *ggscore.Document) (*ggscore.Request, *ggscore.Failure) {
 	body, f := readBody(c, d)
 	if f != nil {
@@ -99,12 +99,12 @@
 	}
 }
 
-// setKey takes over the idempotency key. A caller that repeats a non-idempotent
-// call without a key would have it run twice, so such a call is refused.
-func (g *Gateway) setKey(c *gin.Context, r *ggscore.Request, needed bool) *ggscore.Failure {
+// setKey copies the idempotency key from the header to the request. A non-idempotent
+// call without a key is refused, because it would run twice if the caller repeated it.
+func (g *Gateway) setKey(c *gin.Context, r *ggscore.Request, required bool) *ggscore.Failure {
 	k := c.GetHeader(headerKey)
 	switch {
-	case k == "" && needed:
+	case k == "" && required:
 		return badRequest("a non-idempotent operation needs the header " + headerKey)
 	case k == "":
 		return nil
@@ -128,7 +128,7 @@
 		return nil, &ggscore.Failure{Kind: ggscore.FailureTooLarge, Outcome: ggscore.OutcomeNotRun, Detail: "the body is too large"}
 	}
 	if err != nil {
-		return nil, badRequest("the body could not be read")
+		return nil, badRequest("the request body could not be read")
 	}
 	return b, nil
 }
--- a/io/ggsgateway/answer.go
+++ b/io/ggsgateway/answer.go
@@ -12,9 +12,10 @@
 	ggscore "greengageslip/core"
 )
 
-// maxHeldBytes is how much of an answer that isn't streamed is held back until
-// it is whole, so that one that breaks can still be answered with an error.
-const maxHeldBytes = 1 << 20
+// maxBufferedBytes bounds the part of an unstreamed answer that is buffered until the
+// answer is complete. While the answer is buffered, a failure can still be sent to the
+// caller as an error status.
+const maxBufferedBytes = 1 << 20
 
 type errorBody struct {
 	Error errorObject `json:"error"`
@@ -28,21 +29,21 @@
 	RetryAfterMillis int64  `json:"retryAfterMillis,omitempty"`
 }
 
-// An answer writes one caller's answer piece by piece, in order.
+// An answer writes the chunks of one answer to the caller in order.
 type answer struct {
 	c      *gin.Context
 	id     string
 	stream bool
-	// next is the number of the next piece.
+	// next is the sequence number of the next chunk.
 	next    int
 	first   ggscore.Chunk
 	stall   time.Duration
-	held    []byte
+	buffer  []byte
 	started bool
 	bytes   int
 }
 
-// add takes the next piece.
+// add writes or buffers the next chunk. stall is read only with the first chunk.
 func (a *answer) add(k ggscore.Chunk, stall time.Duration) error {
 	if k.Seq != a.next {
 		return &PieceOrderError{Want: a.next, Have: k.Seq}
@@ -55,24 +56,26 @@
 	if a.stream || a.started {
 		return a.write(k.Data)
 	}
-	a.held = append(a.held, k.Data...)
-	if k.Final || len(a.held) > maxHeldBytes {
-		h := a.held
-		a.held = nil
+	a.buffer = append(a.buffer, k.Data...)
+	if k.Final || len(a.buffer) > maxBufferedBytes {
+		h := a.buffer
+		a.buffer = nil
 		return a.write(h)
 	}
 	return nil
 }
 
-// fail ends the answer with a failure.
+// fail ends the answer with a failure. It panics with http.ErrAbortHandler if the
+// failure can't be sent to the caller.
 func (a *answer) fail(f *ggscore.Failure) {
 	if !a.started {
 		writeFailure(a.c, f)
 		return
 	}
 	if !a.stream {
-		// Part of a whole answer is out: a caller that read to a clean end
-		// would take it for the whole. Ending the connection shows the break.
+		// Part of an unstreamed answer was sent. If the body ended normally, the
+		// caller would take it for the complete answer. Closing the connection
+		// makes the failure visible.
 		panic(http.ErrAbortHandler)
 	}
 	b, err := json.Marshal(bodyOf(a.id, f))
@@ -109,7 +112,7 @@
 	}}
 }
 
-// statusOf maps failures to HTTP statuses.
+// statusOf returns the HTTP status for a kind of failure.
 func statusOf(k ggscore.FailureKind) int {
 	switch k {
 	case ggscore.FailureBadRequest:
--- a/io/ggsgateway/answer_test.go
+++ b/io/ggsgateway/answer_test.go
@@ -11,9 +11,9 @@
 	ggscore "greengageslip/core"
 )
 
-// A parent read a summary without its middle: a reply between our processes was
-// taken twice and the next one lost, and the pieces were passed on as they came.
-func TestPiecesOutOfOrderAreNotPassedOn(t *testing.T) {
+// Guards against an answer that reaches the caller with chunks missing or repeated. It
+// happens when a reply from the dispatcher is processed twice and the next one is lost.
+func TestChunksOutOfOrderAreNotForwarded(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct{ first, second int }{
 		"skipped":  {0, 2},
--- a/io/ggsgateway/doc.go
+++ b/io/ggsgateway/doc.go
@@ -1,30 +1,32 @@
-// Package ggsgateway faces callers: it resolves each request on the document
-// in force, sends it to the dispatcher that owns a suitable runner and relays
-// the answer.
+// Package ggsgateway serves the callers' HTTP requests. A Gateway resolves each
+// request with the current document, sends the request to a dispatcher that owns
+// a suitable runner, and relays the answer.
 //
 // # Usage
 //
 //	g := ggsgateway.New(ggsgateway.Options{VM: vm, Region: region}, parts)
 //	server := &http.Server{Handler: g.Handler()}
-//	err := g.Run(ctx) // follows dispatchers until ctx ends
+//	err := g.Run(ctx) // polls the dispatchers' summaries until ctx ends
 //	g.Drain()         // refuses new requests; server.Shutdown waits for the rest
 //
 // # Requests
 //
-// POST /v1/chat/completions takes the OpenAI shape. The headers X-Market and
-// X-Service name market and service; "model" names the adapter, as "name" for
-// the current version or "name@version". POST
-// /v1/services/SERVICE/OPERATION calls a plain service. Idempotency-Key marks a
-// request that runs at most once; an operation that the document calls
-// non-idempotent needs one. Idempotency-First-Send: true says that the key was
-// never sent before: only then can a refusal for want of the platform's service
-// say notRun, since an earlier sending may have run.
+// POST /v1/chat/completions accepts the OpenAI format. The headers X-Market and
+// X-Service name the market and the service. The member "model" names the adapter,
+// as "name" for the current version or as "name@version".
+//
+// POST /v1/services/SERVICE/OPERATION calls a plain service. A request with the
+// header Idempotency-Key runs at most once. An operation that the document marks
+// as non-idempotent requires this header. Idempotency-First-Send: true says that
+// the key was never sent before. While the platform's service is unavailable, the
+// gateway refuses with the outcome notRun only if this header is set, since an
+// earlier request with the same key may have run.
 //
 // # Answers
 //
-// A refusal is {"error":{"type","message","outcome","requestId",
-// "retryAfterMillis"}}. outcome is "notRun", "done" or "unknown". The status
-// goes by the type:
+// A failure is sent as {"error":{"type","message","outcome","requestId",
+// "retryAfterMillis"}}. The outcome is "notRun", "done" or "unknown". The type
+// determines the HTTP status:
 //
 //	400 badRequest
 //	404 unknownMarket, unknownAdapter, unknownService
@@ -35,13 +37,14 @@
 //	502 endpoint, broken, wrongAdapter, internal
 //	503 noCapacity, stopping, platformAway, noDocument, adapterMissing, cancelled
 //
-// A streamed answer that breaks ends with an event
-// "error" that holds the same object; an answer that isn't streamed and breaks
-// after its first megabyte ends with its connection. X-Load-Stall is the time,
-// such as "12ms", that the request waited for its adapter to arrive.
+// A streamed answer that fails after its start ends with an event "error" that
+// contains the same object. For an answer that isn't streamed and fails after its
+// first megabyte, the gateway closes the connection. The header X-Load-Stall is
+// the time, such as "12ms", that the request waited for its adapter to be loaded.
 //
 // # Locks
 //
-// Gateway.mu guards the router, the limiter, the retry budgets and the table
-// of dispatchers. It is a leaf: nothing is called out under it.
+// Gateway.mu guards the router, the limiter, the retry budgets, the circuit
+// breakers and the table of dispatchers. No other lock is acquired and no call to
+// another process is made while Gateway.mu is held.
 package ggsgateway
--- a/io/ggsgateway/errors.go
+++ b/io/ggsgateway/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// A PieceOrderError says that a piece of an answer came out of its order.
+// A PieceOrderError says that a chunk of an answer arrived out of order.
 type PieceOrderError struct {
 	Want int
 	Have int
@@ -10,5 +10,5 @@
 
 // Error implements error.
 func (e *PieceOrderError) Error() string {
-	return fmt.Sprintf("piece %d of the answer came where %d was due", e.Have, e.Want)
+	return fmt.Sprintf("answer chunk out of order: got chunk %d, want chunk %d", e.Have, e.Want)
 }
--- a/io/ggsgateway/gateway.go
+++ b/io/ggsgateway/gateway.go
@@ -18,11 +18,11 @@
 
 // Defaults of Options.
 const (
-	defaultMaxInFlight   = 4096
-	defaultMaxAttempts   = 3
-	defaultSubmitTimeout = 2 * time.Second
-	defaultResumeTimeout = 5 * time.Second
-	defaultHandOver      = 3 * time.Second
+	defaultMaxInFlight     = 4096
+	defaultMaxAttempts     = 3
+	defaultSubmitTimeout   = 2 * time.Second
+	defaultResumeTimeout   = 5 * time.Second
+	defaultHandoverTimeout = 3 * time.Second
 )
 
 // Options sets a Gateway's limits. Zero values mean the defaults.
@@ -30,21 +30,23 @@
 	VM     ggscore.VMID
 	Region ggscore.Region
 	Seed   uint64
-	// Seeds are dispatchers that are asked for their summaries even before
-	// the platform's list is known.
+	// Seeds are the addresses of dispatchers whose summaries are polled as long as
+	// the list of dispatchers is empty.
 	Seeds []netip.AddrPort
-	// DefaultService is meant where a request names no service.
+	// DefaultService is the service of requests that name none.
 	DefaultService ggscore.Service
 	// MaxInFlight bounds the requests in progress.
 	MaxInFlight int
-	// MaxAttempts bounds the dispatchers that one request is offered to.
+	// MaxAttempts bounds the attempts of one request. Attempts that fail because of
+	// an ownership handover don't count.
 	MaxAttempts int
-	// SubmitTimeout bounds the handing over of a request.
+	// SubmitTimeout bounds one submission of a request to a dispatcher.
 	SubmitTimeout time.Duration
-	// ResumeTimeout is how long a broken relay tries to go on.
+	// ResumeTimeout bounds the time in which the gateway tries to resume an answer
+	// after calls to its dispatcher fail.
 	ResumeTimeout time.Duration
-	// HandOverTimeout is how long a request waits for the next owner of the
-	// runners whose dispatcher stopped.
+	// HandOverTimeout bounds how long a request waits for the next owner of runners
+	// whose dispatcher stopped.
 	HandOverTimeout time.Duration
 }
 
@@ -53,7 +55,7 @@
 	Call(ctx context.Context, addr netip.AddrPort, method string, args, reply any) error
 }
 
-// Parts are what a Gateway works with.
+// Parts are a Gateway's dependencies. Document returns nil until a document is known.
 type Parts struct {
 	Document func() *ggscore.Document
 	Caller   Caller
@@ -66,53 +68,53 @@
 	Requests, Done, NotRun, Unknown, Retries, Resumed atomic.Int64
 }
 
-// A Gateway serves callers.
+// A Gateway serves callers. Its methods are safe for concurrent use.
 type Gateway struct {
 	options  Options
 	parts    Parts
 	stats    Stats
 	draining atomic.Bool
 	inFlight atomic.Int64
-	// closing counts the withdrawals that outlive their requests.
-	closing sync.WaitGroup
-
-	mu       sync.Mutex
-	router   *ggsroute.Router
-	limiter  *ggslimit.Limiter
-	retries  *ggsretry.Policy
-	breakers *ggsretry.Breakers[ggscore.VMID]
-	revision ggscore.Revision
-	markets  map[ggscore.Market]ggscore.MarketSpec
-	peers    map[ggscore.VMID]peer
-	// routed is when a request of a service found a dispatcher last.
-	routed  map[ggscore.Service]time.Time
-	listed  []ggscore.VM
-	changed chan struct{}
+	// withdrawals counts the withdrawals in flight, which may outlive their requests.
+	withdrawals sync.WaitGroup
+
+	mu          sync.Mutex
+	router      *ggsroute.Router
+	limiter     *ggslimit.Limiter
+	retries     *ggsretry.Policy
+	breakers    *ggsretry.Breakers[ggscore.VMID]
+	revision    ggscore.Revision
+	markets     map[ggscore.Market]ggscore.MarketSpec
+	dispatchers map[ggscore.VMID]dispatcher
+	// routedAt is the time at which a request to the service was last routed.
+	routedAt map[ggscore.Service]time.Time
+	listed   []ggscore.VM
+	changed  chan struct{}
 }
 
-// A peer is a dispatcher that answers.
-type peer struct {
+// A dispatcher is the address and latest summary of a dispatcher.
+type dispatcher struct {
 	addr    netip.AddrPort
 	summary ggscore.DispatcherSummary
 }
 
-// New returns a Gateway that knows its seeds only.
+// New returns a Gateway whose only known dispatchers are the seeds.
 func New(o Options, p Parts) *Gateway {
 	o.MaxInFlight = cmp.Or(o.MaxInFlight, defaultMaxInFlight)
 	o.MaxAttempts = cmp.Or(o.MaxAttempts, defaultMaxAttempts)
 	o.SubmitTimeout = cmp.Or(o.SubmitTimeout, defaultSubmitTimeout)
 	o.ResumeTimeout = cmp.Or(o.ResumeTimeout, defaultResumeTimeout)
-	o.HandOverTimeout = cmp.Or(o.HandOverTimeout, defaultHandOver)
+	o.HandOverTimeout = cmp.Or(o.HandOverTimeout, defaultHandoverTimeout)
 	return &Gateway{
-		options:  o,
-		parts:    p,
-		router:   ggsroute.New(ggsroute.Options{Region: o.Region, Seed: o.Seed}),
-		limiter:  ggslimit.New(ggslimit.Options{MaxInFlight: o.MaxInFlight}),
-		retries:  ggsretry.NewPolicy(ggsretry.Options{Seed: o.Seed, MaxAttempts: o.MaxAttempts}),
-		breakers: ggsretry.NewBreakers[ggscore.VMID](ggsretry.BreakerOptions{Seed: o.Seed}),
-		peers:    make(map[ggscore.VMID]peer),
-		routed:   make(map[ggscore.Service]time.Time),
-		changed:  make(chan struct{}, 1),
+		options:     o,
+		parts:       p,
+		router:      ggsroute.New(ggsroute.Options{Region: o.Region, Seed: o.Seed}),
+		limiter:     ggslimit.New(ggslimit.Options{MaxInFlight: o.MaxInFlight}),
+		retries:     ggsretry.NewPolicy(ggsretry.Options{Seed: o.Seed, MaxAttempts: o.MaxAttempts}),
+		breakers:    ggsretry.NewBreakers[ggscore.VMID](ggsretry.BreakerOptions{Seed: o.Seed}),
+		dispatchers: make(map[ggscore.VMID]dispatcher),
+		routedAt:    make(map[ggscore.Service]time.Time),
+		changed:     make(chan struct{}, 1),
 	}
 }
 
@@ -122,7 +124,8 @@
 // InFlight returns the number of requests in progress.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// SetDispatchers takes the entry VMs on the platform's list.
+// SetDispatchers replaces the list of entry VMs, which run the dispatchers. The length
+// of the list is also taken as the number of gateways that share the limits.
 func (g *Gateway) SetDispatchers(vms []ggscore.VM) {
 	g.mu.Lock()
 	g.listed = append([]ggscore.VM(nil), vms...)
@@ -143,8 +146,9 @@
 // Stats returns the counters.
 func (g *Gateway) Stats() *Stats { return &g.stats }
 
-// adopt brings limits and policy up to the document in force. It needs g.mu.
-func (g *Gateway) adopt(now time.Time, d *ggscore.Document) {
+// applyDocument sets the limits and the policy of a document unless a document with
+// the same or a higher revision was applied before. The caller holds g.mu.
+func (g *Gateway) applyDocument(now time.Time, d *ggscore.Document) {
 	if d.Revision <= g.revision {
 		return
 	}
--- a/io/ggsgateway/handler.go
+++ b/io/ggsgateway/handler.go
@@ -13,7 +13,7 @@
 	"greengageslip/core/ggsroute"
 )
 
-// Handler returns the callers' HTTP handler.
+// Handler returns the HTTP handler for callers and for the load balancer's health check.
 func (g *Gateway) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
@@ -27,9 +27,10 @@
 	return e
 }
 
+// An admitFunc reads a request and resolves it with the document.
 type admitFunc func(*gin.Context, *ggscore.Document) (*ggscore.Request, *ggscore.Failure)
 
-// health tells the balancer whether to send callers here.
+// health answers the load balancer's health check: 200 if the gateway is ready, else 503.
 func (g *Gateway) health(c *gin.Context) {
 	if err := g.Ready(); err != nil {
 		c.String(http.StatusServiceUnavailable, "%s\n", err.Error())
@@ -38,7 +39,7 @@
 	c.String(http.StatusOK, "ok\n")
 }
 
-// serve returns the handler of one kind of request.
+// serve returns the handler of the requests that admit reads.
 func (g *Gateway) serve(admit admitFunc) gin.HandlerFunc {
 	return func(c *gin.Context) {
 		g.inFlight.Add(1)
@@ -49,7 +50,7 @@
 		c.Header(headerRequestID, id)
 		a := &answer{c: c, id: id}
 		f := g.answer(c, admit, a)
-		g.count(f)
+		g.countOutcome(f)
 		if f == nil {
 			return
 		}
@@ -58,7 +59,7 @@
 	}
 }
 
-// answer answers one request, or returns why it didn't.
+// answer serves one request. It returns a failure if the answer is incomplete.
 func (g *Gateway) answer(c *gin.Context, admit admitFunc, a *answer) *ggscore.Failure {
 	if g.draining.Load() {
 		return &ggscore.Failure{
@@ -70,38 +71,39 @@
 	if d == nil {
 		return &ggscore.Failure{
 			Kind: ggscore.FailureNoDocument, Outcome: ggscore.OutcomeNotRun,
-			Detail: "no document is known yet", RetryAfter: time.Second,
+			Detail: "the gateway has not received a document yet", RetryAfter: time.Second,
 		}
 	}
 	r, f := admit(c, d)
 	if f != nil {
 		return f
 	}
-	if f := g.enter(r, d); f != nil {
+	if f := g.checkLimits(r, d); f != nil {
 		return f
 	}
-	defer g.leave(r)
+	defer g.endRequest(r)
 	a.stream = r.Stream
-	return forCaller(r, g.send(c.Request.Context(), r, a))
+	return callerFailure(r, g.send(c.Request.Context(), r, a))
 }
 
-// forCaller tells a caller of our processes' affairs what it is to him: nobody
-// could take the request.
-func forCaller(r *ggscore.Request, f *ggscore.Failure) *ggscore.Failure {
+// callerFailure replaces failures that concern only the gateway and the dispatchers
+// (lost ownership, a stopping dispatcher) by the failure that no dispatcher is available.
+func callerFailure(r *ggscore.Request, f *ggscore.Failure) *ggscore.Failure {
 	if f == nil || (f.Kind != ggscore.FailureNotOwner && f.Kind != ggscore.FailureStopping) {
 		return f
 	}
-	e := &ggsroute.NoDispatcherError{Service: r.Service, Cause: ggsroute.CauseUnavailable, RetryAfter: max(f.RetryAfter, awayRetryAfter)}
+	e := &ggsroute.NoDispatcherError{Service: r.Service, Cause: ggsroute.CauseUnavailable, RetryAfter: max(f.RetryAfter, unavailableRetryAfter)}
 	n := e.Failure()
 	n.Outcome = f.Outcome
 	return n
 }
 
-// enter applies the market's limits.
-func (g *Gateway) enter(r *ggscore.Request, d *ggscore.Document) *ggscore.Failure {
+// checkLimits applies the current document and admits the request to its market, or
+// returns the failure if the market is over its limit.
+func (g *Gateway) checkLimits(r *ggscore.Request, d *ggscore.Document) *ggscore.Failure {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.adopt(r.Arrived, d)
+	g.applyDocument(r.Arrived, d)
 	g.retries.Request(r.Arrived, r.Market)
 	err := g.limiter.Admit(r.Arrived, r.Market)
 	if l := (*ggslimit.OverLimitError)(nil); errors.As(err, &l) {
@@ -110,13 +112,13 @@
 	return nil
 }
 
-func (g *Gateway) leave(r *ggscore.Request) {
+func (g *Gateway) endRequest(r *ggscore.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limiter.Ended(r.Market, g.parts.Clock().Sub(r.Arrived))
 }
 
-func (g *Gateway) count(f *ggscore.Failure) {
+func (g *Gateway) countOutcome(f *ggscore.Failure) {
 	switch {
 	case f == nil || f.Outcome == ggscore.OutcomeDone:
 		g.stats.Done.Add(1)
--- a/io/ggsgateway/peers.go
+++ b/io/ggsgateway/peers.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	summaryWait    = 500 * time.Millisecond
-	summaryTimeout = time.Second
-	summaryMinimum = 50 * time.Millisecond
-	awayInterval   = 300 * time.Millisecond
+	summaryWait          = 500 * time.Millisecond
+	summaryTimeout       = time.Second
+	summaryMinInterval   = 50 * time.Millisecond
+	summaryRetryInterval = 300 * time.Millisecond
 )
 
-// Run follows the dispatchers' summaries until the context ends.
+// Run polls the dispatchers' summaries until the context ends. It then waits for the
+// withdrawals in flight.
 func (g *Gateway) Run(ctx context.Context) error {
 	var w sync.WaitGroup
 	defer func() {
 		w.Wait()
-		g.closing.Wait()
+		g.withdrawals.Wait()
 	}()
 	followed := make(map[netip.AddrPort]context.CancelFunc)
 	for {
-		wanted := g.dispatchers()
+		wanted := g.dispatcherAddrs()
 		for a := range wanted {
 			if followed[a] == nil {
-				one, cancel := context.WithCancel(ctx)
+				followCtx, cancel := context.WithCancel(ctx)
 				followed[a] = cancel
-				w.Go(func() { g.follow(one, a) })
+				w.Go(func() { g.follow(followCtx, a) })
 			}
 		}
 		for a, cancel := range followed {
@@ -54,31 +55,32 @@
 	}
 }
 
-// dispatchers returns the addresses to follow: the listed ones, or the seeds
-// as long as there is no list.
-func (g *Gateway) dispatchers() map[netip.AddrPort]bool {
+// dispatcherAddrs returns the addresses to poll: those on the list, or the seeds while
+// the list is empty.
+func (g *Gateway) dispatcherAddrs() map[netip.AddrPort]bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	as := make(map[netip.AddrPort]bool, len(g.listed))
+	addrs := make(map[netip.AddrPort]bool, len(g.listed))
 	for i := range g.listed {
-		as[g.listed[i].Addr] = true
+		addrs[g.listed[i].Addr] = true
 	}
-	if len(as) == 0 {
+	if len(addrs) == 0 {
 		for _, a := range g.options.Seeds {
-			as[a] = true
+			addrs[a] = true
 		}
 	}
-	return as
+	return addrs
 }
 
-// follow keeps the router up to date with one dispatcher.
+// follow polls the summaries of one dispatcher and passes them to the router. When the
+// context ends, it removes the dispatcher from the router.
 func (g *Gateway) follow(ctx context.Context, addr netip.AddrPort) {
 	var vm ggscore.VMID
 	var last uint64
 	for ctx.Err() == nil {
 		s, err := g.summary(ctx, addr, last)
 		if err != nil {
-			g.pause(ctx, awayInterval/2+rand.N(awayInterval))
+			g.pause(ctx, summaryRetryInterval/2+rand.N(summaryRetryInterval))
 			last = 0
 			continue
 		}
@@ -88,17 +90,17 @@
 			_ = level.Info(g.parts.Log).Log("event", "dispatcherFound", "vm", vm, "addr", addr)
 		}
 		g.mu.Lock()
-		g.peers[s.VM] = peer{addr: addr, summary: s}
+		g.dispatchers[s.VM] = dispatcher{addr: addr, summary: s}
 		g.router.Update(g.parts.Clock(), &s)
 		g.mu.Unlock()
-		g.pause(ctx, summaryMinimum)
+		g.pause(ctx, summaryMinInterval)
 	}
 	if vm != "" {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.router.Remove(g.parts.Clock(), vm)
 		g.breakers.Remove(vm)
-		delete(g.peers, vm)
+		delete(g.dispatchers, vm)
 	}
 }
 
--- a/io/ggsgateway/send.go
+++ b/io/ggsgateway/send.go
@@ -20,78 +20,80 @@
 	nextWait       = 5 * time.Second
 	nextMargin     = 2 * time.Second
 	resumeInterval = 50 * time.Millisecond
-	// handOverInterval is the time between two looks for the next owner.
-	handOverInterval = 25 * time.Millisecond
+	// handoverInterval is the time between two attempts to route a request while its
+	// runners have no owner.
+	handoverInterval = 25 * time.Millisecond
 	withdrawTimeout  = 2 * time.Second
-	// maxSettleAge is well below the time for which dispatchers know ids.
-	maxSettleAge   = time.Minute
-	awayRetryAfter = time.Second
+	// maxWithdrawAge is well below the time for which dispatchers retain request ids.
+	maxWithdrawAge        = time.Minute
+	unavailableRetryAfter = time.Second
 )
 
-// An attempt is one offer of a request to one dispatcher.
+// An attempt is one submission of a request to one dispatcher.
 type attempt struct {
 	request *ggscore.Request
 	answer  *answer
 	choice  ggsroute.Choice
 	addr    netip.AddrPort
-	// life is the dispatcher's incarnation, sent when it was handed over.
-	life string
-	sent time.Time
-	// number is the request's attempt.
+	// incarnation is the dispatcher's incarnation when the attempt was routed.
+	incarnation string
+	sent        time.Time
+	// number is the attempt's number, counted from one.
 	number int
-	// unreachable says that the dispatcher didn't answer.
+	// unreachable says that calls to the dispatcher failed.
 	unreachable bool
 }
 
-// A trail is what became of the offers of one request so far.
-type trail struct {
-	// tried are not asked again; stopped are never, whatever happens.
+// An attemptHistory records the failed attempts of one request.
+type attemptHistory struct {
+	// tried are the dispatchers of all failed attempts. They are excluded from routing except
+	// while the request waits for a handover. stopped are excluded then as well.
 	tried   []ggscore.VMID
 	stopped []ggscore.VMID
-	// number counts the offers that spoke against their dispatcher.
+	// number counts the attempts whose failure was not due to a handover.
 	number int
 	last   *ggscore.Failure
-	// since is when the first offer came back for a hand-over.
-	since time.Time
+	// handoverStart is when an attempt first failed because of a handover.
+	handoverStart time.Time
 }
 
-// handOver reports whether the last offer failed only because the runners
-// change their owner.
-func (t *trail) handOver() bool {
+// inHandover reports whether the last attempt failed only because the ownership of
+// the runners is changing.
+func (t *attemptHistory) inHandover() bool {
 	return t.last != nil && (t.last.Kind == ggscore.FailureStopping || t.last.Kind == ggscore.FailureNotOwner)
 }
 
-// note adds an offer that failed.
-func (t *trail) note(now time.Time, vm ggscore.VMID, f *ggscore.Failure) {
+// addFailure records a failed attempt.
+func (t *attemptHistory) addFailure(now time.Time, vm ggscore.VMID, f *ggscore.Failure) {
 	t.last = f
 	t.tried = append(t.tried, vm)
 	switch {
-	case !t.handOver():
+	case !t.inHandover():
 		t.number++
-	case t.since.IsZero():
-		t.since = now
+	case t.handoverStart.IsZero():
+		t.handoverStart = now
 	}
 	if f.Kind == ggscore.FailureStopping {
 		t.stopped = append(t.stopped, vm)
 	}
 }
 
-// send offers a request to one dispatcher after the other until one answers.
-// Only a request that is proved not to have run is offered again.
+// send submits a request to one dispatcher after the other until one answers. Only a
+// request that is known not to have run is submitted again.
 func (g *Gateway) send(ctx context.Context, r *ggscore.Request, a *answer) *ggscore.Failure {
-	t := &trail{}
+	t := &attemptHistory{}
 	for {
-		o, f := g.routeOn(ctx, r, a, t)
+		o, f := g.routeOrWait(ctx, r, a, t)
 		if f != nil {
 			return f
 		}
 		r.Attempt++
 		o.number = r.Attempt
 		f = g.try(ctx, o)
-		if f == nil || a.next > 0 || ctx.Err() != nil || g.left(r) <= 0 {
+		if f == nil || a.next > 0 || ctx.Err() != nil || g.remaining(r) <= 0 {
 			return f
 		}
-		t.note(g.parts.Clock(), o.choice.VM, f)
+		t.addFailure(g.parts.Clock(), o.choice.VM, f)
 		wait, again := g.retry(r, t)
 		if !again {
 			return f
@@ -102,50 +104,53 @@
 	}
 }
 
-// retry decides whether a request whose offer failed is offered again. Offers
-// that fail for a hand-over are bounded by its time and cost no budget: they
-// came to a healthy dispatcher that merely isn't the owner any more.
-func (g *Gateway) retry(r *ggscore.Request, t *trail) (time.Duration, bool) {
+// retry decides whether a request is submitted again after a failed attempt, and
+// returns the delay before the next attempt. An attempt that failed because of a
+// handover takes nothing from the retry budget, since its dispatcher is healthy and
+// merely not the owner any more. HandOverTimeout bounds these attempts instead.
+func (g *Gateway) retry(r *ggscore.Request, t *attemptHistory) (time.Duration, bool) {
 	if t.last.Outcome != ggscore.OutcomeNotRun {
 		return 0, false
 	}
-	if t.handOver() {
+	if t.inHandover() {
 		return 0, true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f := *t.last
 	if f.Kind == ggscore.FailureNoCapacity {
-		// Its wait is for the dispatcher that refused; another may have room.
+		// RetryAfter applies to the dispatcher that refused the request. Another
+		// dispatcher may have capacity.
 		f.RetryAfter = 0
 	}
 	wait, err := g.retries.Retry(g.parts.Clock(), ggsretry.Attempt{
-		Market: r.Market, Number: t.number, Failure: &f, Left: g.left(r),
+		Market: r.Market, Number: t.number, Failure: &f, Left: g.remaining(r),
 	})
 	return wait, err == nil
 }
 
-// routeOn routes a request, or says why it can't be sent on.
+// routeOrWait routes a request, or returns why the request can't be routed.
 //
-// A dispatcher that stops hands its queue back while the next owner of its
-// runners is only taking over, so that for a moment nobody owns them. Refusing
-// then would cut off requests in progress by a planned stop, and refuse new
-// ones; the route is looked for again until the next owner is there or
-// HandOverTimeout has passed since there was an owner.
-func (g *Gateway) routeOn(ctx context.Context, r *ggscore.Request, a *answer, t *trail) (*attempt, *ggscore.Failure) {
+// A dispatcher that stops returns its queued requests before the next owner has taken
+// its runners over, so for a short time the runners have no owner. If requests were
+// refused during that time, every planned stop would fail both these requests and new
+// ones. Routing is therefore repeated until it succeeds, or until HandOverTimeout has
+// passed since the handover started (for a first attempt: since a request to the
+// service was last routed).
+func (g *Gateway) routeOrWait(ctx context.Context, r *ggscore.Request, a *answer, t *attemptHistory) (*attempt, *ggscore.Failure) {
 	o, f := g.route(r, a, t.tried)
 	if f == nil {
 		return o, nil
 	}
-	since := t.since
+	since := t.handoverStart
 	if t.last == nil {
-		since = g.lastRouted(r.Service)
-	} else if !t.handOver() {
+		since = g.lastRoutedAt(r.Service)
+	} else if !t.inHandover() {
 		return nil, t.last
 	}
 	until := since.Add(g.options.HandOverTimeout)
-	for f != nil && ctx.Err() == nil && g.left(r) > 0 && g.parts.Clock().Before(until) {
-		g.pause(ctx, handOverInterval)
+	for f != nil && ctx.Err() == nil && g.remaining(r) > 0 && g.parts.Clock().Before(until) {
+		g.pause(ctx, handoverInterval)
 		o, f = g.route(r, a, t.stopped)
 	}
 	if f != nil && t.last != nil {
@@ -154,14 +159,14 @@
 	return o, f
 }
 
-// lastRouted returns when a request of the service found a dispatcher last.
-func (g *Gateway) lastRouted(s ggscore.Service) time.Time {
+// lastRoutedAt returns when a request to the service was last routed.
+func (g *Gateway) lastRoutedAt(s ggscore.Service) time.Time {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.routed[s]
+	return g.routedAt[s]
 }
 
-func (g *Gateway) left(r *ggscore.Request) time.Duration {
+func (g *Gateway) remaining(r *ggscore.Request) time.Duration {
 	return r.Budget - g.parts.Clock().Sub(r.Arrived)
 }
 
@@ -169,22 +174,22 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.parts.Clock()
-	// Exclude works on its own copy: tried is the request's, and what breakers
-	// leave out now may be asked later.
+	// Exclude appends to its argument. It gets a copy, since a dispatcher that a
+	// breaker excludes now may be used for a later attempt of the request.
 	c, err := g.router.Route(now, r, g.breakers.Exclude(now, slices.Clone(tried)))
 	if n := (*ggsroute.NoDispatcherError)(nil); errors.As(err, &n) {
 		return nil, n.Failure()
 	}
-	g.routed[r.Service] = now
+	g.routedAt[r.Service] = now
 	g.router.Sent(now, c)
 	g.breakers.Started(now, c.VM)
-	return &attempt{request: r, answer: a, choice: c, addr: g.peers[c.VM].addr, life: g.peers[c.VM].summary.Incarnation, sent: now}, nil
+	return &attempt{request: r, answer: a, choice: c, addr: g.dispatchers[c.VM].addr, incarnation: g.dispatchers[c.VM].summary.Incarnation, sent: now}, nil
 }
 
-// try hands a request to one dispatcher and relays its answer.
+// try makes one attempt and reports its end to the router and the breakers.
 func (g *Gateway) try(ctx context.Context, t *attempt) *ggscore.Failure {
 	sent := g.parts.Clock()
-	f := g.offer(ctx, t)
+	f := g.submitAndRelay(ctx, t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.parts.Clock()
@@ -193,9 +198,9 @@
 	return f
 }
 
-// resultOf says whether an offer's end speaks against its dispatcher. Only what
-// the dispatcher itself failed at does: a refusal for want of room and an
-// endpoint's failure are answers of a healthy one.
+// resultOf returns the result of an attempt for the dispatcher's circuit breaker. Only
+// an unreachable dispatcher counts as failed: a refusal for lack of capacity or an
+// endpoint's failure is an answer of a healthy dispatcher.
 func resultOf(t *attempt, f *ggscore.Failure) ggsretry.Result {
 	switch {
 	case t.unreachable:
@@ -207,22 +212,23 @@
 	}
 }
 
-func (g *Gateway) offer(ctx context.Context, t *attempt) *ggscore.Failure {
+func (g *Gateway) submitAndRelay(ctx context.Context, t *attempt) *ggscore.Failure {
 	if f := g.submit(ctx, t); f != nil {
 		return f
 	}
 	f := g.relay(ctx, t)
-	// The dispatcher stops waiting for a request that is read to its end, and
-	// stops one whose caller has gone.
+	// After the withdrawal the dispatcher no longer waits for a reader of the answer,
+	// and it cancels an idempotent request whose caller has disconnected.
 	g.withdrawLater(ctx, t)
 	return f
 }
 
-// submit hands the request over.
+// submit sends the request to the dispatcher. It returns nil if the dispatcher accepted
+// the request.
 func (g *Gateway) submit(ctx context.Context, t *attempt) *ggscore.Failure {
 	sub, cancel := context.WithTimeout(ctx, g.options.SubmitTimeout)
 	defer cancel()
-	args := ggswire.SubmitArgs{Incarnation: t.life, Request: ggswire.FromRequest(t.request, max(g.left(t.request), time.Millisecond))}
+	args := ggswire.SubmitArgs{Incarnation: t.incarnation, Request: ggswire.FromRequest(t.request, max(g.remaining(t.request), time.Millisecond))}
 	var reply ggswire.SubmitReply
 	err := g.parts.Caller.Call(sub, t.addr, ggswire.MethodSubmit, &args, &reply)
 	if err == nil {
@@ -230,36 +236,36 @@
 	}
 	t.unreachable = ctx.Err() == nil
 	if d := (*ggsrpc.DialError)(nil); errors.As(err, &d) {
-		return notReached(err)
+		return unreachableFailure(err)
 	}
-	// The request may have been taken although its answer is lost. Withdrawing
-	// it settles that: the dispatcher either says that it never started and
-	// remembers so, or the outcome stays unknown.
+	// The dispatcher may have accepted the request although its reply was lost. The
+	// withdrawal resolves this: if the dispatcher answers notRun, it also refuses a
+	// submission that arrives later. Any other answer leaves the outcome unknown.
 	if g.withdraw(ctx, t) == ggscore.OutcomeNotRun {
-		return notReached(err)
+		return unreachableFailure(err)
 	}
 	return &ggscore.Failure{
 		Kind: ggscore.FailureBroken, Outcome: ggscore.OutcomeUnknown,
-		Detail: "the dispatcher did not say whether it took the request",
+		Detail: "the dispatcher did not confirm whether it accepted the request",
 	}
 }
 
-func notReached(err error) *ggscore.Failure {
+func unreachableFailure(err error) *ggscore.Failure {
 	return &ggscore.Failure{
 		Kind: ggscore.FailureNotOwner, Outcome: ggscore.OutcomeNotRun,
-		Detail: err.Error(), RetryAfter: awayRetryAfter,
+		Detail: err.Error(), RetryAfter: unavailableRetryAfter,
 	}
 }
 
-// relay pulls the answer's pieces by number and passes them on. After a broken
-// connection it asks again from the number that it needs.
+// relay pulls the answer's chunks by sequence number and forwards them to the caller.
+// After a failed call it requests the chunks again from the first missing number.
 func (g *Gateway) relay(ctx context.Context, t *attempt) *ggscore.Failure {
 	var brokenSince time.Time
 	for {
 		reply, err := g.next(ctx, t)
 		switch {
 		case ctx.Err() != nil:
-			return &ggscore.Failure{Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeUnknown, Detail: "the caller has gone"}
+			return &ggscore.Failure{Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeUnknown, Detail: "the caller disconnected"}
 		case err != nil:
 			now := g.parts.Clock()
 			if brokenSince.IsZero() {
@@ -267,16 +273,16 @@
 			}
 			if now.Sub(brokenSince) > g.options.ResumeTimeout {
 				t.unreachable = true
-				return broken("the dispatcher can't be reached any more")
+				return brokenFailure("the dispatcher became unreachable before the answer was complete")
 			}
 			g.stats.Resumed.Add(1)
 			g.pause(ctx, resumeInterval)
 			continue
 		case reply.Lost:
-			return broken("the dispatcher no longer knows the request")
+			return brokenFailure("the dispatcher no longer holds the request or its next chunk")
 		}
 		brokenSince = time.Time{}
-		if done, f := g.pass(t, reply); done {
+		if done, f := g.forward(t, reply); done {
 			return f
 		}
 	}
@@ -293,8 +299,8 @@
 	return reply, nil
 }
 
-// pass passes pieces on; done says that the answer has ended.
-func (g *Gateway) pass(t *attempt, reply *ggswire.NextReply) (done bool, f *ggscore.Failure) {
+// forward writes the chunks of a reply to the caller. done says that the answer has ended.
+func (g *Gateway) forward(t *attempt, reply *ggswire.NextReply) (done bool, f *ggscore.Failure) {
 	for i := range reply.Chunks {
 		k := reply.Chunks[i].Chunk()
 		if k.Failure != nil {
@@ -319,29 +325,31 @@
 	}
 }
 
-// withdraw takes a request back, even where the caller has gone.
+// withdraw cancels the request at the dispatcher, also after the caller has
+// disconnected, and returns the request's outcome.
 //
-// A gateway that was paused may ask so late that the dispatcher has forgotten
-// a request that ended; its notRun would then be wrong, so that it counts for
-// less than that time only.
+// A gateway whose process was paused may withdraw a request so late that the
+// dispatcher has already discarded the id of the ended request. The dispatcher would
+// then wrongly answer notRun, so answers later than maxWithdrawAge count as unknown.
 func (g *Gateway) withdraw(ctx context.Context, t *attempt) ggscore.Outcome {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), withdrawTimeout)
 	defer cancel()
 	var reply ggswire.WithdrawReply
-	args := ggswire.WithdrawArgs{Incarnation: t.life, ID: string(t.request.ID), Attempt: t.number}
+	args := ggswire.WithdrawArgs{Incarnation: t.incarnation, ID: string(t.request.ID), Attempt: t.number}
 	if err := g.parts.Caller.Call(ctx, t.addr, ggswire.MethodWithdraw, &args, &reply); err != nil {
 		return ggscore.OutcomeUnknown
 	}
-	if g.parts.Clock().Sub(t.sent) > maxSettleAge {
+	if g.parts.Clock().Sub(t.sent) > maxWithdrawAge {
 		return ggscore.OutcomeUnknown
 	}
 	return ggscore.Outcome(reply.Outcome)
 }
 
+// withdrawLater withdraws the request in the background.
 func (g *Gateway) withdrawLater(ctx context.Context, t *attempt) {
-	g.closing.Go(func() { g.withdraw(ctx, t) })
+	g.withdrawals.Go(func() { g.withdraw(ctx, t) })
 }
 
-func broken(detail string) *ggscore.Failure {
+func brokenFailure(detail string) *ggscore.Failure {
 	return &ggscore.Failure{Kind: ggscore.FailureBroken, Outcome: ggscore.OutcomeUnknown, Detail: detail}
 }
--- a/io/ggsgateway/state.go
+++ b/io/ggsgateway/state.go
@@ -7,7 +7,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A State is what a dump shows of a Gateway.
+// A State is the part of a state dump that describes a Gateway.
 type State struct {
 	Draining    bool              `json:"draining"`
 	Revision    uint64            `json:"revision"`
@@ -15,7 +15,7 @@
 	Dispatchers []DispatcherState `json:"dispatchers"`
 }
 
-// A DispatcherState is a dispatcher as its latest summary shows it.
+// A DispatcherState describes a dispatcher according to its latest summary.
 type DispatcherState struct {
 	VM      string        `json:"vm"`
 	Addr    string        `json:"addr"`
@@ -23,20 +23,20 @@
 	Runners []RunnerState `json:"runners"`
 }
 
-// A RunnerState is an endpoint in a dump.
+// A RunnerState describes one endpoint in a state dump.
 type RunnerState struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Mode    string `json:"mode"`
 }
 
-// A NotReadyError says why the gateway doesn't serve.
+// A NotReadyError says why the gateway can't serve requests.
 type NotReadyError struct{ Reason string }
 
 // Error implements error.
 func (e *NotReadyError) Error() string { return e.Reason }
 
-// Ready returns nil where the balancer is to send callers here.
+// Ready returns nil if the gateway can serve requests, else a NotReadyError.
 func (g *Gateway) Ready() error {
 	if g.draining.Load() {
 		return &NotReadyError{Reason: "stopping"}
@@ -46,25 +46,25 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.peers) == 0 {
+	if len(g.dispatchers) == 0 {
 		return &NotReadyError{Reason: "no dispatcher"}
 	}
 	return nil
 }
 
-// State returns the state for a dump.
+// State returns the gateway's state for a state dump.
 func (g *Gateway) State() State {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := State{Draining: g.draining.Load(), Revision: uint64(g.revision), InFlight: g.inFlight.Load()}
-	for vm, p := range g.peers {
+	for vm, p := range g.dispatchers {
 		s.Dispatchers = append(s.Dispatchers, dispatcherState(vm, p))
 	}
 	slices.SortFunc(s.Dispatchers, func(a, b DispatcherState) int { return cmp.Compare(a.VM, b.VM) })
 	return s
 }
 
-func dispatcherState(vm ggscore.VMID, p peer) DispatcherState {
+func dispatcherState(vm ggscore.VMID, p dispatcher) DispatcherState {
 	d := DispatcherState{VM: string(vm), Addr: p.addr.String(), Leaving: p.summary.Leaving}
 	for i := range p.summary.Runners {
 		r := &p.summary.Runners[i]
