--- a/io/ggsdispatch/dispatcher.go
+++ b/io/ggsdispatch/dispatcher.go
@@ -22,7 +22,7 @@
 	defaultReportInterval = 500 * time.Millisecond
 	defaultJobRetention   = 2 * time.Minute
 	reportTimeout         = 2 * time.Second
-	idleTick              = 100 * time.Millisecond
+	pollInterval          = 100 * time.Millisecond
 )
 
 // Options sets a Dispatcher's limits. Zero values mean the defaults.
@@ -31,19 +31,20 @@
 	Region      ggscore.Region
 	Domain      ggscore.Domain
 	Incarnation string
-	// RequestWorkers bounds the requests in progress, OrderWorkers the orders
-	// to runners.
+	// RequestWorkers bounds the concurrent requests, OrderWorkers the concurrent
+	// load and unload orders to runners.
 	RequestWorkers int
 	OrderWorkers   int
-	// ReaderTimeout is how long an answer waits for its gateway to read on.
+	// ReaderTimeout is how long an answer may stay unread before its request
+	// counts as abandoned.
 	ReaderTimeout time.Duration
-	// ReportInterval is the time between two questions to each runner.
+	// ReportInterval is the time between two polls of each runner's report.
 	ReportInterval time.Duration
-	// JobRetention is how long the ids of ended requests are known.
+	// JobRetention is how long the ids of ended requests are retained.
 	JobRetention time.Duration
 }
 
-// Parts are what a Dispatcher works with.
+// Parts are a Dispatcher's dependencies.
 type Parts struct {
 	Scheduler ggscore.Scheduler
 	Engine    ggscore.EngineCaller
@@ -52,7 +53,7 @@
 	Reporter  ggscore.RunnerReporter
 	Claims    ggscore.Claimer
 	Guard     ggscore.OwnerGuard
-	// Observer is told of every report of a runner.
+	// Observer receives every report of a runner.
 	Observer ggscore.ReportObserver
 	Clock    func() time.Time
 	Log      log.Logger
@@ -72,24 +73,25 @@
 	sequence  uint64
 	jobs      map[jobKey]*job
 	endpoints map[ggscore.EndpointID]OwnedEndpoint
-	// loaded is when adapters came that this process ordered.
-	loaded  map[placement]time.Time
-	changed chan struct{}
-	// outdated is the last summary before the last change.
-	outdated uint64
+	// loadedAt is when the load orders of this process ended successfully.
+	loadedAt map[placement]time.Time
+	changed  chan struct{}
+	// staleSequence is the sequence number of the last summary before the latest
+	// change. Summaries up to this number are out of date.
+	staleSequence uint64
 }
 
-// A placement is an adapter on an endpoint.
+// A placement is a pair of an endpoint and an adapter loaded there.
 type placement struct {
 	endpoint ggscore.EndpointID
 	adapter  ggscore.AdapterRef
 }
 
-// An OwnedEndpoint is an endpoint with what its owner may do with it now.
+// An OwnedEndpoint is an endpoint with its current ownership mode.
 type OwnedEndpoint struct {
 	Endpoint ggscore.Endpoint
 	Mode     ggscore.OwnerMode
-	// Pins are the adapters that earlier owners may be using.
+	// Pins are the adapters that earlier owners may still be using.
 	Pins []ggscore.AdapterRef
 }
 
@@ -103,7 +105,7 @@
 		wake:      make(chan struct{}, 1),
 		jobs:      make(map[jobKey]*job),
 		endpoints: make(map[ggscore.EndpointID]OwnedEndpoint),
-		loaded:    make(map[placement]time.Time),
+		loadedAt:  make(map[placement]time.Time),
 		changed:   make(chan struct{}),
 	}
 }
@@ -117,21 +119,21 @@
 	return o
 }
 
-// BeginDrain refuses new requests and hands queued ones back as not run.
+// BeginDrain refuses new requests from now on and fails the queued ones as not run.
 func (d *Dispatcher) BeginDrain() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.draining = true
 	for _, j := range d.jobs {
 		if j.state == jobQueued {
-			d.takeBack(d.parts.Clock(), j, stopping())
+			d.cancelQueued(d.parts.Clock(), j, stoppingFailure())
 		}
 	}
-	d.touch()
+	d.markChanged()
 }
 
-// Busy reports whether a request is in progress on one of the endpoints. It
-// counts from before the Guard is asked.
+// Busy reports whether a request is in progress on one of the endpoints. A request
+// counts as in progress already before the Guard's check.
 func (d *Dispatcher) Busy(ids []ggscore.EndpointID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,12 +145,12 @@
 	return false
 }
 
-// Drain waits until all requests in progress have ended and been read, or the
-// context ends. BeginDrain goes before it.
+// Drain waits until all requests in progress have ended and their answers were read,
+// or until the context ends. BeginDrain must be called first.
 func (d *Dispatcher) Drain(ctx context.Context) error {
-	t := time.NewTicker(idleTick)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
-	for !d.idle() {
+	for !d.drained() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -158,7 +160,7 @@
 	return nil
 }
 
-// Resident returns the adapters that an endpoint holds.
+// Resident returns the adapters that are resident on an endpoint.
 func (d *Dispatcher) Resident(id ggscore.EndpointID) []ggscore.AdapterRef {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -170,22 +172,22 @@
 	return nil
 }
 
-// Run works until the context ends.
+// Run executes requests and orders until the context ends.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for range d.options.RequestWorkers {
-		g.Go(func() error { return d.work(ctx, d.requests, d.dispatch) })
+		g.Go(func() error { return d.runWorker(ctx, d.requests, d.dispatch) })
 	}
 	for range d.options.OrderWorkers {
-		g.Go(func() error { return d.work(ctx, d.orders, d.order) })
+		g.Go(func() error { return d.runWorker(ctx, d.orders, d.executeOrder) })
 	}
 	g.Go(func() error { return d.tick(ctx) })
-	g.Go(func() error { return d.report(ctx) })
+	g.Go(func() error { return d.pollReports(ctx) })
 	g.Go(func() error { return d.sweep(ctx) })
 	return g.Wait()
 }
 
-// SetEndpoints replaces the endpoints that this process may use.
+// SetEndpoints replaces the set of owned endpoints.
 func (d *Dispatcher) SetEndpoints(es []OwnedEndpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -199,12 +201,12 @@
 		if !keep[id] {
 			delete(d.endpoints, id)
 			d.apply(d.parts.Scheduler.RemoveEndpoint(now, id))
-			d.touch()
+			d.markChanged()
 		}
 	}
 }
 
-// setEndpoint needs d.mu.
+// setEndpoint adds or updates an endpoint. The caller holds d.mu.
 func (d *Dispatcher) setEndpoint(now time.Time, e OwnedEndpoint) {
 	id := e.Endpoint.ID
 	old, known := d.endpoints[id]
@@ -224,23 +226,25 @@
 		d.apply(d.parts.Scheduler.Protect(now, id, e.Pins))
 	}
 	d.apply(d.parts.Scheduler.SetEndpoint(now, e.Endpoint, e.Mode))
-	d.touch()
+	d.markChanged()
 }
 
-// changeMode needs d.mu. New pins go before the mode, with which the scheduler
-// may evict at once. Old ones go after it: what they protect is served in
-// ModeResidentOnly, and taken away first, the requests that wait for it would
-// be refused although the new mode serves them.
+// changeMode changes the mode and the pins of a known endpoint. The caller holds d.mu.
+//
+// New pins are set before the mode, because the scheduler may evict adapters as soon
+// as the mode is set. Old pins are removed after the mode is set: pinned adapters are
+// served in ModeResidentOnly, and if the pins were removed first, requests that wait
+// for these adapters would be refused although the new mode serves them.
 func (d *Dispatcher) changeMode(now time.Time, old, e OwnedEndpoint) {
 	id := e.Endpoint.ID
 	both := slices.Concat(old.Pins, e.Pins)
 	d.apply(d.parts.Scheduler.Protect(now, id, both))
 	d.apply(d.parts.Scheduler.SetEndpoint(now, e.Endpoint, e.Mode))
 	d.apply(d.parts.Scheduler.Protect(now, id, e.Pins))
-	d.touch()
+	d.markChanged()
 }
 
-// Schedule passes an event to the scheduler and carries out what it orders.
+// Schedule passes an event to the scheduler and executes the resulting orders.
 func (d *Dispatcher) Schedule(f func(ggscore.Scheduler, time.Time) []ggscore.Order) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -250,13 +254,13 @@
 // Stats returns the counters.
 func (d *Dispatcher) Stats() *Stats { return &d.stats }
 
-// NextSummary returns the summary once it differs from the one of a sequence, or when the
-// context has ended.
+// NextSummary returns the summary as soon as it differs from the summary with the
+// sequence number after, or when the context has ended.
 func (d *Dispatcher) NextSummary(ctx context.Context, after uint64) ggscore.DispatcherSummary {
 	d.mu.Lock()
-	w, outdated := d.changed, after <= d.outdated
+	w, stale := d.changed, after <= d.staleSequence
 	d.mu.Unlock()
-	if outdated {
+	if stale {
 		return d.Summary()
 	}
 	select {
@@ -266,7 +270,8 @@
 	return d.Summary()
 }
 
-// Summary returns what gateways are told. Each is numbered after the last.
+// Summary returns the summary for gateways. Each summary has a higher sequence number
+// than the one before.
 func (d *Dispatcher) Summary() ggscore.DispatcherSummary {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -278,7 +283,7 @@
 	}
 }
 
-// apply needs d.mu.
+// apply queues or executes the scheduler's orders. The caller holds d.mu.
 func (d *Dispatcher) apply(orders []ggscore.Order) {
 	for _, o := range orders {
 		switch o.Kind {
@@ -286,12 +291,12 @@
 			if j := d.jobs[keyOf(o.Request)]; j != nil {
 				j.state = jobRunning
 				j.endpoint = o.Endpoint
-				j.stall = max(0, d.loaded[placement{o.Endpoint, j.request.Adapter}].Sub(j.submitted))
+				j.stall = max(0, d.loadedAt[placement{o.Endpoint, j.request.Adapter}].Sub(j.submittedAt))
 			}
 			d.requests.add(o)
 		case ggscore.OrderLoad, ggscore.OrderUnload:
 			d.orders.add(o)
-			d.touch()
+			d.markChanged()
 		case ggscore.OrderRefuse:
 			d.refuse(o)
 		}
@@ -309,7 +314,9 @@
 	return e.Endpoint.Addr, ok
 }
 
-func (d *Dispatcher) idle() bool {
+// drained reports whether no request is running and all answers that were not
+// abandoned have been read.
+func (d *Dispatcher) drained() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, j := range d.jobs {
@@ -319,15 +326,17 @@
 		if j.abandoned {
 			continue
 		}
-		if _, consumed := j.stream.idleSince(); !consumed {
+		if _, consumed := j.stream.readState(); !consumed {
 			return false
 		}
 	}
 	return true
 }
 
+// tick calls the scheduler at its next due time, and checks at least every
+// pollInterval.
 func (d *Dispatcher) tick(ctx context.Context) error {
-	t := time.NewTimer(idleTick)
+	t := time.NewTimer(pollInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -341,23 +350,24 @@
 		if n := d.parts.Scheduler.NextTick(); !n.IsZero() && !n.After(now) {
 			d.apply(d.parts.Scheduler.Tick(now))
 		}
-		wait := idleTick
+		wait := pollInterval
 		if n := d.parts.Scheduler.NextTick(); !n.IsZero() {
-			wait = max(min(n.Sub(now), idleTick), time.Millisecond)
+			wait = max(min(n.Sub(now), pollInterval), time.Millisecond)
 		}
 		d.mu.Unlock()
 		t.Reset(wait)
 	}
 }
 
-// touch needs d.mu. It tells waiting gateways of a change.
-func (d *Dispatcher) touch() {
-	d.outdated = d.sequence
+// markChanged marks all summaries so far as out of date and wakes the calls that wait for
+// a new one. The caller holds d.mu.
+func (d *Dispatcher) markChanged() {
+	d.staleSequence = d.sequence
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-func (d *Dispatcher) work(ctx context.Context, q *orderQueue, f func(context.Context, ggscore.Order)) error {
+func (d *Dispatcher) runWorker(ctx context.Context, q *orderQueue, f func(context.Context, ggscore.Order)) error {
 	for {
 		o, ok := q.take(ctx)
 		if !ok {
@@ -367,16 +377,16 @@
 	}
 }
 
-// otherLife refuses a request that was meant for an earlier life of the
-// dispatcher.
-func otherLife() *ggscore.Failure {
+// incarnationMismatch returns the failure for a request that was sent to an earlier
+// incarnation of the dispatcher.
+func incarnationMismatch() *ggscore.Failure {
 	return &ggscore.Failure{
 		Kind: ggscore.FailureNotOwner, Outcome: ggscore.OutcomeNotRun,
-		Detail: "the dispatcher was replaced", RetryAfter: time.Second,
+		Detail: "the dispatcher has restarted since the gateway chose it", RetryAfter: time.Second,
 	}
 }
 
-func stopping() *ggscore.Failure {
+func stoppingFailure() *ggscore.Failure {
 	return &ggscore.Failure{
 		Kind: ggscore.FailureStopping, Outcome: ggscore.OutcomeNotRun,
 		Detail: "the dispatcher is stopping", RetryAfter: time.Second,
--- a/io/ggsdispatch/errors.go
+++ b/io/ggsdispatch/errors.go
@@ -6,13 +6,13 @@
 	ggscore "greengageslip/core"
 )
 
-// A StreamEndedError says that a piece came after an answer's end.
+// A StreamEndedError says that a chunk arrived after the end of its answer.
 type StreamEndedError struct{}
 
 // Error implements error.
-func (e *StreamEndedError) Error() string { return "stream has ended" }
+func (e *StreamEndedError) Error() string { return "answer stream has already ended" }
 
-// A WrongAdapterError says that an endpoint ran another adapter than asked.
+// A WrongAdapterError says that an endpoint ran an adapter that was not requested.
 type WrongAdapterError struct {
 	Asked  ggscore.AdapterRef
 	Served ggscore.AdapterRef
@@ -20,13 +20,13 @@
 
 // Error implements error.
 func (e *WrongAdapterError) Error() string {
-	return fmt.Sprintf("asked for adapter %s, endpoint served %s", e.Asked, e.Served)
+	return fmt.Sprintf("endpoint ran the wrong adapter: requested %s, got %s", e.Asked, e.Served)
 }
 
-// A NotOwnerError says that this process may not use an endpoint now.
+// A NotOwnerError says that this process doesn't own an endpoint.
 type NotOwnerError struct{ Endpoint ggscore.EndpointID }
 
 // Error implements error.
 func (e *NotOwnerError) Error() string {
-	return fmt.Sprintf("endpoint %s is not owned", e.Endpoint)
+	return fmt.Sprintf("endpoint %s is not owned by this dispatcher", e.Endpoint)
 }
--- a/io/ggsdispatch/job.go
+++ b/io/ggsdispatch/job.go
@@ -15,9 +15,9 @@
 	jobEnded
 )
 
-// A jobKey names one offer of a request. A request that was given back may be
-// offered again to the same dispatcher, where the answer to its first offer, or
-// that one's late withdrawal, must not be taken for the second's.
+// A jobKey identifies one attempt of a request. A request that was returned as not run
+// may be submitted to the same dispatcher again. The answer to the first attempt, or a
+// late withdrawal of the first attempt, must not be applied to the second.
 type jobKey struct {
 	id      ggscore.RequestID
 	attempt int
@@ -25,31 +25,31 @@
 
 func keyOf(r *ggscore.Request) jobKey { return jobKey{id: r.ID, attempt: r.Attempt} }
 
-// A job is a request from its submission until its id is forgotten.
+// A job is one attempt of a request, from its submission until its id is discarded.
 type job struct {
 	request *ggscore.Request
 	stream  *stream
 	state   jobState
-	// endpoint is where it runs or ran last.
+	// endpoint is the endpoint of the latest dispatch.
 	endpoint ggscore.EndpointID
 	outcome  ggscore.Outcome
-	// abandoned says that no gateway will read the answer.
-	abandoned bool
-	cancel    context.CancelFunc
-	submitted time.Time
-	ended     time.Time
-	// stall is how long the request waited for its adapter to arrive.
+	// abandoned says that no gateway is going to read the answer.
+	abandoned   bool
+	cancel      context.CancelFunc
+	submittedAt time.Time
+	endedAt     time.Time
+	// stall is how long the request waited for its adapter to be loaded.
 	stall time.Duration
-	// claim is held from the first dispatch until the request has ended, so
-	// that a dispatch that is proved not run may be repeated under it.
+	// claim is held from the first dispatch until the request has ended. A
+	// dispatch that is known not to have run is repeated under the same claim.
 	claim ggscore.ClaimID
-	// claimBefore is when the claim may no longer be used.
-	claimBefore time.Time
+	// claimDeadline is the time from which the claim must not be used.
+	claimDeadline time.Time
 }
 
-// Next returns pieces of an answer from a number on, waiting for the first
-// until the context ends. lost is set where the request isn't known or the
-// piece is no longer held.
+// Next returns the chunks of an answer from a sequence number on. It waits for the
+// first of these chunks until the context ends. lost says that the request is unknown
+// or that the chunk with the number from is no longer held.
 func (d *Dispatcher) Next(ctx context.Context, k jobKey, from int) (chunks []ggscore.Chunk, stall time.Duration, lost bool) {
 	d.mu.Lock()
 	j := d.jobs[k]
@@ -63,46 +63,46 @@
 	return chunks, j.stall, lost
 }
 
-// Submit takes a request. A second submission of an id is the first one.
+// Submit accepts a request. It is idempotent for the same id and attempt.
 func (d *Dispatcher) Submit(r *ggscore.Request) *ggscore.Failure {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if j := d.jobs[keyOf(r)]; j != nil {
 		if j.stream == nil {
-			return withdrawn()
+			return withdrawnFailure()
 		}
 		return nil
 	}
 	if d.draining {
-		return stopping()
+		return stoppingFailure()
 	}
 	now := d.parts.Clock()
-	j := &job{request: r, stream: newStream(now), submitted: now}
+	j := &job{request: r, stream: newStream(now), submittedAt: now}
 	d.jobs[keyOf(r)] = j
 	d.stats.Submitted.Add(1)
 	d.apply(d.parts.Scheduler.Submit(now, r))
 	return nil
 }
 
-// Withdraw takes a request back and returns its outcome so far. An id that
-// isn't known is remembered.
+// Withdraw cancels a request and returns its outcome so far. A running request is
+// cancelled only if it is idempotent. An unknown id is recorded as withdrawn.
 //
-// A submission whose answer was lost may still stand in a socket's buffer.
-// If it were taken after the gateway was told notRun, the request would run
-// all the same. The remembered id makes such a late copy a refusal.
+// A submission whose reply was lost may still be in a socket's buffer. If it were
+// accepted after the gateway had received notRun, the request would run nevertheless.
+// Because the id is recorded, such a late submission is refused.
 func (d *Dispatcher) Withdraw(k jobKey) ggscore.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.parts.Clock()
 	j := d.jobs[k]
 	if j == nil {
-		d.jobs[k] = &job{state: jobEnded, outcome: ggscore.OutcomeNotRun, ended: now, abandoned: true}
+		d.jobs[k] = &job{state: jobEnded, outcome: ggscore.OutcomeNotRun, endedAt: now, abandoned: true}
 		return ggscore.OutcomeNotRun
 	}
 	j.abandoned = true
 	switch j.state {
 	case jobQueued:
-		d.takeBack(now, j, withdrawn())
+		d.cancelQueued(now, j, withdrawnFailure())
 	case jobRunning:
 		if !j.request.NonIdempotent && j.cancel != nil {
 			j.cancel()
@@ -112,33 +112,35 @@
 	return j.outcome
 }
 
-// endJob needs d.mu. It is the one place where a job ends.
+// endJob sets the state of an ended job. All jobs with a stream end here. The caller
+// holds d.mu.
 func (d *Dispatcher) endJob(j *job, o ggscore.Outcome, f *ggscore.Failure) {
 	if j.state == jobEnded {
 		return
 	}
 	j.state = jobEnded
 	j.outcome = o
-	j.ended = d.parts.Clock()
+	j.endedAt = d.parts.Clock()
 	j.stream.end(f)
 	d.stats.count(o)
 }
 
-// refuse needs d.mu.
+// refuse executes a refusal by the scheduler. The caller holds d.mu.
 func (d *Dispatcher) refuse(o ggscore.Order) {
 	j := d.jobs[keyOf(o.Request)]
 	if j == nil {
 		return
 	}
 	if j.claim != "" {
-		// The claim is released first; the worker that does so ends the job.
+		// The claim must be finished first, which does I/O. The worker that
+		// finishes the claim also ends the job.
 		d.requests.add(o)
 		return
 	}
 	d.endJob(j, ggscore.OutcomeNotRun, o.Failure)
 }
 
-// sweep ends answers that nobody reads and forgets old jobs.
+// sweep abandons requests whose answers are not read and discards old jobs.
 func (d *Dispatcher) sweep(ctx context.Context) error {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
@@ -157,51 +159,54 @@
 	defer d.mu.Unlock()
 	for k, j := range d.jobs {
 		if j.state == jobEnded {
-			if now.Sub(j.ended) > d.options.JobRetention {
+			if now.Sub(j.endedAt) > d.options.JobRetention {
 				delete(d.jobs, k)
-			} else if j.stream != nil && j.abandonedAt(now, d.options.ReaderTimeout) {
+			} else if j.stream != nil && j.readTimedOut(now, d.options.ReaderTimeout) {
 				j.abandoned = true
 			}
 			continue
 		}
-		if j.abandonedAt(now, d.options.ReaderTimeout) {
+		if j.readTimedOut(now, d.options.ReaderTimeout) {
 			d.abandon(now, j)
 		}
 	}
-	for p, at := range d.loaded {
-		// No request waits this long, so the arrival is no stall any more.
+	for p, at := range d.loadedAt {
+		// No queued request was submitted this long ago, so the load can't have
+		// stalled any.
 		if now.Sub(at) > d.options.JobRetention {
-			delete(d.loaded, p)
+			delete(d.loadedAt, p)
 		}
 	}
 }
 
-// abandon needs d.mu. A gateway that died leaves its requests unread; they
-// would hold slots to their ends. A non-idempotent run goes on, since only
-// its end tells the outcome that a repeat of its key is to get.
+// abandon cancels a request whose answer is not read, for example after its gateway
+// crashed. Otherwise the request would hold a slot until its end. A running
+// non-idempotent request continues, because its outcome must be recorded for repeats of
+// its key. The caller holds d.mu.
 func (d *Dispatcher) abandon(now time.Time, j *job) {
 	j.abandoned = true
 	switch {
 	case j.state == jobQueued:
-		d.takeBack(now, j, withdrawn())
+		d.cancelQueued(now, j, withdrawnFailure())
 	case !j.request.NonIdempotent && j.cancel != nil:
 		j.cancel()
 	}
 }
 
-// takeBack needs d.mu. It ends a queued request with a failure of our own; the
-// scheduler's refusal, which follows, finds it ended.
-func (d *Dispatcher) takeBack(now time.Time, j *job, f *ggscore.Failure) {
+// cancelQueued ends a queued request with the failure f and cancels it in the scheduler.
+// The scheduler's refusal that follows is ignored, since the job has ended by then. The
+// caller holds d.mu.
+func (d *Dispatcher) cancelQueued(now time.Time, j *job, f *ggscore.Failure) {
 	d.endJob(j, ggscore.OutcomeNotRun, f)
 	d.apply(d.parts.Scheduler.Cancel(now, j.request.ID))
 }
 
-func (j *job) abandonedAt(now time.Time, timeout time.Duration) bool {
-	read, _ := j.stream.idleSince()
-	return now.Sub(read) > timeout
+func (j *job) readTimedOut(now time.Time, timeout time.Duration) bool {
+	lastRead, _ := j.stream.readState()
+	return now.Sub(lastRead) > timeout
 }
 
-func withdrawn() *ggscore.Failure {
+func withdrawnFailure() *ggscore.Failure {
 	return &ggscore.Failure{
 		Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeNotRun,
 		Detail: "the request was withdrawn",
--- a/io/ggsdispatch/orders.go
+++ b/io/ggsdispatch/orders.go
@@ -13,14 +13,14 @@
 
 const (
 	orderTimeout = 30 * time.Second
-	// protectTimeout is how long an adapter that is there waits to be recorded
-	// as protected, protectInterval the time between two looks.
-	protectTimeout  = time.Second
-	protectInterval = 2 * time.Millisecond
+	// protectTimeout bounds the wait until a resident adapter is recorded as
+	// protected. protectPollInterval is the time between two checks.
+	protectTimeout      = time.Second
+	protectPollInterval = 2 * time.Millisecond
 )
 
-// order carries out a load or an eviction.
-func (d *Dispatcher) order(ctx context.Context, o ggscore.Order) {
+// executeOrder executes a load or unload order and reports its end to the scheduler.
+func (d *Dispatcher) executeOrder(ctx context.Context, o ggscore.Order) {
 	err := d.sendOrder(ctx, o)
 	e := ggscore.EndDone
 	if err != nil {
@@ -41,17 +41,18 @@
 		if err != nil {
 			d.stats.LoadsFailed.Add(1)
 		} else {
-			d.loaded[placement{o.Endpoint, o.Adapter}] = now
+			d.loadedAt[placement{o.Endpoint, o.Adapter}] = now
 		}
 		d.apply(d.parts.Scheduler.LoadEnded(now, o.Endpoint, o.Adapter, e))
 	} else {
 		d.stats.Unloads.Add(1)
 		d.apply(d.parts.Scheduler.UnloadEnded(now, o.Endpoint, o.Adapter, e))
 	}
-	d.touch()
+	d.markChanged()
 }
 
-// sendOrder checks the ownership, as send does, and gives the order.
+// sendOrder checks the ownership with the guard, as send does, and sends the order to
+// the runner.
 func (d *Dispatcher) sendOrder(ctx context.Context, o ggscore.Order) error {
 	addr, ok := d.addr(o.Endpoint)
 	if !ok {
@@ -69,7 +70,8 @@
 	return d.parts.Orderer.Unload(ctx, addr, o.Adapter, f)
 }
 
-// endOf tells what is known of an order that failed.
+// endOf returns how a failed order ended: EndFailed if the order is known to have had no
+// effect, else EndUnknown.
 func endOf(err error) ggscore.EndKind {
 	var (
 		f *ggscore.FencedError
@@ -82,13 +84,13 @@
 	return ggscore.EndUnknown
 }
 
-// awaitProtected waits until an adapter that is there may be used. The record
-// of what this owner protects is written while the load is under way; a request
-// that came before it would be turned away by the guard, and one try after the
-// other with it.
+// awaitProtected waits until a resident adapter may be used. The record of the adapters
+// that this owner protects is written while the load is in progress. Until that record
+// is written, the guard refuses every dispatch with the adapter, so a request that was
+// scheduled earlier would be refused at one attempt after the other.
 func (d *Dispatcher) awaitProtected(ctx context.Context, id ggscore.EndpointID, a ggscore.AdapterRef) {
 	until := d.parts.Clock().Add(protectTimeout)
-	t := time.NewTicker(protectInterval)
+	t := time.NewTicker(protectPollInterval)
 	defer t.Stop()
 	for d.parts.Clock().Before(until) {
 		if _, err := d.parts.Guard.Check(d.parts.Clock(), id, a, ggscore.OrderDispatch); err == nil {
@@ -102,12 +104,12 @@
 	}
 }
 
-// report asks every runner for its report, again and again.
-func (d *Dispatcher) report(ctx context.Context) error {
+// pollReports requests the reports of all model endpoints every ReportInterval.
+func (d *Dispatcher) pollReports(ctx context.Context) error {
 	t := time.NewTicker(d.options.ReportInterval)
 	defer t.Stop()
 	for {
-		d.reportOnce(ctx)
+		d.pollReportsOnce(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -116,21 +118,22 @@
 	}
 }
 
-func (d *Dispatcher) reportOnce(ctx context.Context) {
+func (d *Dispatcher) pollReportsOnce(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	var w sync.WaitGroup
 	defer w.Wait()
-	for _, e := range d.runners() {
+	for _, e := range d.modelEndpoints() {
 		w.Go(func() {
-			asked := d.parts.Clock()
+			requestedAt := d.parts.Clock()
 			r, err := d.parts.Reporter.Report(ctx, e.Addr)
 			if err != nil {
 				return
 			}
-			// The report is no younger than the question: what was ordered
-			// after it was asked for isn't settled by it.
-			r.Endpoint, r.At = e.ID, asked
+			// The report may have been made at any time since it was requested. It
+			// therefore gets the time of the request, so that it doesn't count as
+			// evidence about orders that were sent later.
+			r.Endpoint, r.At = e.ID, requestedAt
 			d.parts.Observer.Observe(r)
 			for _, a := range r.Resident {
 				d.awaitProtected(ctx, e.ID, a.Ref)
@@ -140,7 +143,7 @@
 	}
 }
 
-func (d *Dispatcher) runners() []ggscore.Endpoint {
+func (d *Dispatcher) modelEndpoints() []ggscore.Endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	es := make([]ggscore.Endpoint, 0, len(d.endpoints))
--- a/io/ggsdispatch/queue.go
+++ b/io/ggsdispatch/queue.go
@@ -7,8 +7,8 @@
 	ggscore "greengageslip/core"
 )
 
-// An orderQueue passes orders to a pool of workers. Adding never waits, so it
-// may be done under Dispatcher.mu.
+// An orderQueue is an unbounded FIFO queue of orders for a pool of workers. add never
+// blocks, so it may be called while Dispatcher.mu is held.
 type orderQueue struct {
 	mu     sync.Mutex
 	orders []ggscore.Order
@@ -26,7 +26,8 @@
 	q.wake()
 }
 
-// take waits for an order; ok is false when the context has ended.
+// take removes the first order and waits for one if the queue is empty. ok is false if
+// the context has ended.
 func (q *orderQueue) take(ctx context.Context) (o ggscore.Order, ok bool) {
 	for {
 		q.mu.Lock()
@@ -50,6 +51,7 @@
 	}
 }
 
+// wake unblocks one worker that waits in take.
 func (q *orderQueue) wake() {
 	select {
 	case q.ready <- struct{}{}:
--- a/io/ggsdispatch/run.go
+++ b/io/ggsdispatch/run.go
@@ -14,20 +14,22 @@
 )
 
 const (
-	// maxRecordedBytes bounds the answer that is kept with an idempotency key.
+	// maxRecordedBytes bounds the body that is stored with an idempotency key.
 	maxRecordedBytes = 2048
 	claimTimeout     = 2 * time.Second
 	finishTimeout    = 30 * time.Second
 	claimRetryAfter  = 2 * time.Second
-	// claimPatience is how long a repeat waits for an outcome to be recorded.
-	claimPatience = 400 * time.Millisecond
-	claimInterval = 50 * time.Millisecond
+	// claimWaitTimeout bounds how long a request with a claimed key waits for the
+	// outcome of the earlier request to be recorded.
+	claimWaitTimeout   = 400 * time.Millisecond
+	claimRetryInterval = 50 * time.Millisecond
 )
 
-// A recorder keeps the first bytes of an answer for the claim's result.
+// A recorder collects an answer for the claim's result. The body is dropped if it
+// exceeds maxRecordedBytes.
 type recorder struct {
-	result ggscore.ClaimResult
-	over   bool
+	result     ggscore.ClaimResult
+	overflowed bool
 }
 
 func (r *recorder) add(c ggscore.Chunk) {
@@ -35,59 +37,60 @@
 		r.result.Status = c.Status
 		r.result.ContentType = c.ContentType
 	}
-	r.over = r.over || len(r.result.Body)+len(c.Data) > maxRecordedBytes
-	if !r.over {
+	r.overflowed = r.overflowed || len(r.result.Body)+len(c.Data) > maxRecordedBytes
+	if !r.overflowed {
 		r.result.Body = append(r.result.Body, c.Data...)
 	}
 }
 
-func (r *recorder) done() ggscore.ClaimResult {
+func (r *recorder) claimResult() ggscore.ClaimResult {
 	v := r.result
 	v.Outcome = ggscore.OutcomeDone
-	v.Whole = !r.over
-	if r.over {
+	v.Whole = !r.overflowed
+	if r.overflowed {
 		v.Body = nil
 	}
 	return v
 }
 
-// dispatch carries out an order of the requests' pool.
+// dispatch executes an order of the request queue.
 func (d *Dispatcher) dispatch(ctx context.Context, o ggscore.Order) {
-	j, runCtx, cancel := d.begin(ctx, o)
+	j, runCtx, cancel := d.startJob(ctx, o)
 	if j == nil {
 		return
 	}
 	defer cancel()
 	if o.Kind == ggscore.OrderRefuse {
 		d.finishClaim(ctx, j, ggscore.ClaimResult{Outcome: ggscore.OutcomeNotRun})
-		d.end(j, ggscore.OutcomeNotRun, o.Failure)
+		d.finishJob(j, ggscore.OutcomeNotRun, o.Failure)
 		return
 	}
 	if j.request.NonIdempotent && j.claim == "" && !d.claim(ctx, j) {
-		d.ended(o, ggscore.EndDone)
+		d.reportEnd(o, ggscore.EndDone)
 		return
 	}
-	if j.claim != "" && !d.parts.Clock().Before(j.claimBefore) {
-		d.lateClaim(ctx, j, o)
+	if j.claim != "" && !d.parts.Clock().Before(j.claimDeadline) {
+		d.failExpiredClaim(ctx, j, o)
 		return
 	}
 	d.run(ctx, runCtx, j, o)
 }
 
-// lateClaim ends a request whose claim may no longer be used. A process that
-// was paused between claim and dispatch would run a key that others have
-// forgotten by now, and that may have run again since.
-func (d *Dispatcher) lateClaim(ctx context.Context, j *job, o ggscore.Order) {
+// failExpiredClaim ends a request whose claim has reached its deadline. If the process
+// was paused between claim and dispatch, the claim may have been discarded since and the
+// key may have run again, so a dispatch now could run the key twice.
+func (d *Dispatcher) failExpiredClaim(ctx context.Context, j *job, o ggscore.Order) {
 	d.finishClaim(ctx, j, ggscore.ClaimResult{Outcome: ggscore.OutcomeNotRun})
-	d.end(j, ggscore.OutcomeNotRun, &ggscore.Failure{
-		Kind: ggscore.FailureKeyExpired, Outcome: ggscore.OutcomeNotRun, Detail: "the claim of the key came too late",
+	d.finishJob(j, ggscore.OutcomeNotRun, &ggscore.Failure{
+		Kind: ggscore.FailureKeyExpired, Outcome: ggscore.OutcomeNotRun, Detail: "the claim of the idempotency key expired before the request was dispatched",
 	})
-	d.ended(o, ggscore.EndDone)
+	d.reportEnd(o, ggscore.EndDone)
 }
 
-// begin makes a request's context. It returns nil where there is nothing to
-// run, since the request was withdrawn before any of it was sent.
-func (d *Dispatcher) begin(ctx context.Context, o ggscore.Order) (*job, context.Context, context.CancelFunc) {
+// startJob returns the job of an order and a cancellable context for its run. The job
+// is nil if there is nothing to run, because the request was withdrawn before it was
+// sent.
+func (d *Dispatcher) startJob(ctx context.Context, o ggscore.Order) (*job, context.Context, context.CancelFunc) {
 	runCtx, cancel := context.WithCancel(ctx)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,7 +101,7 @@
 	}
 	if o.Kind == ggscore.OrderDispatch && j.abandoned && j.claim == "" {
 		cancel()
-		d.endJob(j, ggscore.OutcomeNotRun, withdrawn())
+		d.endJob(j, ggscore.OutcomeNotRun, withdrawnFailure())
 		d.apply(d.parts.Scheduler.RequestEnded(d.parts.Clock(), o.Request.ID, ggscore.EndDone))
 		return nil, nil, nil
 	}
@@ -106,8 +109,9 @@
 	return j, runCtx, cancel
 }
 
-// claim records the claim of the request's key, which goes before its one
-// dispatch. It answers the request itself where the claim isn't granted.
+// claim claims the request's idempotency key and reports whether the claim was granted,
+// which is required before the dispatch. If the claim isn't granted, the request is
+// answered here.
 func (d *Dispatcher) claim(ctx context.Context, j *job) bool {
 	r := j.request
 	c, err := d.beginClaim(ctx, r)
@@ -117,15 +121,15 @@
 			Kind: ggscore.FailurePlatformUnavailable, Outcome: ggscore.OutcomeUnknown, Detail: "the claim of the idempotency key could not be recorded",
 			RetryAfter: claimRetryAfter,
 		}
-		// The claimer says unknown where an earlier sending of the key may have
-		// run: notRun of this sending would lead its caller to a new key.
+		// The claimer returns the outcome unknown if an earlier request with the key
+		// may have run. With notRun, the caller would repeat the call under a new key.
 		_ = errors.As(err, &f)
-		d.end(j, f.Outcome, f)
+		d.finishJob(j, f.Outcome, f)
 		return false
 	}
 	if c.Answer == ggscore.ClaimGranted {
 		d.mu.Lock()
-		j.claim, j.claimBefore = c.ID, c.Before
+		j.claim, j.claimDeadline = c.ID, c.Before
 		d.mu.Unlock()
 		return true
 	}
@@ -133,19 +137,20 @@
 	return false
 }
 
-// beginClaim asks for the claim. A repeat that comes right behind the first
-// answer, whose outcome is still being written, is given a moment to meet it.
+// beginClaim requests the claim. While an earlier request with the key is in progress,
+// the claim is retried for claimWaitTimeout: a repeat that follows the first answer
+// closely may arrive before the first outcome is recorded.
 func (d *Dispatcher) beginClaim(ctx context.Context, r *ggscore.Request) (ggscore.ClaimDecision, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	q := ggscore.ClaimRequest{Market: r.Market, Key: r.Key, Body: bodyDigest(r), FirstSend: r.FirstSend}
-	until := d.parts.Clock().Add(claimPatience)
+	until := d.parts.Clock().Add(claimWaitTimeout)
 	for {
 		c, err := d.parts.Claims.Begin(ctx, q)
 		if err != nil || c.Answer != ggscore.ClaimInProgress || !d.parts.Clock().Before(until) {
 			return c, err
 		}
-		t := time.NewTimer(claimInterval)
+		t := time.NewTimer(claimRetryInterval)
 		select {
 		case <-ctx.Done():
 		case <-t.C:
@@ -154,7 +159,7 @@
 	}
 }
 
-// answerClaim ends a request whose key was claimed before.
+// answerClaim ends a request whose key can't be claimed.
 func (d *Dispatcher) answerClaim(j *job, c ggscore.ClaimDecision) {
 	f := &ggscore.Failure{Outcome: ggscore.OutcomeUnknown}
 	switch c.Answer {
@@ -164,20 +169,20 @@
 			return
 		}
 		f.Kind, f.Outcome = ggscore.FailureKeyInUse, c.Result.Outcome
-		f.Detail = "the key's request has ended and its answer is not kept"
+		f.Detail = "the request with this key has ended and its answer is not stored"
 	case ggscore.ClaimReused:
 		f.Kind, f.Outcome = ggscore.FailureKeyReused, ggscore.OutcomeNotRun
 		f.Detail = "the key came with another request before; this one did not run"
 	case ggscore.ClaimExpired:
-		f.Kind, f.Detail = ggscore.FailureKeyExpired, "the key is older than keys are kept"
+		f.Kind, f.Detail = ggscore.FailureKeyExpired, "the key is older than the retention time of keys"
 	case ggscore.ClaimInProgress, ggscore.ClaimGranted:
 		f.Kind, f.RetryAfter = ggscore.FailureKeyInUse, claimRetryAfter
 		f.Detail = "a request with this key is in progress"
 	}
-	d.end(j, f.Outcome, f)
+	d.finishJob(j, f.Outcome, f)
 }
 
-// replay answers with the result that was recorded for the key.
+// replay answers with the result that is recorded for the key.
 func (d *Dispatcher) replay(j *job, r ggscore.ClaimResult) {
 	j.stream.mu.Lock()
 	if !j.stream.final {
@@ -186,7 +191,7 @@
 		})
 	}
 	j.stream.mu.Unlock()
-	d.end(j, ggscore.OutcomeDone, nil)
+	d.finishJob(j, ggscore.OutcomeDone, nil)
 }
 
 // run sends a request to its endpoint and relays the answer.
@@ -196,19 +201,19 @@
 	var c *ggscore.CallError
 	switch {
 	case err == nil:
-		d.finishClaim(ctx, j, r.done())
-		d.end(j, ggscore.OutcomeDone, nil)
-		d.ended(o, ggscore.EndDone)
+		d.finishClaim(ctx, j, r.claimResult())
+		d.finishJob(j, ggscore.OutcomeDone, nil)
+		d.reportEnd(o, ggscore.EndDone)
 	case errors.As(err, &c) && c.NotSent && c.Kind == ggscore.FailureAdapterMissing:
 		d.requeue(o, ggscore.EndAdapterMissing, err)
 	case errors.As(err, &c) && c.NotSent:
 		d.requeue(o, ggscore.EndFailed, err)
 	default:
-		d.broke(ctx, j, o, err)
+		d.failBroken(ctx, j, o, err)
 	}
 }
 
-// send checks the ownership and makes the call.
+// send checks the ownership with the guard and calls the endpoint.
 func (d *Dispatcher) send(ctx context.Context, j *job, o ggscore.Order, r *recorder) error {
 	addr, ok := d.addr(o.Endpoint)
 	if !ok {
@@ -221,11 +226,11 @@
 		r.add(c)
 		return j.stream.append(ctx, c)
 	}
-	// A dispatcher that was paused past its lease would go on to use a runner
-	// whose new owner evicts adapters at will; its requests would break there.
-	// The guard compares the lease's end, less a margin, on the monotonic clock
-	// here, in the goroutine that writes, so that only a pause within the call
-	// below could fall between check and write.
+	// A dispatcher that was paused beyond the end of its lease must not use a
+	// runner: the runner's new owner may evict any adapter, and requests that use
+	// it would fail. The guard compares the monotonic clock with the lease's end,
+	// less a margin. The check is made in the goroutine that writes the request, so
+	// that only a pause within the call below can come between check and write.
 	if _, err := d.parts.Guard.Check(d.parts.Clock(), o.Endpoint, j.request.Adapter, ggscore.OrderDispatch); err != nil {
 		return &ggscore.CallError{Addr: addr, NotSent: true, Kind: guardKind(err), Cause: err}
 	}
@@ -235,8 +240,8 @@
 	return d.parts.Engine.Run(ctx, addr, j.request, sink)
 }
 
-// guardKind classifies a refusal of the guard. An adapter that isn't protected
-// can't be used on that endpoint, others there can.
+// guardKind returns the failure kind for an error of the guard. If an adapter isn't
+// protected, only that adapter can't be used on the endpoint.
 func guardKind(err error) ggscore.FailureKind {
 	if p := (*ggsowner.NotProtectedError)(nil); errors.As(err, &p) {
 		return ggscore.FailureAdapterMissing
@@ -244,8 +249,8 @@
 	return ggscore.FailureNotOwner
 }
 
-// requeue reports a run that is proved not to have happened. The scheduler
-// dispatches the request anew or refuses it.
+// requeue reports a dispatch that is known not to have run. The scheduler dispatches
+// the request again or refuses it.
 func (d *Dispatcher) requeue(o ggscore.Order, e ggscore.EndKind, err error) {
 	_ = level.Info(d.parts.Log).Log("event", "dispatchRefused", "request", o.Request.ID, "endpoint", o.Endpoint, "err", err)
 	d.mu.Lock()
@@ -257,13 +262,13 @@
 	}
 	d.apply(d.parts.Scheduler.RequestEnded(d.parts.Clock(), o.Request.ID, e))
 	if j != nil && j.abandoned && j.state == jobQueued && j.claim == "" {
-		d.takeBack(d.parts.Clock(), j, withdrawn())
+		d.cancelQueued(d.parts.Clock(), j, withdrawnFailure())
 	}
 }
 
-// broke ends a request of which a byte may have reached the endpoint. It is
-// never sent again.
-func (d *Dispatcher) broke(ctx context.Context, j *job, o ggscore.Order, err error) {
+// failBroken ends a request of which some bytes may have reached the endpoint. The
+// request is never sent again.
+func (d *Dispatcher) failBroken(ctx context.Context, j *job, o ggscore.Order, err error) {
 	f := &ggscore.Failure{Kind: ggscore.FailureBroken, Outcome: ggscore.OutcomeUnknown, Detail: "the answer broke off"}
 	if w := (*WrongAdapterError)(nil); errors.As(err, &w) {
 		d.stats.WrongAdapter.Add(1)
@@ -271,17 +276,19 @@
 	}
 	_ = level.Warn(d.parts.Log).Log("event", "answerBroke", "request", j.request.ID, "endpoint", o.Endpoint, "err", err)
 	d.finishClaim(ctx, j, ggscore.ClaimResult{Outcome: ggscore.OutcomeUnknown})
-	d.end(j, ggscore.OutcomeUnknown, f)
-	d.ended(o, ggscore.EndUnknown)
+	d.finishJob(j, ggscore.OutcomeUnknown, f)
+	d.reportEnd(o, ggscore.EndUnknown)
 }
 
-func (d *Dispatcher) end(j *job, o ggscore.Outcome, f *ggscore.Failure) {
+// finishJob is endJob with d.mu locked.
+func (d *Dispatcher) finishJob(j *job, o ggscore.Outcome, f *ggscore.Failure) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.endJob(j, o, f)
 }
 
-func (d *Dispatcher) ended(o ggscore.Order, e ggscore.EndKind) {
+// reportEnd reports the end of a run to the scheduler.
+func (d *Dispatcher) reportEnd(o ggscore.Order, e ggscore.EndKind) {
 	d.Schedule(func(s ggscore.Scheduler, now time.Time) []ggscore.Order {
 		return s.RequestEnded(now, o.Request.ID, e)
 	})
@@ -291,8 +298,8 @@
 	if j.claim == "" {
 		return
 	}
-	// The outcome of a run is recorded even when the process is stopping: a
-	// repeat of the key would otherwise be told unknown of a request that ran.
+	// The outcome is recorded even while the process stops. Otherwise a repeat of
+	// the key would get the outcome unknown for a request that ran.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finishTimeout)
 	defer cancel()
 	if err := d.parts.Claims.Finish(ctx, j.claim, r); err != nil {
@@ -300,6 +307,8 @@
 	}
 }
 
+// bodyDigest returns the digest of everything that must be equal in requests with the
+// same key: operation, adapter and body.
 func bodyDigest(r *ggscore.Request) ggscore.Digest {
 	h := sha256.New()
 	h.Write([]byte(r.Operation.Method + " " + r.Operation.Path + " " + r.Adapter.String() + "\n"))
--- a/io/ggsdispatch/service.go
+++ b/io/ggsdispatch/service.go
@@ -8,30 +8,30 @@
 	"greengageslip/io/ggswire"
 )
 
-// maxWait bounds how long a call may wait for news.
+// maxWait bounds how long a call may wait for new chunks or a new summary.
 const maxWait = 30 * time.Second
 
-// A Service answers gateways over net/rpc.
+// A Service is the net/rpc service for gateways. Its exported methods are part of the
+// protocol.
 type Service struct {
 	dispatcher *Dispatcher
-	// waiting returns a context for a call that may wait.
-	waiting func(time.Duration) (context.Context, context.CancelFunc)
+	// waitContext returns the context of a call that waits up to the given time.
+	waitContext func(time.Duration) (context.Context, context.CancelFunc)
 }
 
-// NewService returns the net/rpc service of d. Its waiting calls end with the
-// context.
+// NewService returns the net/rpc service of d. Calls that wait return when ctx ends.
 func NewService(ctx context.Context, d *Dispatcher) *Service {
 	return &Service{
 		dispatcher: d,
-		waiting: func(wait time.Duration) (context.Context, context.CancelFunc) {
+		waitContext: func(wait time.Duration) (context.Context, context.CancelFunc) {
 			return context.WithTimeout(ctx, min(max(wait, 0), maxWait))
 		},
 	}
 }
 
-// Next returns pieces of an answer.
+// Next returns chunks of an answer.
 func (s *Service) Next(a *ggswire.NextArgs, r *ggswire.NextReply) error {
-	ctx, cancel := s.waiting(a.Wait)
+	ctx, cancel := s.waitContext(a.Wait)
 	defer cancel()
 	c, stall, lost := s.dispatcher.Next(ctx, jobKey{id: ggscore.RequestID(a.ID), attempt: a.Attempt}, a.From)
 	r.Lost, r.Stall = lost, stall
@@ -42,10 +42,10 @@
 	return nil
 }
 
-// Submit takes a request.
+// Submit accepts a request for this incarnation of the dispatcher.
 func (s *Service) Submit(a *ggswire.SubmitArgs, r *ggswire.SubmitReply) error {
 	if a.Incarnation != s.dispatcher.options.Incarnation {
-		r.Failure = ggswire.FromFailure(otherLife())
+		r.Failure = ggswire.FromFailure(incarnationMismatch())
 		return nil
 	}
 	f := s.dispatcher.Submit(a.Request.Request(s.dispatcher.parts.Clock()))
@@ -53,20 +53,20 @@
 	return nil
 }
 
-// Summary returns the dispatcher's summary at its next change or when the wait
-// has passed.
+// Summary returns the dispatcher's summary at its next change, or when the wait time of
+// the call has passed.
 func (s *Service) Summary(a *ggswire.SummaryArgs, r *ggswire.SummaryReply) error {
-	ctx, cancel := s.waiting(a.Wait)
+	ctx, cancel := s.waitContext(a.Wait)
 	defer cancel()
 	v := s.dispatcher.NextSummary(ctx, a.After)
 	r.Summary = ggswire.FromSummary(&v)
 	return nil
 }
 
-// Withdraw takes a request back. A process that was started anew at the address
-// of one that died knows nothing of what that one dispatched: it would say
-// notRun of requests that ran. The life that a request was handed to is
-// therefore named, and another one says unknown.
+// Withdraw cancels a request and returns its outcome. A process that was restarted at
+// the same address doesn't know the requests that its predecessor dispatched and would
+// answer notRun for requests that ran. The arguments therefore name the incarnation that
+// the request was submitted to, and any other incarnation answers unknown.
 func (s *Service) Withdraw(a *ggswire.WithdrawArgs, r *ggswire.WithdrawReply) error {
 	if a.Incarnation != s.dispatcher.options.Incarnation {
 		r.Outcome = int(ggscore.OutcomeUnknown)
--- a/io/ggsdispatch/service_test.go
+++ b/io/ggsdispatch/service_test.go
@@ -11,10 +11,10 @@
 	"greengageslip/io/ggswire"
 )
 
-// A landlord was paid twice: a dispatcher dispatched a release and died before
-// it answered. The process that was started anew at its address didn't know the
-// request and told the gateway that it had not run, so that it was sent again.
-func TestAnotherLifeNeverSaysNotRun(t *testing.T) {
+// Guards against a non-idempotent request that runs twice. A dispatcher crashes after the
+// dispatch, and the process restarted at its address, which doesn't know the request,
+// answers notRun, so that the gateway sends the request again.
+func TestAnotherIncarnationNeverAnswersNotRun(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := New(Options{Incarnation: "second"}, Parts{Clock: fixedClock})
@@ -25,7 +25,7 @@
 	c.Assert(s.Withdraw(&ggswire.WithdrawArgs{Incarnation: "second", ID: "r"}, &w), qt.IsNil)
 	c.Assert(ggscore.Outcome(w.Outcome), qt.Equals, ggscore.OutcomeNotRun)
 
-	// What is meant for the first life is refused by the second.
+	// The second incarnation refuses a request that was sent to the first.
 	var r ggswire.SubmitReply
 	c.Assert(s.Submit(&ggswire.SubmitArgs{Incarnation: "first"}, &r), qt.IsNil)
 	f := r.Failure.Failure()
@@ -33,7 +33,7 @@
 	c.Assert(f.Outcome, qt.Equals, ggscore.OutcomeNotRun)
 }
 
-// A scheduler takes every request and refuses it when told to.
+// A refusingScheduler queues every request and refuses it when it is cancelled.
 type refusingScheduler struct{ ggscore.Scheduler }
 
 func (refusingScheduler) Submit(time.Time, *ggscore.Request) []ggscore.Order { return nil }
@@ -43,11 +43,10 @@
 	return []ggscore.Order{{Kind: ggscore.OrderRefuse, Request: &ggscore.Request{ID: id, Attempt: 1}, Failure: f}}
 }
 
-// A request was refused for seconds by a dispatcher that could have served it:
-// given back while the ownership changed hands and offered again, it met the
-// answer to its first offer; and the withdrawal of the first, which came late,
-// ended the second.
-func TestAnotherOfferIsAnotherRequest(t *testing.T) {
+// Guards against a repeated attempt that gets the answer, or the late withdrawal, of the
+// first one. It happens when a request is returned as not run during a handover and
+// submitted to the same dispatcher again.
+func TestAttemptsOfARequestAreIndependent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	d := New(Options{}, Parts{Clock: fixedClock, Scheduler: refusingScheduler{}})
--- a/io/ggsdispatch/state.go
+++ b/io/ggsdispatch/state.go
@@ -4,14 +4,14 @@
 	ggscore "greengageslip/core"
 )
 
-// A State is what a dump shows of a Dispatcher.
+// A State is the part of a state dump that describes a Dispatcher.
 type State struct {
 	Draining  bool            `json:"draining"`
 	Endpoints []EndpointState `json:"endpoints"`
 	Jobs      []JobState      `json:"jobs"`
 }
 
-// An EndpointState is one endpoint in a dump.
+// An EndpointState describes one endpoint in a state dump.
 type EndpointState struct {
 	ID       string   `json:"id"`
 	Service  string   `json:"service"`
@@ -24,7 +24,7 @@
 	Loading  []string `json:"loading,omitempty"`
 }
 
-// A JobState is one request in a dump.
+// A JobState describes one request in a state dump.
 type JobState struct {
 	ID       string `json:"id"`
 	Market   string `json:"market"`
@@ -34,7 +34,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// State returns the state for a dump. Ended requests are left out.
+// State returns the dispatcher's state for a state dump. It omits ended requests.
 func (d *Dispatcher) State() State {
 	v := d.Summary()
 	d.mu.Lock()
@@ -50,13 +50,13 @@
 		}
 		s.Jobs = append(s.Jobs, JobState{
 			ID: string(k.id), Market: string(j.request.Market), Adapter: j.request.Adapter.String(),
-			State: j.state.String(), Age: now.Sub(j.submitted).String(), Revision: uint64(j.request.Revision),
+			State: j.state.String(), Age: now.Sub(j.submittedAt).String(), Revision: uint64(j.request.Revision),
 		})
 	}
 	return s
 }
 
-// String returns the state's name in dumps.
+// String returns the state's name in state dumps.
 func (s jobState) String() string {
 	switch s {
 	case jobQueued:
@@ -72,11 +72,11 @@
 	return EndpointState{
 		ID: string(r.Endpoint), Service: string(r.Service), Mode: r.Mode.String(), Leaving: r.Leaving,
 		Slots: r.Slots, Running: r.Running, Queued: r.Queued,
-		Resident: texts(r.Resident), Loading: texts(r.Loading),
+		Resident: refStrings(r.Resident), Loading: refStrings(r.Loading),
 	}
 }
 
-func texts(refs []ggscore.AdapterRef) []string {
+func refStrings(refs []ggscore.AdapterRef) []string {
 	t := make([]string, 0, len(refs))
 	for _, a := range refs {
 		t = append(t, a.String())
--- a/io/ggsdispatch/stream.go
+++ b/io/ggsdispatch/stream.go
@@ -8,27 +8,28 @@
 	ggscore "greengageslip/core"
 )
 
-// maxUnreadBytes bounds what a stream holds for a slow reader. The endpoint's
-// answer is then read no further until the reader catches up.
+// maxUnreadBytes bounds the bytes that a stream holds for a slow reader. Above it, the
+// endpoint's answer isn't read further until the reader acknowledges chunks.
 const maxUnreadBytes = 1 << 20
 
-// A stream holds the pieces of one answer until they are acknowledged.
+// A stream holds the chunks of one answer until they are acknowledged. firstSeq is the
+// sequence number of the first chunk held.
 type stream struct {
-	mu      sync.Mutex
-	base    int
-	chunks  []ggscore.Chunk
-	unread  int
-	final   bool
-	read    time.Time
-	changed chan struct{}
+	mu          sync.Mutex
+	firstSeq    int
+	chunks      []ggscore.Chunk
+	unreadBytes int
+	final       bool
+	lastRead    time.Time
+	changed     chan struct{}
 }
 
 func newStream(now time.Time) *stream {
-	return &stream{read: now, changed: make(chan struct{})}
+	return &stream{lastRead: now, changed: make(chan struct{})}
 }
 
-// append adds a piece under the next number. It waits while the reader is
-// behind by more than maxUnreadBytes.
+// append adds a chunk with the next sequence number. It blocks while the chunks held
+// have maxUnreadBytes or more. A final chunk never blocks.
 func (s *stream) append(ctx context.Context, c ggscore.Chunk) error {
 	for {
 		s.mu.Lock()
@@ -36,7 +37,7 @@
 			s.mu.Unlock()
 			return &StreamEndedError{}
 		}
-		if s.unread < maxUnreadBytes || c.Final {
+		if s.unreadBytes < maxUnreadBytes || c.Final {
 			s.add(c)
 			s.mu.Unlock()
 			return nil
@@ -51,17 +52,16 @@
 	}
 }
 
-// add needs s.mu.
+// add appends a chunk without blocking. The caller holds s.mu.
 func (s *stream) add(c ggscore.Chunk) {
-	c.Seq = s.base + len(s.chunks)
+	c.Seq = s.firstSeq + len(s.chunks)
 	s.chunks = append(s.chunks, c)
-	s.unread += len(c.Data)
+	s.unreadBytes += len(c.Data)
 	s.final = c.Final
 	s.signal()
 }
 
-// end adds the final piece of an answer that ended short, unless the answer
-// has ended already.
+// end appends a final chunk with the failure f, unless the answer has already ended.
 func (s *stream) end(f *ggscore.Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,26 +70,27 @@
 	}
 }
 
-// idleSince returns when the stream was last read, and whether all of an ended
-// answer was acknowledged.
-func (s *stream) idleSince() (read time.Time, consumed bool) {
+// readState returns when the stream was last read, and whether the answer has ended and
+// all its chunks were acknowledged.
+func (s *stream) readState() (lastRead time.Time, consumed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.read, s.final && len(s.chunks) == 0
+	return s.lastRead, s.final && len(s.chunks) == 0
 }
 
-// next returns the pieces from a number on, waiting for the first of them. It
-// acknowledges those below. lost is set when the piece is no longer held.
+// next returns the chunks from the sequence number from on and waits for the first of
+// them. It acknowledges all chunks below. lost says that the stream can't return the
+// chunk from: it was acknowledged before, or from is beyond the next number.
 func (s *stream) next(ctx context.Context, now func() time.Time, from int) (chunks []ggscore.Chunk, lost bool) {
 	for {
 		s.mu.Lock()
-		s.read = now()
+		s.lastRead = now()
 		s.acknowledge(from)
-		if from < s.base || from > s.base+len(s.chunks) {
+		if from < s.firstSeq || from > s.firstSeq+len(s.chunks) {
 			s.mu.Unlock()
 			return nil, true
 		}
-		c := s.chunks[from-s.base:]
+		c := s.chunks[from-s.firstSeq:]
 		if len(c) > 0 || s.final {
 			c = append([]ggscore.Chunk(nil), c...)
 			s.mu.Unlock()
@@ -105,22 +106,22 @@
 	}
 }
 
-// acknowledge needs s.mu.
+// acknowledge drops the chunks below the number from. The caller holds s.mu.
 func (s *stream) acknowledge(from int) {
-	n := min(from-s.base, len(s.chunks))
+	n := min(from-s.firstSeq, len(s.chunks))
 	if n <= 0 {
 		return
 	}
 	for i := range n {
-		s.unread -= len(s.chunks[i].Data)
+		s.unreadBytes -= len(s.chunks[i].Data)
 		s.chunks[i] = ggscore.Chunk{}
 	}
 	s.chunks = s.chunks[n:]
-	s.base += n
+	s.firstSeq += n
 	s.signal()
 }
 
-// signal needs s.mu.
+// signal wakes all calls that wait for a change. The caller holds s.mu.
 func (s *stream) signal() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/io/ggsdispatch/stream_test.go
+++ b/io/ggsdispatch/stream_test.go
@@ -15,19 +15,18 @@
 
 func fixedClock() time.Time { return time.Unix(1000, 0) }
 
-func piece(s string) ggscore.Chunk { return ggscore.Chunk{Data: []byte(s)} }
+func chunk(s string) ggscore.Chunk { return ggscore.Chunk{Data: []byte(s)} }
 
-func closedContext() context.Context {
+func cancelledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-// A caller's answer had a gap: the connection between gateway and dispatcher
-// broke after some pieces were sent and before they were received, and the
-// gateway asked for what comes next instead of what it lacked. Whatever of the
-// replies is lost, the pieces passed on must be all, once, in order.
-func TestStreamIsWholeWhateverRepliesAreLost(t *testing.T) {
+// Guards against missing or repeated chunks in an answer. They occur when the connection
+// to the gateway fails after chunks were sent and before they were received. Whichever
+// replies are lost, the gateway must get all chunks once and in order.
+func TestStreamIsCompleteWhicheverRepliesAreLost(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		s := newStream(fixedClock())
@@ -38,7 +37,7 @@
 				if ended {
 					r.Skip("ended")
 				}
-				c := piece(rapid.StringN(1, 8, -1).Draw(r, "data"))
+				c := chunk(rapid.StringN(1, 8, -1).Draw(r, "data"))
 				c.Final = rapid.IntRange(0, 9).Draw(r, "final") == 0
 				ended = c.Final
 				want.Write(c.Data)
@@ -47,16 +46,16 @@
 				}
 			},
 			"read": func(r *rapid.T) {
-				chunks, lost := s.next(closedContext(), fixedClock, next)
+				chunks, lost := s.next(cancelledContext(), fixedClock, next)
 				if lost {
-					r.Fatal("piece lost")
+					r.Fatal("chunk lost")
 				}
 				if rapid.Bool().Draw(r, "replyLost") {
 					return
 				}
 				for _, c := range chunks {
 					if c.Seq != next {
-						r.Fatalf("piece %d where %d was due", c.Seq, next)
+						r.Fatalf("got chunk %d, want chunk %d", c.Seq, next)
 					}
 					got.Write(c.Data)
 					next++
@@ -64,51 +63,51 @@
 			},
 			"": func(r *rapid.T) {
 				if !bytes.HasPrefix(want.Bytes(), got.Bytes()) {
-					r.Fatal("the answer differs")
+					r.Fatal("received bytes are not a prefix of the answer")
 				}
 			},
 		})
-		chunks, _ := s.next(closedContext(), fixedClock, next)
+		chunks, _ := s.next(cancelledContext(), fixedClock, next)
 		for _, c := range chunks {
 			got.Write(c.Data)
 		}
 		if !bytes.Equal(want.Bytes(), got.Bytes()) {
-			r.Fatal("the answer isn't whole")
+			r.Fatal("received bytes differ from the answer")
 		}
 	})
 }
 
-// A gateway that restarted asked for a piece that another had acknowledged; it
-// was given a later one, and its caller an answer without the middle.
-func TestStreamTellsOfPiecesItNoLongerHas(t *testing.T) {
+// Guards against an answer without its middle. It happens when a gateway requests a chunk
+// that was acknowledged before and gets a later chunk instead.
+func TestStreamReportsChunksThatAreNotHeld(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := newStream(fixedClock())
-	c.Assert(s.append(context.Background(), piece("a")), qt.IsNil)
-	c.Assert(s.append(context.Background(), piece("b")), qt.IsNil)
-	_, lost := s.next(closedContext(), fixedClock, 1)
+	c.Assert(s.append(context.Background(), chunk("a")), qt.IsNil)
+	c.Assert(s.append(context.Background(), chunk("b")), qt.IsNil)
+	_, lost := s.next(cancelledContext(), fixedClock, 1)
 	c.Assert(lost, qt.IsFalse)
-	_, lost = s.next(closedContext(), fixedClock, 0)
+	_, lost = s.next(cancelledContext(), fixedClock, 0)
 	c.Assert(lost, qt.IsTrue)
-	_, lost = s.next(closedContext(), fixedClock, 3)
+	_, lost = s.next(cancelledContext(), fixedClock, 3)
 	c.Assert(lost, qt.IsTrue)
 }
 
-// A slow caller of a long answer made the dispatcher hold all of it: its VM
-// has little memory and every request of its runners died with it.
-func TestStreamHoldsBackTheEndpointOfASlowReader(t *testing.T) {
+// Guards against a dispatcher that runs out of memory, which fails all requests of its
+// runners. It happens when the dispatcher holds a whole long answer for a slow caller.
+func TestStreamOfASlowReaderBlocksTheEndpoint(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := newStream(fixedClock())
-	big := piece(string(make([]byte, maxUnreadBytes)))
+	big := chunk(string(make([]byte, maxUnreadBytes)))
 	c.Assert(s.append(context.Background(), big), qt.IsNil)
-	c.Assert(s.append(closedContext(), piece("b")), qt.ErrorIs, context.Canceled)
+	c.Assert(s.append(cancelledContext(), chunk("b")), qt.ErrorIs, context.Canceled)
 
 	var w sync.WaitGroup
-	w.Go(func() { _ = s.append(context.Background(), piece("b")) })
-	_, _ = s.next(closedContext(), fixedClock, 1)
+	w.Go(func() { _ = s.append(context.Background(), chunk("b")) })
+	_, _ = s.next(cancelledContext(), fixedClock, 1)
 	w.Wait()
-	got, lost := s.next(closedContext(), fixedClock, 1)
+	got, lost := s.next(cancelledContext(), fixedClock, 1)
 	c.Assert(lost, qt.IsFalse)
 	c.Assert(string(got[0].Data), qt.Equals, "b")
 }
