--- a/io/ggsengine/doc.go
+++ b/io/ggsengine/doc.go
@@ -33,7 +33,7 @@
 // and had no effect.
 //
 // Requests to endpoints have the headers X-Request-Id and X-Priority (0 is the most
-// urgent). Requests to plain services also have Idempotency-Key. An answer whose
-// X-Request-Id differs from the request's is a CallError of kind broken, regardless of
-// its status and body.
+// urgent). Requests with an idempotency key to plain services also have Idempotency-Key.
+// An answer whose X-Request-Id is present and differs from the request's is a CallError of
+// kind broken, regardless of its status and body.
 package ggsengine
--- a/io/ggsengine/fault_test.go
+++ b/io/ggsengine/fault_test.go
@@ -380,10 +380,10 @@
 	b := newFixture(c, nil)
 	b.engine.Preload(adapterA())
 	ctx := ggsfakebench.Context(c)
-	gone := &ggscore.Failure{Kind: ggscore.FailureCancelled}
-	err := b.client.Run(ctx, b.addr, request("q1", adapterA(), 1<<20), func(ggscore.Chunk) error { return gone })
+	disconnected := &ggscore.Failure{Kind: ggscore.FailureCancelled}
+	err := b.client.Run(ctx, b.addr, request("q1", adapterA(), 1<<20), func(ggscore.Chunk) error { return disconnected })
 	assertFailure(c, err, expectedFailure{false, ggscore.FailureCancelled})
-	c.Assert(err, qt.ErrorIs, error(gone))
+	c.Assert(err, qt.ErrorIs, error(disconnected))
 	waitFor(ctx, c, "free slot", func() bool { return b.engine.Report().Running == 0 })
 }
 
