--- a/cmd/ggsctl/fleet.go
+++ b/cmd/ggsctl/fleet.go
@@ -70,8 +70,8 @@
 			if len(n.Held) > 0 {
 				k.Held = n.Held
 			}
-			if n.Orderer != "" && !slices.Contains(k.orderers, n.Orderer) {
-				k.orderers = append(k.orderers, n.Orderer)
+			if n.Owner != "" && !slices.Contains(k.orderers, n.Owner) {
+				k.orderers = append(k.orderers, n.Owner)
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 		default:
 			e := s.edge
 			store := "there"
-			if e.StoreAway {
+			if e.StoreUnavailable {
 				store = "away"
 			}
 			r.add(string(s.vm), string(e.Domain), strconv.FormatUint(e.Config, 10), strconv.Itoa(e.Routes),
@@ -112,7 +112,7 @@
 func heard(e *ggsedge.State) int {
 	n := 0
 	for _, p := range e.Peers {
-		if p.Silence < peerSilence {
+		if p.HeartbeatAge < peerSilence {
 			n++
 		}
 	}
--- a/cmd/ggsnode/edge.go
+++ b/cmd/ggsnode/edge.go
@@ -157,18 +157,18 @@
 		Policy: policy,
 		VM:     s.VM + "@" + ggscore.VMID(s.Addr.String()),
 		Domain: s.Domain, Regions: s.Regions, Seed: h.Sum64() ^ uint64(t().UnixNano()),
-		Capacity: edgeCapacity(s),
-		Beats:    edgeBeats(s), Control: s.Control, Seeds: s.Seeds, Turn: s.OrderTurn, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack,
-		MaxActive: int64(float64(cmp.Or(s.MaxFiles, defaultFiles)-reservedFiles) * activeShare),
-		MaxBodies: int64(float64(cmp.Or(s.MemoryBytes, defaultMemory)) * bodiesShare),
-		IDHeader:  ggsdialect.HeaderRequestID,
+		Capacity:     edgeCapacity(s),
+		DatagramAddr: edgeBeats(s), ControlAddr: s.Control, Seeds: s.Seeds, MinOrderGap: s.OrderTurn, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack,
+		MaxInFlight:    int64(float64(cmp.Or(s.MaxFiles, defaultFiles)-reservedFiles) * activeShare),
+		MaxBodiesBytes: int64(float64(cmp.Or(s.MemoryBytes, defaultMemory)) * bodiesShare),
+		IDHeader:       ggsdialect.HeaderRequestID,
 		Keys: ggsedge.Keys{
 			Operators: ggsdialect.OperatorPrefix, Config: ggsdialect.ConfigKey, Instances: ggsdialect.InstancePrefix, Own: "greengageslip",
 		},
 	}, ggsedge.Parts{
 		Store: ggsdialect.NewStore(s.Store), Codec: ggsdialect.Codec{}, Dialect: ggsdialect.Headers{},
 		Orderer: ggsdialect.NewOrderer(p), Pool: p, Peers: u, Calls: ggsrpc.NewPool(ggsrpc.PoolOptions{}),
-		Log: l, Now: ggsclock.Boot, Steady: t,
+		Log: l, Now: ggsclock.Boot, Monotonic: t,
 	}), nil
 }
 
@@ -246,7 +246,7 @@
 			ctx, cancel := context.WithTimeout(ctx, max(s.Grace-leaveTime-graceMargin, time.Second))
 			defer cancel()
 			if err := v.Shutdown(ctx); err != nil {
-				_ = level.Warn(h.Log).Log("event", ggslog.EventRequestsCut, "active", e.Stats().Active.Load(), "err", err)
+				_ = level.Warn(h.Log).Log("event", ggslog.EventRequestsCut, "active", e.Stats().InFlight.Load(), "err", err)
 				return v.Close()
 			}
 			return nil
@@ -262,11 +262,11 @@
 	t.Count("answered", k.Answered.Load)
 	t.Count("refused", k.Refused.Load)
 	t.Count("failed", k.Failed.Load)
-	t.Count("callersLeft", k.Left.Load)
+	t.Count("callersLeft", k.CallersLeft.Load)
 	t.Count("retries", k.Retries.Load)
 	t.Count("orders", k.Orders.Load)
-	t.Count("storeCalls", k.Store.Load)
-	t.Count("active", k.Active.Load)
+	t.Count("storeCalls", k.StoreCalls.Load)
+	t.Count("active", k.InFlight.Load)
 	t.Add("edge", func() any { return e.State() })
 	t.SetHealth(e.Ready)
 	g := t.HandlerWithHealth(ggsdialect.PathReady)
--- a/cmd/ggsnode/edge_epoch_test.go
+++ b/cmd/ggsnode/edge_epoch_test.go
@@ -38,7 +38,7 @@
 	s.eventually("the list is read", func() bool { return s.site.Store.Snapshots(list) > read+1 })
 	s.eventually("beats are written", func() bool { return s.site.Store.Written(own, mark) > 0 })
 	s.site.Store.SetAway(true)
-	s.eachEdge("the store is unreachable", func(e ggsedge.State) bool { return e.StoreAway })
+	s.eachEdge("the store is unreachable", func(e ggsedge.State) bool { return e.StoreUnavailable })
 	s.site.Return(k, neverTime)
 	s.site.Store.SetAway(false)
 	s.eachEdge("the epoch is known", func(e ggsedge.State) bool { return uint64(e.Epoch) == s.site.Store.Era() })
--- a/cmd/ggsnode/edge_test.go
+++ b/cmd/ggsnode/edge_test.go
@@ -136,7 +136,7 @@
 func (s *siteTest) orderers(n int) int {
 	known := 0
 	for _, e := range s.state(n).Endpoints {
-		if e.Orderer != "" {
+		if e.Owner != "" {
 			known++
 		}
 	}
--- a/io/ggsdispatch/errors.go
+++ b/io/ggsdispatch/errors.go
@@ -14,13 +14,13 @@
 
 // A WrongAdapterError says that an endpoint ran an adapter that was not requested.
 type WrongAdapterError struct {
-	Asked  ggscore.AdapterRef
-	Served ggscore.AdapterRef
+	Requested ggscore.AdapterRef
+	Served    ggscore.AdapterRef
 }
 
 // Error implements error.
 func (e *WrongAdapterError) Error() string {
-	return fmt.Sprintf("endpoint ran the wrong adapter: requested %s, got %s", e.Asked, e.Served)
+	return fmt.Sprintf("endpoint ran the wrong adapter: requested %s, got %s", e.Requested, e.Served)
 }
 
 // A NotOwnerError says that this process doesn't own an endpoint.
--- a/io/ggsdispatch/run.go
+++ b/io/ggsdispatch/run.go
@@ -221,7 +221,7 @@
 	}
 	sink := func(c ggscore.Chunk) error {
 		if c.Status == http.StatusOK && j.request.Kind == ggscore.KindModel && c.Served != j.request.Adapter {
-			return &WrongAdapterError{Asked: j.request.Adapter, Served: c.Served}
+			return &WrongAdapterError{Requested: j.request.Adapter, Served: c.Served}
 		}
 		r.add(c)
 		return j.stream.append(ctx, c)
--- a/io/ggsedge/attempt.go
+++ b/io/ggsedge/attempt.go
@@ -101,7 +101,7 @@
 	}
 	e.mu.Lock()
 	wait, err := e.retries.Retry(e.Now(), ggsretry.Attempt{
-		Market: ggscore.Market(j.service), Number: j.sends, Failure: f, Left: j.deadline.Sub(e.Steady()) - minTimeLeft,
+		Market: ggscore.Market(j.service), Number: j.sends, Failure: f, Left: j.deadline.Sub(e.Monotonic()) - minTimeLeft,
 	})
 	e.mu.Unlock()
 	if err != nil {
@@ -117,7 +117,7 @@
 	late := errors.As(context.Cause(ctx), &exceeded)
 	left := ctx.Err() != nil && !late
 	if left {
-		e.stats.Left.Add(1)
+		e.stats.CallersLeft.Add(1)
 		_ = level.Info(e.Log).Log("event", ggslog.EventCallerLeft, "request", j.meta.ID, "sends", j.sends, "took", e.since(j.arrived))
 		panic(http.ErrAbortHandler)
 	}
@@ -160,7 +160,7 @@
 // send sends the request once. It returns nil if the caller has received the answer.
 func (e *Edge) send(ctx context.Context, j *job, c ggsplace.Choice) *ggscore.Failure {
 	i := c.Instance
-	left := j.deadline.Sub(e.Steady())
+	left := j.deadline.Sub(e.Monotonic())
 	if left < minTimeLeft {
 		return &ggscore.Failure{Kind: ggscore.FailureCancelled, Outcome: ggscore.OutcomeNotRun, Detail: "not sent: too little time left before the request deadline"}
 	}
@@ -173,7 +173,7 @@
 		// The endpoint announced while the request waited that it leaves.
 		return e.notSent(j, i)
 	}
-	left = j.deadline.Sub(e.Steady())
+	left = j.deadline.Sub(e.Monotonic())
 	j.sends++
 	j.sentAt = e.Now()
 	_ = level.Info(e.Log).Log("event", ggslog.EventRequestSent, "request", j.meta.ID, "endpoint", i.ID, "route", j.route.Name,
--- a/io/ggsedge/attempt_test.go
+++ b/io/ggsedge/attempt_test.go
@@ -20,7 +20,7 @@
 	now := func() time.Time { return time.Unix(1_000, 0) }
 	// Each request adds half a retry to the budget.
 	e := New(Options{VM: "vm", RetryRatio: 0.5 / retryShare}, Parts{
-		Log: log.NewNopLogger(), Now: now, Steady: now, Pool: ggsexchange.NewPool(ggsexchange.Options{Now: now}),
+		Log: log.NewNopLogger(), Now: now, Monotonic: now, Pool: ggsexchange.NewPool(ggsexchange.Options{Now: now}),
 	})
 	granted := func() bool {
 		_, err := e.retries.Retry(now(), ggsretry.Attempt{
--- a/io/ggsedge/control.go
+++ b/io/ggsedge/control.go
@@ -22,7 +22,7 @@
 	var count uint64
 	refusals := 0
 	for ctx.Err() == nil {
-		sent := e.Steady()
+		sent := e.Monotonic()
 		r := e.writeHeartbeat(ctx, &count)
 		if r != heartbeatRefused {
 			refusals = 0
@@ -97,7 +97,7 @@
 	shapes := e.turns.LearnedState()
 	e.mu.Unlock()
 	v, err := json.Marshal(&memberRecord{
-		Domain: string(e.options.Domain), DatagramAddr: e.options.Beats.String(), ControlAddr: e.options.Control.String(), Count: *count,
+		Domain: string(e.options.Domain), DatagramAddr: e.options.DatagramAddr.String(), ControlAddr: e.options.ControlAddr.String(), Count: *count,
 		Capacity: e.options.Capacity,
 		Shapes:   shapeRecords(shapes),
 	})
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -35,13 +35,13 @@
 	// Capacity compares VMs by processor and network link. The VMs of a failure domain with the
 	// greatest capacity become relays, and VMs own endpoints in proportion to it.
 	Capacity uint64
-	// Beats is the address at which this VM receives datagrams, and Control the one for calls.
-	Beats   netip.AddrPort
-	Control netip.AddrPort
+	// DatagramAddr is the address at which this VM receives datagrams, and Control the one for calls.
+	DatagramAddr netip.AddrPort
+	ControlAddr  netip.AddrPort
 	// Seeds are other VMs to read entries from while the store is unreachable. They may be gone.
 	Seeds []netip.AddrPort
-	// Turn is the minimum time between orders of two VMs to one endpoint.
-	Turn time.Duration
+	// MinOrderGap is the minimum time between orders of two VMs to one endpoint.
+	MinOrderGap time.Duration
 	// FirstStart says that the deployment starts for the first time.
 	FirstStart bool
 	// RetryRatio and RetrySlack bound the retries to a service, summed over all VMs. RetryRatio
@@ -51,10 +51,10 @@
 	// IDHeader is the header with the ID of a request and its answer.
 	IDHeader string
 	Keys     Keys
-	// MaxActive bounds the requests in flight, and MaxBodies the total size of their bodies in
+	// MaxInFlight bounds the requests in flight, and MaxBodies the total size of their bodies in
 	// bytes.
-	MaxActive int64
-	MaxBodies int64
+	MaxInFlight    int64
+	MaxBodiesBytes int64
 }
 
 // A Keys has the prefixes and keys in the store that an Edge uses.
@@ -96,8 +96,8 @@
 	Log     log.Logger
 	// Now is the clock for decisions. It advances while the VM is suspended.
 	Now func() time.Time
-	// Steady is the clock for the deadlines of requests.
-	Steady func() time.Time
+	// Monotonic is the clock for the deadlines of requests.
+	Monotonic func() time.Time
 }
 
 // An Edge serves callers at one VM.
@@ -184,18 +184,18 @@
 
 // A Stats has the counters of an Edge.
 type Stats struct {
-	Requests atomic.Int64
-	Answered atomic.Int64
-	Refused  atomic.Int64
-	Failed   atomic.Int64
-	Left     atomic.Int64
-	Retries  atomic.Int64
-	Loads    atomic.Int64
-	Orders   atomic.Int64
-	Store    atomic.Int64
-	Active   atomic.Int64
-	// Bodies is the total size of the bodies of requests in flight, in bytes.
-	Bodies atomic.Int64
+	Requests    atomic.Int64
+	Answered    atomic.Int64
+	Refused     atomic.Int64
+	Failed      atomic.Int64
+	CallersLeft atomic.Int64
+	Retries     atomic.Int64
+	Loads       atomic.Int64
+	Orders      atomic.Int64
+	StoreCalls  atomic.Int64
+	InFlight    atomic.Int64
+	// BodyBytes is the total size of the bodies of requests in flight, in bytes.
+	BodyBytes atomic.Int64
 }
 
 // A member is a peer as described by its record in the store.
@@ -234,11 +234,11 @@
 		options: o,
 		Parts:   p,
 		turns:   turns,
-		node:    ggsrelay.NewNode(ggsrelay.Options{Self: o.relayMember(), Started: p.Steady().UnixNano()}),
+		node:    ggsrelay.NewNode(ggsrelay.Options{Self: o.relayMember(), Started: p.Monotonic().UnixNano()}),
 		table: ggsplace.NewTable(ggsplace.Options{
 			Domain: o.Domain, Regions: o.Regions, Seed: o.Seed, Turns: turns, Throttle: limits, Policy: o.Policy,
 		}),
-		ownership:              ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: o.VM, Domain: o.Domain, MinOrderGap: o.Turn, FirstStart: o.FirstStart}),
+		ownership:              ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: o.VM, Domain: o.Domain, MinOrderGap: o.MinOrderGap, FirstStart: o.FirstStart}),
 		retries:                ggsretry.NewPolicy(retryOptions(o)),
 		limits:                 limits,
 		registry:               ggsregistry.NewRegistry(),
@@ -249,7 +249,7 @@
 		uses:                   map[use]*usage{},
 		loads:                  map[load]*pendingLoad{},
 		entries:                map[ggscore.Key][]ggscore.Entry{},
-		startedAt:              p.Steady().UnixNano(),
+		startedAt:              p.Monotonic().UnixNano(),
 		storeHeartbeatNotified: make(chan struct{}, 1),
 
 		listNotified:      make(chan struct{}, 1),
@@ -259,7 +259,7 @@
 	e.metrics = newMetrics(e)
 	e.epochs = newEpochState(p.Log, p.Now, e.epochChanged)
 	e.Store = &epochStore{epochs: e.epochs, Store: &meteredStore{Store: p.Store, count: func(call string) {
-		e.stats.Store.Add(1)
+		e.stats.StoreCalls.Add(1)
 		e.metrics.storeCalls.WithLabelValues(call).Inc()
 	}}}
 	return e
@@ -325,7 +325,7 @@
 }
 
 // since returns the time elapsed since t.
-func (e *Edge) since(t time.Time) time.Duration { return e.Steady().Sub(t) }
+func (e *Edge) since(t time.Time) time.Duration { return e.Monotonic().Sub(t) }
 
 // Drain makes Ready return an error and closes callers' connections after their next answer.
 func (e *Edge) Drain() { e.draining.Store(true) }
--- a/io/ggsedge/errors.go
+++ b/io/ggsedge/errors.go
@@ -13,11 +13,11 @@
 // Error implements error.
 func (e *NotReadyError) Error() string { return e.Reason }
 
-// A NoOrdererError says that no VM owns the endpoint, so no VM can load an adapter there.
-type NoOrdererError struct{ Endpoint ggscore.EndpointID }
+// A NoOwnerError says that no VM owns the endpoint, so no VM can load an adapter there.
+type NoOwnerError struct{ Endpoint ggscore.EndpointID }
 
 // Error implements error.
-func (e *NoOrdererError) Error() string {
+func (e *NoOwnerError) Error() string {
 	return fmt.Sprintf("no VM owns endpoint %s", e.Endpoint)
 }
 
@@ -33,11 +33,11 @@
 	return fmt.Sprintf("load timed out: %s not loaded on %s after %s", e.Target, e.Endpoint, e.Waited)
 }
 
-// A CrowdedError says that too many adapters wait to be loaded on an endpoint.
-type CrowdedError struct{ Endpoint ggscore.EndpointID }
+// A LoadQueueFullError says that too many adapters wait to be loaded on an endpoint.
+type LoadQueueFullError struct{ Endpoint ggscore.EndpointID }
 
 // Error implements error.
-func (e *CrowdedError) Error() string {
+func (e *LoadQueueFullError) Error() string {
 	return fmt.Sprintf("load queue full: too many adapters wait to be loaded on %s", e.Endpoint)
 }
 
@@ -60,11 +60,11 @@
 	return fmt.Sprintf("request deadline exceeded after %s", e.Limit)
 }
 
-// A PartUnknownError says that a VM has not read the entries below a prefix yet.
-type PartUnknownError struct{ Prefix ggscore.Key }
+// A PartNotReadError says that a VM has not read the entries below a prefix yet.
+type PartNotReadError struct{ Prefix ggscore.Key }
 
 // Error implements error.
-func (e *PartUnknownError) Error() string {
+func (e *PartNotReadError) Error() string {
 	return fmt.Sprintf("entries below %s not read from the store yet", e.Prefix)
 }
 
--- a/io/ggsedge/handler.go
+++ b/io/ggsedge/handler.go
@@ -87,22 +87,22 @@
 // ServeHTTP implements http.Handler.
 func (e *Edge) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.stats.Requests.Add(1)
-	e.stats.Active.Add(1)
-	defer e.stats.Active.Add(-1)
+	e.stats.InFlight.Add(1)
+	defer e.stats.InFlight.Add(-1)
 	if e.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	j := &job{w: w, r: r, arrived: e.Steady()}
+	j := &job{w: w, r: r, arrived: e.Monotonic()}
 	// A burst beyond the process's limits of memory and file descriptors would end the process,
 	// and with it all requests in flight.
-	if e.stats.Active.Load() > e.options.MaxActive {
+	if e.stats.InFlight.Load() > e.options.MaxInFlight {
 		e.refuse(j, fullRetryAfter, "too many requests in flight at this VM")
 		return
 	}
 	if !e.admit(j) {
 		return
 	}
-	defer e.stats.Bodies.Add(-int64(len(j.body)))
+	defer e.stats.BodyBytes.Add(-int64(len(j.body)))
 	ctx, cancel := context.WithDeadlineCause(r.Context(), j.deadline, &DeadlineError{Limit: j.timeout})
 	defer cancel()
 	e.run(ctx, j)
@@ -175,8 +175,8 @@
 	b, err := io.ReadAll(http.MaxBytesReader(j.w, j.r.Body, limit))
 	if err == nil {
 		j.body = b
-		if e.stats.Bodies.Add(int64(len(b))) > e.options.MaxBodies {
-			e.stats.Bodies.Add(-int64(len(b)))
+		if e.stats.BodyBytes.Add(int64(len(b))) > e.options.MaxBodiesBytes {
+			e.stats.BodyBytes.Add(-int64(len(b)))
 			j.body = nil
 			e.refuse(j, fullRetryAfter, "request bodies in flight exceed the memory limit of this VM")
 			return false
--- a/io/ggsedge/list_test.go
+++ b/io/ggsedge/list_test.go
@@ -32,7 +32,7 @@
 func listEdge() *Edge {
 	now := func() time.Time { return time.Unix(1_000, 0) }
 	return New(Options{VM: "vm", Keys: Keys{Instances: "list/"}}, Parts{
-		Codec: listCodec{}, Log: log.NewNopLogger(), Now: now, Steady: now, Pool: ggsexchange.NewPool(ggsexchange.Options{Now: now}),
+		Codec: listCodec{}, Log: log.NewNopLogger(), Now: now, Monotonic: now, Pool: ggsexchange.NewPool(ggsexchange.Options{Now: now}),
 	})
 }
 
--- a/io/ggsedge/metrics.go
+++ b/io/ggsedge/metrics.go
@@ -71,7 +71,7 @@
 		{"answered_total", "Requests that got an endpoint's answer.", &s.Answered},
 		{"refused_total", "Requests that were refused and have not run.", &s.Refused},
 		{"failed_total", "Requests that may have run and got no answer.", &s.Failed},
-		{"callers_left_total", "Requests whose callers left.", &s.Left},
+		{"callers_left_total", "Requests whose callers left.", &s.CallersLeft},
 		{"retries_total", "Sends beyond a request's first.", &s.Retries},
 		{"orders_total", "Orders to endpoints.", &s.Orders},
 	} {
@@ -94,7 +94,7 @@
 		name, help string
 		value      func() float64
 	}{
-		{"active_requests", "Requests under way.", func() float64 { return float64(e.stats.Active.Load()) }},
+		{"active_requests", "Requests under way.", func() float64 { return float64(e.stats.InFlight.Load()) }},
 		{"config_version", "Version of the configuration in force, 0 for none.", func() float64 { return float64(e.configVersion()) }},
 		{"list_age_seconds", "Time since this VM or a peer read the list of endpoints.", locked(func() float64 {
 			return e.Now().Sub(e.listObserved).Seconds()
--- a/io/ggsedge/parts.go
+++ b/io/ggsedge/parts.go
@@ -155,7 +155,7 @@
 		r.at, r.read = e.listRead, e.listReadTime
 	}
 	if r.at.IsZero() {
-		return partReading{}, &PartUnknownError{Prefix: prefix}
+		return partReading{}, &PartNotReadError{Prefix: prefix}
 	}
 	return r, nil
 }
@@ -185,7 +185,7 @@
 // up to the position. It tries the relays in an order that depends on this VM's ID.
 func (e *Edge) readFromRelay(ctx context.Context, prefix ggscore.Key, up ggscore.StorePosition) (partReading, error) {
 	to := e.relayControlAddrs()
-	var err error = &PartUnknownError{Prefix: prefix}
+	var err error = &PartNotReadError{Prefix: prefix}
 	first := int(ggsrelay.Hash(e.options.VM))
 	for i := range to {
 		addr := to[(first+i)%len(to)]
--- a/io/ggsedge/placement.go
+++ b/io/ggsedge/placement.go
@@ -38,7 +38,7 @@
 		go e.load(context.WithoutCancel(ctx), l, g)
 	}
 	e.mu.Unlock()
-	begun := e.Steady()
+	begun := e.Monotonic()
 	defer func() { e.metrics.loads.Observe(e.since(begun).Seconds()) }()
 	select {
 	case <-g.done:
@@ -74,7 +74,7 @@
 			e.Calls.Forget(p.controlAddr)
 		}
 	default:
-		g.err = &NoOrdererError{Endpoint: l.endpoint}
+		g.err = &NoOwnerError{Endpoint: l.endpoint}
 	}
 	e.mu.Lock()
 	delete(e.loads, l)
@@ -88,13 +88,13 @@
 // awaitLoad has an adapter loaded at an endpoint that this VM owns, and returns the loaded
 // version.
 func (e *Edge) awaitLoad(ctx context.Context, l load) (uint64, error) {
-	begun := e.Steady()
+	begun := e.Monotonic()
 	for {
 		e.mu.Lock()
 		w := e.workers[l.endpoint]
 		if w == nil {
 			e.mu.Unlock()
-			return 0, &NoOrdererError{Endpoint: l.endpoint}
+			return 0, &NoOwnerError{Endpoint: l.endpoint}
 		}
 		if w.ledger.Holds(l.target, l.version) {
 			v := w.ledger.Version(l.target)
@@ -103,7 +103,7 @@
 		}
 		if w.ledger.QueueFull(l.target) {
 			e.mu.Unlock()
-			return 0, &CrowdedError{Endpoint: l.endpoint}
+			return 0, &LoadQueueFullError{Endpoint: l.endpoint}
 		}
 		w.ledger.Want(e.Now(), l.target, l.version)
 		changed := w.changed
--- a/io/ggsedge/state.go
+++ b/io/ggsedge/state.go
@@ -18,8 +18,8 @@
 	Routes int
 	// ListAge is the time since this VM or a peer read the list of endpoints. StoreAway says
 	// that the last read of the operators' entries failed.
-	ListAge   time.Duration
-	StoreAway bool
+	ListAge          time.Duration
+	StoreUnavailable bool
 	// Epoch is the current store epoch. ResyncTime is how long this VM took to read the store in
 	// that epoch, or has taken so far.
 	Epoch      ggscore.StoreEpoch
@@ -37,22 +37,22 @@
 	Leaving bool
 	// Limit is the rate limit that the endpoint announces, nil for none.
 	Limit *ggscore.RateLimit
-	// Orderer is the VM that owns the endpoint and sends it orders, empty for none.
-	Orderer ggscore.VMID
+	// Owner is the VM that owns the endpoint and sends it orders, empty for none.
+	Owner ggscore.VMID
 	// Held are the adapters that the endpoint holds, if this VM is its owner.
 	Held []ggscore.AdapterVersion
 }
 
 // A PeerState is a VM that an Edge knows, and the age of its last heartbeat.
 type PeerState struct {
-	VM      ggscore.VMID
-	Domain  ggscore.Domain
-	Silence time.Duration
+	VM           ggscore.VMID
+	Domain       ggscore.Domain
+	HeartbeatAge time.Duration
 }
 
 // State returns the edge's state, sorted by names.
 func (e *Edge) State() State {
-	s := State{Domain: e.options.Domain, StoreAway: e.storeUnavailable.Load()}
+	s := State{Domain: e.options.Domain, StoreUnavailable: e.storeUnavailable.Load()}
 	if t := e.paths.Load(); t != nil {
 		s.Config, s.Routes = t.Config.Version, len(t.Config.Routes)
 	}
@@ -64,7 +64,7 @@
 		s.ListAge = now.Sub(e.listObserved)
 	}
 	for _, i := range e.table.Instances("") {
-		n := EndpointState{ID: i.ID, Service: i.Service, Domain: i.Domain, Leaving: i.Leaving, Limit: e.limits.Limit(i.ID), Orderer: e.ownership.Owner(i.ID)}
+		n := EndpointState{ID: i.ID, Service: i.Service, Domain: i.Domain, Leaving: i.Leaving, Limit: e.limits.Limit(i.ID), Owner: e.ownership.Owner(i.ID)}
 		if w := e.workers[i.ID]; w != nil {
 			n.Held = w.ledger.Resident()
 			sortVersions(n.Held)
@@ -72,7 +72,7 @@
 		s.Endpoints = append(s.Endpoints, n)
 	}
 	for vm, p := range e.peers {
-		s.Peers = append(s.Peers, PeerState{VM: vm, Domain: p.domain, Silence: now.Sub(p.lastSeen)})
+		s.Peers = append(s.Peers, PeerState{VM: vm, Domain: p.domain, HeartbeatAge: now.Sub(p.lastSeen)})
 	}
 	for t, v := range e.versions {
 		s.Versions = append(s.Versions, ggscore.AdapterVersion{Target: t, Version: v})
@@ -131,12 +131,12 @@
 func (s State) MarshalJSON() ([]byte, error) {
 	w := stateWire{
 		Domain: string(s.Domain), ConfigVersion: s.Config, Routes: s.Routes, ListAgeSeconds: s.ListAge.Seconds(),
-		StoreAway: s.StoreAway, StoreEpoch: uint64(s.Epoch), ResyncSeconds: s.ResyncTime.Seconds(), Versions: versionWires(s.Versions),
+		StoreAway: s.StoreUnavailable, StoreEpoch: uint64(s.Epoch), ResyncSeconds: s.ResyncTime.Seconds(), Versions: versionWires(s.Versions),
 	}
 	for _, n := range s.Endpoints {
 		x := endpointWire{
 			ID: string(n.ID), Service: string(n.Service), Domain: string(n.Domain), Leaving: n.Leaving,
-			Orderer: string(n.Orderer), Held: versionWires(n.Held),
+			Orderer: string(n.Owner), Held: versionWires(n.Held),
 		}
 		if n.Limit != nil {
 			x.LimitPerSecond = &n.Limit.RequestsPerSecond
@@ -144,7 +144,7 @@
 		w.Endpoints = append(w.Endpoints, x)
 	}
 	for _, p := range s.Peers {
-		w.Peers = append(w.Peers, peerWire{VM: string(p.VM), Domain: string(p.Domain), SilenceSeconds: p.Silence.Seconds()})
+		w.Peers = append(w.Peers, peerWire{VM: string(p.VM), Domain: string(p.Domain), SilenceSeconds: p.HeartbeatAge.Seconds()})
 	}
 	return json.Marshal(&w)
 }
@@ -157,12 +157,12 @@
 	}
 	*s = State{
 		Domain: ggscore.Domain(w.Domain), Config: w.ConfigVersion, Routes: w.Routes, ListAge: duration(w.ListAgeSeconds),
-		StoreAway: w.StoreAway, Epoch: ggscore.StoreEpoch(w.StoreEpoch), ResyncTime: duration(w.ResyncSeconds), Versions: versionsOf(w.Versions),
+		StoreUnavailable: w.StoreAway, Epoch: ggscore.StoreEpoch(w.StoreEpoch), ResyncTime: duration(w.ResyncSeconds), Versions: versionsOf(w.Versions),
 	}
 	for _, n := range w.Endpoints {
 		x := EndpointState{
 			ID: ggscore.EndpointID(n.ID), Service: ggscore.Service(n.Service), Domain: ggscore.Domain(n.Domain),
-			Leaving: n.Leaving, Orderer: ggscore.VMID(n.Orderer), Held: versionsOf(n.Held),
+			Leaving: n.Leaving, Owner: ggscore.VMID(n.Orderer), Held: versionsOf(n.Held),
 		}
 		if n.LimitPerSecond != nil {
 			x.Limit = &ggscore.RateLimit{RequestsPerSecond: *n.LimitPerSecond}
@@ -170,7 +170,7 @@
 		s.Endpoints = append(s.Endpoints, x)
 	}
 	for _, p := range w.Peers {
-		s.Peers = append(s.Peers, PeerState{VM: ggscore.VMID(p.VM), Domain: ggscore.Domain(p.Domain), Silence: duration(p.SilenceSeconds)})
+		s.Peers = append(s.Peers, PeerState{VM: ggscore.VMID(p.VM), Domain: ggscore.Domain(p.Domain), HeartbeatAge: duration(p.SilenceSeconds)})
 	}
 	return nil
 }
--- a/io/ggsedge/turns.go
+++ b/io/ggsedge/turns.go
@@ -29,7 +29,7 @@
 	if j.spec.Engine == nil || !e.options.Policy.On(ggscore.MechanismTurns) {
 		return true
 	}
-	begun := e.Steady()
+	begun := e.Monotonic()
 	for tries := 0; ; tries++ {
 		n, wait := e.turn(j, i, tries)
 		j.turn, j.turnWait = n, e.since(begun)
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -275,7 +275,7 @@
 func (e *Edge) order(ctx context.Context, w *worker, o ggscore.PlacementOrder, s ggsresident.Step, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	begun := e.Steady()
+	begun := e.Monotonic()
 	e.stats.Orders.Add(1)
 	a, err := e.Orderer.Order(ctx, o)
 	e.mu.Lock()
--- a/io/ggsengine/errors.go
+++ b/io/ggsengine/errors.go
@@ -18,29 +18,29 @@
 	return fmt.Sprintf("endpoint answered with status %d: %s", e.Status, e.Detail)
 }
 
-// A CutError says that an answer is truncated. Pieces is the number of chunks that were
+// A TruncatedAnswerError says that an answer is truncated. Pieces is the number of chunks that were
 // forwarded.
-type CutError struct {
-	Pieces int
+type TruncatedAnswerError struct {
+	Chunks int
 	Cause  error
 }
 
 // Error implements error.
-func (e *CutError) Error() string {
-	return fmt.Sprintf("answer truncated after %d chunks: %v", e.Pieces, e.Cause)
+func (e *TruncatedAnswerError) Error() string {
+	return fmt.Sprintf("answer truncated after %d chunks: %v", e.Chunks, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *CutError) Unwrap() error { return e.Cause }
+func (e *TruncatedAnswerError) Unwrap() error { return e.Cause }
 
-// A ForeignAnswerError says that an answer's X-Request-Id names another request.
-type ForeignAnswerError struct {
+// A RequestIDMismatchError says that an answer's X-Request-Id names another request.
+type RequestIDMismatchError struct {
 	Want ggscore.RequestID
 	Got  ggscore.RequestID
 }
 
 // Error implements error.
-func (e *ForeignAnswerError) Error() string {
+func (e *RequestIDMismatchError) Error() string {
 	return fmt.Sprintf("answer has the wrong request id: got %s, want %s", e.Got, e.Want)
 }
 
@@ -53,19 +53,21 @@
 	return "answer has neither a Content-Length nor chunked encoding"
 }
 
-// A LongEventError says that an event of a stream exceeds the size limit.
-type LongEventError struct{ LimitBytes int }
+// A EventTooLongError says that an event of a stream exceeds the size limit.
+type EventTooLongError struct{ LimitBytes int }
 
 // Error implements error.
-func (e *LongEventError) Error() string {
+func (e *EventTooLongError) Error() string {
 	return fmt.Sprintf("stream event exceeds %d bytes", e.LimitBytes)
 }
 
-// A SilenceError says that an endpoint sent no byte for Settings.SilenceTimeout.
-type SilenceError struct{}
+// A SilenceTimeoutError says that an endpoint sent no byte for Settings.SilenceTimeout.
+type SilenceTimeoutError struct{}
 
 // Error implements error.
-func (e *SilenceError) Error() string { return "endpoint sent no data within the silence timeout" }
+func (e *SilenceTimeoutError) Error() string {
+	return "endpoint sent no data within the silence timeout"
+}
 
 // A BadReportError says that a runner's report contains an invalid adapter reference.
 type BadReportError struct{ Cause error }
--- a/io/ggsengine/exchange.go
+++ b/io/ggsengine/exchange.go
@@ -29,7 +29,7 @@
 func (c *Client) exchange(ctx context.Context, x *exchange) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silenceTimer := time.AfterFunc(c.settings.SilenceTimeout, func() { cancel(&SilenceError{}) })
+	silenceTimer := time.AfterFunc(c.settings.SilenceTimeout, func() { cancel(&SilenceTimeoutError{}) })
 	defer silenceTimer.Stop()
 	tracked, flight := ggsconn.Track(ctx)
 	req, err := x.newRequest(tracked)
@@ -62,7 +62,7 @@
 		kind = ggscore.FailureEndpoint
 	}
 	if cause := context.Cause(ctx); cause != nil {
-		var silenceErr *SilenceError
+		var silenceErr *SilenceTimeoutError
 		if !errors.As(cause, &silenceErr) {
 			kind = ggscore.FailureCancelled
 		}
@@ -85,7 +85,7 @@
 	if got == "" || got == string(x.request.ID) {
 		return nil
 	}
-	return &ForeignAnswerError{Want: x.request.ID, Got: ggscore.RequestID(got)}
+	return &RequestIDMismatchError{Want: x.request.ID, Got: ggscore.RequestID(got)}
 }
 
 func (x *exchange) newRequest(ctx context.Context) (*http.Request, error) {
--- a/io/ggsengine/fault_test.go
+++ b/io/ggsengine/fault_test.go
@@ -135,7 +135,7 @@
 			var got collector
 			err := cl.Call(ggsfakebench.Context(c), e.addr, release("{}"), got.collect)
 			assertFailure(c, err, expectedFailure{false, ggscore.FailureBroken})
-			var foreign *ggsengine.ForeignAnswerError
+			var foreign *ggsengine.RequestIDMismatchError
 			c.Assert(err, qt.ErrorAs, &foreign)
 			c.Assert(got.chunks, qt.HasLen, 0)
 		})
@@ -369,7 +369,7 @@
 	})
 	assertFailure(c, err, expectedFailure{false, ggscore.FailureBroken})
 	c.Assert(len(got.chunks) > 0, qt.IsTrue)
-	var silenceErr *ggsengine.SilenceError
+	var silenceErr *ggsengine.SilenceTimeoutError
 	c.Assert(err, qt.ErrorAs, &silenceErr)
 }
 
--- a/io/ggsengine/pass.go
+++ b/io/ggsengine/pass.go
@@ -49,14 +49,14 @@
 func (p *forwarder) forwardBody(r io.Reader) error {
 	pending, ended, err := readChunk(r)
 	if err != nil {
-		return &CutError{Cause: err}
+		return &TruncatedAnswerError{Cause: err}
 	}
 	p.setServed(pending)
 	for !ended {
 		var next []byte
 		next, ended, err = readChunk(r)
 		if err != nil {
-			return &CutError{Pieces: p.seq, Cause: err}
+			return &TruncatedAnswerError{Chunks: p.seq, Cause: err}
 		}
 		if len(next) == 0 {
 			break
@@ -75,7 +75,7 @@
 	for {
 		raw, err := readEvent(b)
 		if err != nil {
-			return &CutError{Pieces: p.seq, Cause: err}
+			return &TruncatedAnswerError{Chunks: p.seq, Cause: err}
 		}
 		data := eventData(raw)
 		p.setServed(data)
@@ -110,7 +110,7 @@
 		line, err := b.ReadSlice('\n')
 		raw = append(raw, line...)
 		if len(raw) > maxEventBytes {
-			return nil, &LongEventError{LimitBytes: maxEventBytes}
+			return nil, &EventTooLongError{LimitBytes: maxEventBytes}
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
--- a/io/ggsgateway/answer.go
+++ b/io/ggsgateway/answer.go
@@ -46,7 +46,7 @@
 // add writes or buffers the next chunk. stall is read only with the first chunk.
 func (a *answer) add(k ggscore.Chunk, stall time.Duration) error {
 	if k.Seq != a.next {
-		return &PieceOrderError{Want: a.next, Have: k.Seq}
+		return &ChunkOrderError{Want: a.next, Have: k.Seq}
 	}
 	if a.next == 0 {
 		a.first, a.stall = k, stall
--- a/io/ggsgateway/answer_test.go
+++ b/io/ggsgateway/answer_test.go
@@ -30,7 +30,7 @@
 			if err == nil {
 				err = a.add(ggscore.Chunk{Seq: tc.second, Data: []byte("b")}, 0)
 			}
-			var p *PieceOrderError
+			var p *ChunkOrderError
 			c.Assert(errors.As(err, &p), qt.IsTrue)
 			c.Assert(w.Body.String(), qt.Not(qt.Contains), "b")
 		})
--- a/io/ggsgateway/errors.go
+++ b/io/ggsgateway/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// A PieceOrderError says that a chunk of an answer arrived out of order.
-type PieceOrderError struct {
+// A ChunkOrderError says that a chunk of an answer arrived out of order.
+type ChunkOrderError struct {
 	Want int
 	Have int
 }
 
 // Error implements error.
-func (e *PieceOrderError) Error() string {
+func (e *ChunkOrderError) Error() string {
 	return fmt.Sprintf("answer chunk out of order: got chunk %d, want chunk %d", e.Have, e.Want)
 }
--- a/io/ggsgateway/gateway.go
+++ b/io/ggsgateway/gateway.go
@@ -45,9 +45,9 @@
 	// ResumeTimeout bounds the time in which the gateway tries to resume an answer
 	// after calls to its dispatcher fail.
 	ResumeTimeout time.Duration
-	// HandOverTimeout bounds how long a request waits for the next owner of runners
+	// HandoverTimeout bounds how long a request waits for the next owner of runners
 	// whose dispatcher stopped.
-	HandOverTimeout time.Duration
+	HandoverTimeout time.Duration
 }
 
 // A Caller calls other processes.
@@ -104,7 +104,7 @@
 	o.MaxAttempts = cmp.Or(o.MaxAttempts, defaultMaxAttempts)
 	o.SubmitTimeout = cmp.Or(o.SubmitTimeout, defaultSubmitTimeout)
 	o.ResumeTimeout = cmp.Or(o.ResumeTimeout, defaultResumeTimeout)
-	o.HandOverTimeout = cmp.Or(o.HandOverTimeout, defaultHandoverTimeout)
+	o.HandoverTimeout = cmp.Or(o.HandoverTimeout, defaultHandoverTimeout)
 	return &Gateway{
 		options:     o,
 		parts:       p,
--- a/io/ggsgateway/send.go
+++ b/io/ggsgateway/send.go
@@ -148,7 +148,7 @@
 	} else if !t.inHandover() {
 		return nil, t.last
 	}
-	until := since.Add(g.options.HandOverTimeout)
+	until := since.Add(g.options.HandoverTimeout)
 	for f != nil && ctx.Err() == nil && g.remaining(r) > 0 && g.parts.Clock().Before(until) {
 		g.pause(ctx, handoverInterval)
 		o, f = g.route(r, a, t.stopped)
