--- a/io/ggspeer/bench_test.go
+++ b/io/ggspeer/bench_test.go
@@ -11,8 +11,8 @@
 	"greengageslip/core/ggsrelay"
 )
 
-// fleetSummary returns what a relay tells its domain where so many VMs have requests at so
-// many endpoints.
+// fleetSummary returns a relay's summary of all domains, for vms VMs with requests at endpoints
+// endpoints.
 func fleetSummary(vms, endpoints int) ggscore.Summary {
 	s := ggscore.Summary{From: "front-domain-a-1@10.0.0.1", Domain: "domain-a", Fleet: true, Sequence: 1000, Started: 1 << 60, LiveWhole: true}
 	const domains = 6
@@ -39,7 +39,7 @@
 	return s
 }
 
-// BenchmarkFleetSummary decodes what a VM receives 13 times a second.
+// BenchmarkFleetSummary decodes the summary that a VM receives 13 times per second.
 func BenchmarkFleetSummary(b *testing.B) {
 	for _, n := range []struct{ vms, endpoints int }{{30, 10}, {100, 34}, {195, 68}, {410, 2700}} {
 		b.Run(fmt.Sprintf("%dVMs", n.vms), func(b *testing.B) {
@@ -50,8 +50,8 @@
 			h := Handler{Summary: func(netip.AddrPort, ggscore.Summary) {}}
 			p = append([]byte{kindSummary}, p...)
 			for b.Loop() {
-				if !h.take(netip.AddrPort{}, p) {
-					b.Fatal("not read")
+				if !h.handle(netip.AddrPort{}, p) {
+					b.Fatal("handler dropped the summary")
 				}
 			}
 			b.ReportMetric(float64(len(p)), "bytes")
--- a/io/ggspeer/conn.go
+++ b/io/ggspeer/conn.go
@@ -12,20 +12,21 @@
 	ggscore "greengageslip/core"
 )
 
-// maxDatagram is the size of the greatest datagram over IPv4.
-const maxDatagram = 65507
+// maxDatagramBytes is the maximum payload of a UDP datagram over IPv4.
+const maxDatagramBytes = 65507
 
-// A Conn sends and receives heartbeats, summaries and notices.
+// A Conn sends and receives heartbeats, summaries and notices over UDP. It is safe for
+// concurrent use.
 type Conn struct {
 	udp     *net.UDPConn
 	dropped atomic.Int64
 }
 
-// Listen opens the socket.
+// Listen opens a UDP socket at addr.
 func Listen(ctx context.Context, addr netip.AddrPort) (*Conn, error) {
 	p, err := (&net.ListenConfig{}).ListenPacket(ctx, "udp4", addr.String())
 	if err != nil {
-		return nil, errors.Wrapf(err, "listening for heartbeats on %s", addr)
+		return nil, errors.Wrapf(err, "listening for datagrams on %s", addr)
 	}
 	u, ok := p.(*net.UDPConn)
 	if !ok {
@@ -35,41 +36,42 @@
 	return &Conn{udp: u}, nil
 }
 
-// The kinds of datagrams, their first byte.
+// The first byte of a datagram is its kind.
 const (
 	kindHeartbeat = 'h'
 	kindSummary   = 's'
 	kindNotice    = 'n'
 )
 
-// A Handler takes what peers say, with the address that it came from.
+// A Handler has the callbacks for received messages. from is the address of the sender.
 type Handler struct {
 	Heartbeat func(from netip.AddrPort, h ggscore.Heartbeat)
 	Summary   func(from netip.AddrPort, d ggscore.Summary)
 	Notice    func(Notice)
 }
 
-// Run hands each datagram to the handler until the context ends.
+// Run receives datagrams and calls the handler's callbacks, one at a time, until the context ends.
+// The end of the context closes the socket.
 func (c *Conn) Run(ctx context.Context, h Handler) error {
 	stop := context.AfterFunc(ctx, func() { _ = c.udp.Close() })
 	defer stop()
-	b := make([]byte, maxDatagram)
+	b := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := c.udp.ReadFromUDPAddrPort(b)
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
 			}
-			return errors.Wrap(err, "receiving heartbeats")
+			return errors.Wrap(err, "receiving datagrams")
 		}
-		if !h.take(from, b[:n]) {
+		if !h.handle(from, b[:n]) {
 			c.dropped.Add(1)
 		}
 	}
 }
 
-// take hands a datagram on, and returns false for one that can't be read.
-func (h *Handler) take(from netip.AddrPort, p []byte) bool {
+// handle decodes a datagram and calls its callback. It returns false if decoding fails.
+func (h *Handler) handle(from netip.AddrPort, p []byte) bool {
 	if len(p) == 0 {
 		return false
 	}
@@ -107,11 +109,11 @@
 	return false
 }
 
-// Dropped returns the number of datagrams that couldn't be read.
+// Dropped returns the number of received datagrams that couldn't be decoded.
 func (c *Conn) Dropped() int64 { return c.dropped.Load() }
 
-// Send sends the heartbeat to the addresses. A datagram that can't be sent is lost
-// like one on the way; the last failure is returned.
+// Send sends the heartbeat to the addresses. A failed datagram isn't sent again, as if it were
+// lost in the network. Send returns the last failure.
 func (c *Conn) Send(h ggscore.Heartbeat, to []netip.AddrPort) error {
 	return c.send(kindHeartbeat, heartbeatWireOf(h), to)
 }
@@ -132,7 +134,7 @@
 	}
 	p, err := cbor.Marshal(w)
 	if err != nil {
-		return errors.Wrap(err, "encoding a datagram")
+		return errors.Wrap(err, "encoding datagram")
 	}
 	p = append([]byte{kind}, p...)
 	var last error
--- a/io/ggspeer/conn_test.go
+++ b/io/ggspeer/conn_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestWordsArriveWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -25,13 +25,13 @@
 	c.Assert(err, qt.IsNil)
 	got := make(chan ggscore.Heartbeat, 1)
 	done := make(chan error, 1)
-	summed := make(chan ggscore.Summary, 1)
-	told := make(chan ggspeer.Notice, 1)
+	summaries := make(chan ggscore.Summary, 1)
+	notices := make(chan ggspeer.Notice, 1)
 	go func() {
 		done <- conn.Run(ctx, ggspeer.Handler{
 			Heartbeat: func(_ netip.AddrPort, h ggscore.Heartbeat) { got <- h },
-			Summary:   func(_ netip.AddrPort, s ggscore.Summary) { summed <- s },
-			Notice:    func(n ggspeer.Notice) { told <- n },
+			Summary:   func(_ netip.AddrPort, s ggscore.Summary) { summaries <- s },
+			Notice:    func(n ggspeer.Notice) { notices <- n },
 		})
 	}()
 
@@ -50,7 +50,7 @@
 		},
 		Departures: []ggscore.Departure{{Endpoint: "r1", StartedAt: time.UnixMilli(1_000_000)}},
 	}
-	// Another writer's bytes must not stop the reading.
+	// Malformed datagrams must not stop the receive loop.
 	u, err := (&net.Dialer{}).DialContext(ctx, "udp", addr.String())
 	c.Assert(err, qt.IsNil)
 	for _, b := range []string{"garbage", "h\x87\x00", "s\x87\x00", "n\x87\x00", ""} {
@@ -67,12 +67,12 @@
 		Samples: want.Samples, Tallies: want.Tallies, Decider: "vm", Modes: want.Modes, Limits: want.Limits, Departures: want.Departures,
 	}
 	c.Assert(conn.SendSummary(s, []netip.AddrPort{addr}), qt.IsNil)
-	c.Assert(<-summed, qt.DeepEquals, s)
+	c.Assert(<-summaries, qt.DeepEquals, s)
 	n := ggspeer.Notice{
 		VM: "vm", Number: 7, Relay: ggscore.RelayDomain, Service: "s", Endpoint: "r1", Wait: 30 * time.Millisecond, Tokens: 1460, Unused: true,
 	}
 	c.Assert(conn.SendNotice(n, []netip.AddrPort{addr}), qt.IsNil)
-	c.Assert(<-told, qt.DeepEquals, n)
+	c.Assert(<-notices, qt.DeepEquals, n)
 	c.Assert(conn.Dropped(), qt.Equals, int64(5))
 	cancel()
 	c.Assert(<-done, qt.IsNil)
--- a/io/ggspeer/datagram_test.go
+++ b/io/ggspeer/datagram_test.go
@@ -16,14 +16,14 @@
 
 func instant() time.Time { return time.Unix(1_000_000, 0) }
 
-// node returns a relay that knows the VMs that the datagrams name.
-func node() *ggsrelay.Node {
+// newNode returns a relay with the VM that the datagrams name as a member.
+func newNode() *ggsrelay.Node {
 	n := ggsrelay.NewNode(ggsrelay.Options{Self: ggsrelay.Member{VM: "self", Domain: "d"}, Started: 1})
 	n.SetMembers([]ggsrelay.Member{{VM: "near", Domain: "d"}})
 	return n
 }
 
-// datagrams returns one of each kind.
+// datagrams returns one valid datagram of each kind.
 func datagrams(c *qt.C) [][]byte {
 	a := ggscore.ModelAdapter{Model: "m", Adapter: "a7"}
 	h := ggscore.Heartbeat{
@@ -46,8 +46,8 @@
 	return ps
 }
 
-// taker feeds what can be read to a node.
-func taker(n *ggsrelay.Node) *Handler {
+// nodeHandler returns a handler that passes decoded heartbeats and summaries to the node.
+func nodeHandler(n *ggsrelay.Node) *Handler {
 	return &Handler{
 		Heartbeat: func(_ netip.AddrPort, h ggscore.Heartbeat) { n.Heartbeat(instant(), h) },
 		Summary:   func(_ netip.AddrPort, s ggscore.Summary) { n.Summary(instant(), s) },
@@ -55,34 +55,35 @@
 	}
 }
 
-// Guards against datagrams that stop a process: cut short, forged or of another version.
-func TestSpoiledDatagramsAreDropped(t *testing.T) {
+// Guards against a panic of the process on datagrams that are truncated, forged or of another
+// version.
+func TestMalformedDatagramsAreDropped(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	const rounds = 20_000
-	n := node()
-	h := taker(n)
+	n := newNode()
+	h := nodeHandler(n)
 	rng := rand.New(rand.NewPCG(1, 0))
 	ps := datagrams(c)
 	for _, p := range ps {
-		c.Assert(h.take(netip.AddrPort{}, p), qt.IsTrue)
-		c.Assert(h.take(netip.AddrPort{}, p[:len(p)-1]), qt.IsFalse)
+		c.Assert(h.handle(netip.AddrPort{}, p), qt.IsTrue)
+		c.Assert(h.handle(netip.AddrPort{}, p[:len(p)-1]), qt.IsFalse)
 	}
 	for range rounds {
 		p := append([]byte(nil), ps[rng.IntN(len(ps))]...)
 		for range 1 + rng.IntN(4) {
 			p[rng.IntN(len(p))] = byte(rng.UintN(256))
 		}
-		h.take(netip.AddrPort{}, p[:1+rng.IntN(len(p))])
+		h.handle(netip.AddrPort{}, p[:1+rng.IntN(len(p))])
 	}
 	_, _, _ = n.Tick(instant(), func(ggscore.EndpointID) ggscore.Domain { return "d" })
 }
 
-// Guards against counts below zero, which would make endpoints look empty.
+// Guards against negative counts, which would make endpoints appear to be idle.
 func TestNegativeCountsAreDropped(t *testing.T) {
 	t.Parallel()
-	n := node()
-	h := taker(n)
+	n := newNode()
+	h := nodeHandler(n)
 	for name, f := range map[string]ggscore.InFlight{
 		"in flight": {Endpoint: "r1", Count: -1}, "ended": {Endpoint: "r1", Ended: -1}, "failed": {Endpoint: "r1", Failed: -1},
 	} {
@@ -91,28 +92,28 @@
 			c := qt.New(t)
 			p, err := cbor.Marshal(heartbeatWireOf(ggscore.Heartbeat{VM: "near", Sequence: 1, InFlight: []ggscore.InFlight{f}}))
 			c.Assert(err, qt.IsNil)
-			c.Assert(h.take(netip.AddrPort{}, append([]byte{kindHeartbeat}, p...)), qt.IsFalse)
+			c.Assert(h.handle(netip.AddrPort{}, append([]byte{kindHeartbeat}, p...)), qt.IsFalse)
 		})
 	}
 }
 
-// Guards against limits and ages that no endpoint can have named.
-func TestSpoiledLimitsAreDropped(t *testing.T) {
+// Guards against rate limits and ages that no endpoint can have announced.
+func TestInvalidLimitsAreDropped(t *testing.T) {
 	t.Parallel()
 	rate := func(perSecond float64) *float64 { return &perSecond }
 	for name, l := range map[string]limitWire{
-		"below zero":     {Endpoint: "r1", PerSecond: rate(-1)},
-		"not a number":   {Endpoint: "r1", PerSecond: rate(math.NaN())},
-		"infinite":       {Endpoint: "r1", PerSecond: rate(math.Inf(1))},
-		"age below zero": {Endpoint: "r1", Age: -1},
-		"age overflows":  {Endpoint: "r1", Age: math.MaxInt64},
+		"negative rate": {Endpoint: "r1", PerSecond: rate(-1)},
+		"not a number":  {Endpoint: "r1", PerSecond: rate(math.NaN())},
+		"infinite":      {Endpoint: "r1", PerSecond: rate(math.Inf(1))},
+		"negative age":  {Endpoint: "r1", Age: -1},
+		"age overflows": {Endpoint: "r1", Age: math.MaxInt64},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			p, err := cbor.Marshal(&heartbeatWire{VM: "near", Sequence: 1, Limits: []limitWire{l}})
 			c.Assert(err, qt.IsNil)
-			c.Assert(taker(node()).take(netip.AddrPort{}, append([]byte{kindHeartbeat}, p...)), qt.IsFalse)
+			c.Assert(nodeHandler(newNode()).handle(netip.AddrPort{}, append([]byte{kindHeartbeat}, p...)), qt.IsFalse)
 		})
 	}
 }
@@ -122,7 +123,7 @@
 		f.Add(p)
 	}
 	f.Fuzz(func(_ *testing.T, p []byte) {
-		n := node()
-		taker(n).take(netip.AddrPort{}, p)
+		n := newNode()
+		nodeHandler(n).handle(netip.AddrPort{}, p)
 	})
 }
--- a/io/ggspeer/doc.go
+++ b/io/ggspeer/doc.go
@@ -1,5 +1,6 @@
-// Package ggspeer carries what VMs tell each other of endpoints: datagrams with their
-// requests in flight, what their endpoints hold and what was asked for.
+// Package ggspeer sends and receives the UDP datagrams by which VMs share the state of their
+// requests and endpoints. Heartbeats and summaries carry requests in flight, the adapters that
+// endpoints hold, and demand for adapters. Notices announce prompt turns.
 //
 // # Usage
 //
@@ -11,7 +12,9 @@
 //
 // # Datagram
 //
-// A datagram is a byte that tells its kind, and a CBOR array. A heartbeat or summary is
-// whole by itself, so one that is lost is made up for by the next; one that can't be
-// read is counted and dropped.
+// A datagram consists of one byte for its kind and a CBOR array. Each heartbeat and summary is
+// complete by itself, so the next one makes up for a lost one. A datagram that can't be decoded
+// is counted and dropped.
+//
+// The package has no locks.
 package ggspeer
--- a/io/ggspeer/errors.go
+++ b/io/ggspeer/errors.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// An IndexError says that a datagram refers to a base model that it doesn't list.
+// An IndexError says that a datagram refers to a base model by an index outside its list.
 type IndexError struct {
 	Index int
 	Count int
@@ -13,29 +13,37 @@
 
 // Error implements error.
 func (e *IndexError) Error() string {
-	return fmt.Sprintf("base model %d of %d in a datagram", e.Index, e.Count)
+	return fmt.Sprintf("datagram rejected: base model index %d, but %d base models listed", e.Index, e.Count)
 }
 
-// A SocketError says that a socket isn't one for datagrams.
+// A SocketError says that the opened socket isn't a UDP socket.
 type SocketError struct{ Addr netip.AddrPort }
 
 // Error implements error.
-func (e *SocketError) Error() string { return fmt.Sprintf("socket on %s takes no datagrams", e.Addr) }
+func (e *SocketError) Error() string {
+	return fmt.Sprintf("listening for datagrams on %s: not a UDP socket", e.Addr)
+}
 
-// A CountError says that a datagram has a count below zero.
+// A CountError says that a datagram contains a negative count.
 type CountError struct{ Count int }
 
 // Error implements error.
-func (e *CountError) Error() string { return fmt.Sprintf("count %d is below zero", e.Count) }
+func (e *CountError) Error() string {
+	return fmt.Sprintf("datagram rejected: negative count %d", e.Count)
+}
 
-// A LimitError is a rate limit that isn't one.
+// A LimitError says that a datagram contains a rate limit that is negative or not finite.
 type LimitError struct{ PerSecond float64 }
 
 // Error implements error.
-func (e *LimitError) Error() string { return fmt.Sprintf("rate limit of %g a second", e.PerSecond) }
+func (e *LimitError) Error() string {
+	return fmt.Sprintf("datagram rejected: invalid rate limit of %g requests per second", e.PerSecond)
+}
 
-// An AgeError is an age that can't be.
+// An AgeError says that a datagram contains an age that is negative or above one hour.
 type AgeError struct{ Milliseconds int64 }
 
 // Error implements error.
-func (e *AgeError) Error() string { return fmt.Sprintf("age of %d ms", e.Milliseconds) }
+func (e *AgeError) Error() string {
+	return fmt.Sprintf("datagram rejected: age of %d ms is out of range", e.Milliseconds)
+}
--- a/io/ggspeer/heartbeat.go
+++ b/io/ggspeer/heartbeat.go
@@ -3,28 +3,28 @@
 import ggscore "greengageslip/core"
 
 type heartbeatWire struct {
-	_          struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
-	VM         string
-	Sequence   uint64
-	Started    int64
-	Relay      int
-	Carrier    string
-	News       newsWire
-	Models     modelNames
-	InFlight   []inFlightWire
-	Holdings   []holdingWire
-	Uses       []useWire
-	Samples    []sampleWire
-	Tallies    []tallyWire
-	Modes      []modeWire
-	Limits     []limitWire
-	Departures []departureWire
+	_             struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
+	VM            string
+	Sequence      uint64
+	Started       int64
+	Relay         int
+	CountingRelay string
+	Progress      progressWire
+	Models        modelNames
+	InFlight      []inFlightWire
+	Holdings      []holdingWire
+	Uses          []useWire
+	Samples       []sampleWire
+	Tallies       []tallyWire
+	Modes         []modeWire
+	Limits        []limitWire
+	Departures    []departureWire
 }
 
 func heartbeatWireOf(h ggscore.Heartbeat) *heartbeatWire {
 	w := &heartbeatWire{
-		VM: string(h.VM), Sequence: h.Sequence, Started: h.Started, Relay: int(h.Relay), Carrier: string(h.CountingRelay),
-		News: newsWireOf(h.Progress), InFlight: inFlightWires(h.InFlight),
+		VM: string(h.VM), Sequence: h.Sequence, Started: h.Started, Relay: int(h.Relay), CountingRelay: string(h.CountingRelay),
+		Progress: progressWireOf(h.Progress), InFlight: inFlightWires(h.InFlight),
 		Samples: sampleWires(h.Samples), Tallies: tallyWires(h.Tallies), Modes: modeWires(h.Modes),
 		Limits: limitWires(h.Limits), Departures: departureWires(h.Departures),
 	}
@@ -35,8 +35,8 @@
 
 func (w *heartbeatWire) heartbeat() (ggscore.Heartbeat, error) {
 	h := ggscore.Heartbeat{
-		VM: ggscore.VMID(w.VM), Sequence: w.Sequence, Started: w.Started, Relay: ggscore.Relay(w.Relay), CountingRelay: ggscore.VMID(w.Carrier),
-		Progress: w.News.news(),
+		VM: ggscore.VMID(w.VM), Sequence: w.Sequence, Started: w.Started, Relay: ggscore.Relay(w.Relay), CountingRelay: ggscore.VMID(w.CountingRelay),
+		Progress: w.Progress.progress(),
 		Samples:  samplesOf(w.Samples), Tallies: talliesOf(w.Tallies), Modes: modesOf(w.Modes),
 		Departures: departuresOf(w.Departures),
 	}
--- a/io/ggspeer/notice.go
+++ b/io/ggspeer/notice.go
@@ -6,21 +6,21 @@
 	ggscore "greengageslip/core"
 )
 
-// A Notice is what a VM tells its peers at once: a prompt's turn at an endpoint, or
-// that it isn't used.
+// A Notice announces a prompt's turn at an endpoint to the other VMs, or withdraws it. It is sent
+// at once, not with the next heartbeat.
 type Notice struct {
 	VM ggscore.VMID
-	// Number tells apart the turns of a VM.
+	// Number distinguishes the turns of a VM.
 	Number uint64
-	// Relay says how far the receiver passes the notice on.
+	// Relay says how far the receiver relays the notice.
 	Relay    ggscore.Relay
 	Service  ggscore.Service
 	Endpoint ggscore.EndpointID
-	// Wait is the time until the turn begins. Clocks differ between VMs; the way
-	// of a datagram is short beside a turn.
+	// Wait is the time until the turn begins. It isn't a point in time, because clocks differ
+	// between VMs. A datagram's transit time is short compared to a turn.
 	Wait   time.Duration
 	Tokens int
-	// Unused takes the turn back.
+	// Unused withdraws the turn.
 	Unused bool
 }
 
@@ -31,7 +31,7 @@
 	Relay    int
 	Service  string
 	Endpoint string
-	// Wait counts milliseconds.
+	// Wait is in milliseconds.
 	Wait   int64
 	Tokens int
 	Unused bool
--- a/io/ggspeer/summary.go
+++ b/io/ggspeer/summary.go
@@ -10,7 +10,7 @@
 	Settling   bool
 	Sequence   uint64
 	Started    int64
-	News       newsWire
+	Progress   progressWire
 	Included   []includedWire
 	Live       []uint32
 	LiveWhole  bool
@@ -36,7 +36,7 @@
 func summaryWireOf(d ggscore.Summary) *summaryWire {
 	w := &summaryWire{
 		From: string(d.From), Domain: string(d.Domain), Fleet: d.Fleet, Settling: d.Settling, Sequence: d.Sequence, Started: d.Started,
-		News: newsWireOf(d.Progress), LiveWhole: d.LiveWhole, InFlight: inFlightWires(d.InFlight),
+		Progress: progressWireOf(d.Progress), LiveWhole: d.LiveWhole, InFlight: inFlightWires(d.InFlight),
 		Samples: sampleWires(d.Samples), Tallies: tallyWires(d.Tallies), Decider: string(d.Decider), Modes: modeWires(d.Modes),
 		Limits: limitWires(d.Limits), Departures: departureWires(d.Departures),
 	}
@@ -57,7 +57,7 @@
 func (w *summaryWire) summary() (ggscore.Summary, error) {
 	d := ggscore.Summary{
 		From: ggscore.VMID(w.From), Domain: ggscore.Domain(w.Domain), Fleet: w.Fleet, Settling: w.Settling, Sequence: w.Sequence, Started: w.Started,
-		Progress: w.News.news(), LiveWhole: w.LiveWhole,
+		Progress: w.Progress.progress(), LiveWhole: w.LiveWhole,
 		Samples: samplesOf(w.Samples), Tallies: talliesOf(w.Tallies), Decider: ggscore.VMID(w.Decider), Modes: modesOf(w.Modes),
 		Departures: departuresOf(w.Departures),
 	}
--- a/io/ggspeer/wire.go
+++ b/io/ggspeer/wire.go
@@ -51,46 +51,46 @@
 	_       struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
 	Service string
 	Tokens  int
-	// Took counts microseconds.
+	// Took is in microseconds.
 	Took int64
 }
 
 type tallyWire struct {
-	_       struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
-	Service string
-	Streams int
-	Hurt    int
+	_        struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
+	Service  string
+	Streams  int
+	Degraded int
 }
 
 type modeWire struct {
-	_       struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
-	Service string
-	Waits   bool
-	Without float64
+	_              struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
+	Service        string
+	Waits          bool
+	DegradedBefore float64
 }
 
 type limitWire struct {
 	_        struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
 	Endpoint string
-	// PerSecond is nil where the limit was lifted.
+	// PerSecond is nil if the limit was lifted.
 	PerSecond *float64
-	// Age counts milliseconds.
+	// Age is in milliseconds.
 	Age int64
 }
 
 type departureWire struct {
 	_        struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
 	Endpoint string
-	// Born counts milliseconds since 1970.
-	Born int64
+	// StartedAt is the Unix time in milliseconds.
+	StartedAt int64
 }
 
-type newsWire struct {
+type progressWire struct {
 	_        struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
 	Epoch    uint64
 	Listed   positionWire
 	Operated positionWire
-	// ListAge and OperatorsAge count milliseconds.
+	// ListAge and OperatorsAge are in milliseconds.
 	ListAge      int64
 	OperatorsAge int64
 	Config       uint64
@@ -111,8 +111,8 @@
 	return ggscore.StorePosition{Epoch: ggscore.StoreEpoch(w.Epoch), Revision: ggscore.StoreRevision(w.Revision)}
 }
 
-func newsWireOf(n ggscore.StoreProgress) newsWire {
-	return newsWire{
+func progressWireOf(n ggscore.StoreProgress) progressWire {
+	return progressWire{
 		Epoch:  uint64(n.Epoch),
 		Listed: positionWireOf(n.ListedAt), Operated: positionWireOf(n.OperatedAt),
 		ListAge: n.ListAge.Milliseconds(), OperatorsAge: n.OperatorsAge.Milliseconds(),
@@ -120,7 +120,7 @@
 	}
 }
 
-func (w *newsWire) news() ggscore.StoreProgress {
+func (w *progressWire) progress() ggscore.StoreProgress {
 	return ggscore.StoreProgress{
 		Epoch:    ggscore.StoreEpoch(w.Epoch),
 		ListedAt: w.Listed.position(), OperatedAt: w.Operated.position(),
@@ -129,7 +129,7 @@
 	}
 }
 
-// modelNames lists the base models that the rest of a datagram refers to by index.
+// modelNames are the base models of a datagram. The rest of the datagram refers to them by index.
 type modelNames []string
 
 func (m *modelNames) index(name ggscore.BaseModel) int {
@@ -242,7 +242,7 @@
 func tallyWires(xs []ggscore.TurnTally) []tallyWire {
 	ws := make([]tallyWire, 0, len(xs))
 	for _, x := range xs {
-		ws = append(ws, tallyWire{Service: string(x.Service), Streams: x.Streams, Hurt: x.Degraded})
+		ws = append(ws, tallyWire{Service: string(x.Service), Streams: x.Streams, Degraded: x.Degraded})
 	}
 	return ws
 }
@@ -250,7 +250,7 @@
 func talliesOf(ws []tallyWire) []ggscore.TurnTally {
 	var xs []ggscore.TurnTally
 	for _, w := range ws {
-		xs = append(xs, ggscore.TurnTally{Service: ggscore.Service(w.Service), Streams: w.Streams, Degraded: w.Hurt})
+		xs = append(xs, ggscore.TurnTally{Service: ggscore.Service(w.Service), Streams: w.Streams, Degraded: w.Degraded})
 	}
 	return xs
 }
@@ -258,7 +258,7 @@
 func modeWires(xs []ggscore.TurnMode) []modeWire {
 	ws := make([]modeWire, 0, len(xs))
 	for _, x := range xs {
-		ws = append(ws, modeWire{Service: string(x.Service), Waits: x.Waits, Without: x.DegradedBefore})
+		ws = append(ws, modeWire{Service: string(x.Service), Waits: x.Waits, DegradedBefore: x.DegradedBefore})
 	}
 	return ws
 }
@@ -266,7 +266,7 @@
 func modesOf(ws []modeWire) []ggscore.TurnMode {
 	var xs []ggscore.TurnMode
 	for _, w := range ws {
-		xs = append(xs, ggscore.TurnMode{Service: ggscore.Service(w.Service), Waits: w.Waits, DegradedBefore: w.Without})
+		xs = append(xs, ggscore.TurnMode{Service: ggscore.Service(w.Service), Waits: w.Waits, DegradedBefore: w.DegradedBefore})
 	}
 	return xs
 }
@@ -301,13 +301,13 @@
 	return ls, nil
 }
 
-// maxAge is the greatest age that a datagram may tell.
+// maxAge bounds the age of a rate limit in a datagram.
 const maxAge = time.Hour
 
 func departureWires(ds []ggscore.Departure) []departureWire {
 	ws := make([]departureWire, 0, len(ds))
 	for _, d := range ds {
-		ws = append(ws, departureWire{Endpoint: string(d.Endpoint), Born: d.StartedAt.UnixMilli()})
+		ws = append(ws, departureWire{Endpoint: string(d.Endpoint), StartedAt: d.StartedAt.UnixMilli()})
 	}
 	return ws
 }
@@ -315,7 +315,7 @@
 func departuresOf(ws []departureWire) []ggscore.Departure {
 	var ds []ggscore.Departure
 	for _, w := range ws {
-		ds = append(ds, ggscore.Departure{Endpoint: ggscore.EndpointID(w.Endpoint), StartedAt: time.UnixMilli(w.Born)})
+		ds = append(ds, ggscore.Departure{Endpoint: ggscore.EndpointID(w.Endpoint), StartedAt: time.UnixMilli(w.StartedAt)})
 	}
 	return ds
 }
--- a/io/ggspeer/wire_test.go
+++ b/io/ggspeer/wire_test.go
@@ -9,10 +9,11 @@
 	ggscore "greengageslip/core"
 )
 
-// Guards against a VM of a version without epochs that takes a position for a bare revision, and the other way round.
-func TestNewsOfAnotherVersionAreDropped(t *testing.T) {
+// Guards against confusing positions with bare revisions: VMs of an earlier version send
+// revisions without epochs, and each version must reject the progress of the other.
+func TestProgressOfAnotherVersionIsRejected(t *testing.T) {
 	t.Parallel()
-	type revisionNews struct {
+	type revisionProgress struct {
 		_            struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
 		Listed       uint64
 		Operated     uint64
@@ -20,11 +21,11 @@
 		OperatorsAge int64
 	}
 	c := qt.New(t)
-	b, err := cbor.Marshal(&revisionNews{Listed: 4, Operated: 5})
+	b, err := cbor.Marshal(&revisionProgress{Listed: 4, Operated: 5})
 	c.Assert(err, qt.IsNil)
-	c.Check(cbor.Unmarshal(b, &newsWire{}), qt.IsNotNil)
-	w := newsWireOf(ggscore.StoreProgress{Epoch: 2})
+	c.Check(cbor.Unmarshal(b, &progressWire{}), qt.IsNotNil)
+	w := progressWireOf(ggscore.StoreProgress{Epoch: 2})
 	b, err = cbor.Marshal(&w)
 	c.Assert(err, qt.IsNil)
-	c.Check(cbor.Unmarshal(b, &revisionNews{}), qt.IsNotNil)
+	c.Check(cbor.Unmarshal(b, &revisionProgress{}), qt.IsNotNil)
 }
