--- a/io/ggsheartbeat/codec.go
+++ b/io/ggsheartbeat/codec.go
@@ -16,24 +16,24 @@
 const (
 	formatVersion = 1
 	maxTextBytes  = 64
-	maxNews       = 16
-	// maxDatagramBytes fits one packet of a usual link.
+	maxUpdates    = 16
+	// maxDatagramBytes fits into one Ethernet frame (MTU 1500).
 	maxDatagramBytes = 1400
 )
 
-// The flags of a heartbeat and of a member.
+// Flags of the sender and of the members in updates.
 const (
 	flagLeaving = 1 << iota
 	flagGone
-	flagWatch
-	flagKnown = flagLeaving | flagGone | flagWatch
+	flagMonitor
+	flagsKnown = flagLeaving | flagGone | flagMonitor
 )
 
-// encode writes a heartbeat. The sender's address isn't sent: the datagram's
-// own tells it. An incarnation that is no UUID is left out.
+// encode encodes a heartbeat. It omits the sender's address, since the receiver knows it from the
+// datagram, and any incarnation that is no UUID.
 func encode(d ggscore.Domain, h ggsmember.Heartbeat) []byte {
 	b := []byte{formatVersion}
-	b = binary.BigEndian.AppendUint32(b, domainSum(d))
+	b = binary.BigEndian.AppendUint32(b, domainHash(d))
 	b = appendMember(b, h.Sender, h.Monitor)
 	b = binary.AppendUvarint(b, uint64(len(h.Updates)))
 	for _, m := range h.Updates {
@@ -44,12 +44,12 @@
 	return b
 }
 
-func appendMember(b []byte, m ggsmember.Member, watch bool) []byte {
+func appendMember(b []byte, m ggsmember.Member, monitor bool) []byte {
 	flags := byte(0)
 	for _, f := range []struct {
 		set  bool
 		flag byte
-	}{{m.Leaving, flagLeaving}, {m.Gone, flagGone}, {watch, flagWatch}} {
+	}{{m.Leaving, flagLeaving}, {m.Gone, flagGone}, {monitor, flagMonitor}} {
 		if f.set {
 			flags |= f.flag
 		}
@@ -67,25 +67,25 @@
 	return append(b, s...)
 }
 
-// decode reads a heartbeat of a domain. A failure is a *BadDatagramError.
+// decode decodes a heartbeat of the given domain. Errors are of type *BadDatagramError.
 func decode(domain ggscore.Domain, datagram []byte) (ggsmember.Heartbeat, error) {
 	d := decoder{in: bytes.NewReader(datagram)}
 	bad := func(detail string) (ggsmember.Heartbeat, error) {
 		return ggsmember.Heartbeat{}, &BadDatagramError{Bytes: len(datagram), Detail: detail}
 	}
 	if len(datagram) > maxDatagramBytes || d.byte() != formatVersion {
-		return bad("version or length")
+		return bad("unknown format version, or too long")
 	}
-	var sum [4]byte
-	d.fill(sum[:])
-	if binary.BigEndian.Uint32(sum[:]) != domainSum(domain) {
-		return bad("domain")
+	var hash [4]byte
+	d.fill(hash[:])
+	if binary.BigEndian.Uint32(hash[:]) != domainHash(domain) {
+		return bad("other failure domain")
 	}
 	var h ggsmember.Heartbeat
 	h.Sender, h.Monitor = d.member()
 	n := d.uvarint()
-	if d.failed || n > maxNews {
-		return bad("sender")
+	if d.failed || n > maxUpdates {
+		return bad("malformed sender, or too many updates")
 	}
 	for range n {
 		m, _ := d.member()
@@ -93,14 +93,14 @@
 		h.Updates = append(h.Updates, m)
 	}
 	if d.failed || d.in.Len() > 0 {
-		return bad("members")
+		return bad("malformed updates, or trailing bytes")
 	}
 	return h, nil
 }
 
-// domainSum stands for a domain's name. It guards against datagrams that went
-// astray, of which there are few.
-func domainSum(d ggscore.Domain) uint32 { return uint32(xxhash.Sum64String(string(d))) }
+// domainHash returns a short identifier of a domain. It is compared to reject datagrams sent to
+// a wrong domain, which are rare, so 32 bits suffice.
+func domainHash(d ggscore.Domain) uint32 { return uint32(xxhash.Sum64String(string(d))) }
 
 type decoder struct {
 	in     *bytes.Reader
@@ -136,8 +136,8 @@
 	}
 	m.Sequence = d.uvarint()
 	m.Revision = ggscore.Revision(d.uvarint())
-	d.failed = d.failed || m.VM == "" || flags&^flagKnown != 0
-	return m, flags&flagWatch != 0
+	d.failed = d.failed || m.VM == "" || flags&^flagsKnown != 0
+	return m, flags&flagMonitor != 0
 }
 
 func (d *decoder) text() string {
--- a/io/ggsheartbeat/doc.go
+++ b/io/ggsheartbeat/doc.go
@@ -1,26 +1,29 @@
-// Package ggsheartbeat exchanges heartbeats between the dispatchers of a
-// failure domain over UDP, by the decisions of ggsmember.
+// Package ggsheartbeat exchanges heartbeats over UDP between the dispatchers of a failure
+// domain. Package ggsmember decides whom to send them to, what they contain and which members
+// are live.
 //
 // # Usage
 //
 //	conn, err := ggsheartbeat.Listen(ctx, addr) // the control address, on UDP
-//	s := ggsheartbeat.New(conn, self, clock, ggsheartbeat.DefaultOptions(), logger)
+//	s := ggsheartbeat.New(conn, self, clock, ggsheartbeat.DefaultOptions(domain), logger)
 //	s.Subscribe(func() { … }) // the membership may have changed
 //	go s.Run(ctx)
 //	s.SetListed(vms)            // each reading of the platform's list
 //	s.SetSelf(leaving, revision)
 //	members := s.Members()
 //
-// A heartbeat goes from and to the UDP port that bears the number of the
-// control address. Seeds are asked while nobody else is known, so that a VM
-// that starts while the platform is away finds the others.
+// Heartbeats are sent from and to the UDP port with the number of the control address's port.
+// While no other member is known, they go to the seeds, so that a VM that starts while the
+// platform is unreachable finds the other members.
 //
 // # Datagram
 //
-// A datagram starts with the format's version, a sum of the domain's name, flags and the
-// sender, followed by a count and the members that it tells of. Numbers are
-// varints, texts stand behind their length. One that can't be read whole, or
-// is of another version or domain, is dropped and counted.
+// A datagram starts with the format version, a hash of the domain's name, and the sender with its
+// flags. The number of updates and the updated members follow. Numbers are varints, and each text
+// is preceded by its length. A datagram that is malformed, or of another version or domain, is
+// counted and dropped.
 //
-// The lock of a Server is the only one and is never held during I/O.
+// # Locks
+//
+// Server.mu is the only lock. It isn't held during I/O or while subscribers are called.
 package ggsheartbeat
--- a/io/ggsheartbeat/errors.go
+++ b/io/ggsheartbeat/errors.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// A BadDatagramError says that a datagram can't be read.
+// A BadDatagramError says that a datagram can't be decoded.
 type BadDatagramError struct {
 	Bytes  int
 	Detail string
@@ -13,17 +13,19 @@
 
 // Error implements error.
 func (e *BadDatagramError) Error() string {
-	return fmt.Sprintf("bad heartbeat of %d bytes: %s", e.Bytes, e.Detail)
+	return fmt.Sprintf("decoding heartbeat of %d bytes: %s", e.Bytes, e.Detail)
 }
 
-// A ListenError says that no socket could be opened.
+// A ListenError says that the UDP socket could not be opened.
 type ListenError struct {
 	Addr  netip.AddrPort
 	Cause error
 }
 
 // Error implements error.
-func (e *ListenError) Error() string { return fmt.Sprintf("heartbeats on %s: %v", e.Addr, e.Cause) }
+func (e *ListenError) Error() string {
+	return fmt.Sprintf("listening for heartbeats on %s: %v", e.Addr, e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Cause }
--- a/io/ggsheartbeat/server.go
+++ b/io/ggsheartbeat/server.go
@@ -17,13 +17,13 @@
 	"greengageslip/core/ggsmember"
 )
 
-// Options set how heartbeats are sent.
+// Options configures a Server.
 type Options struct {
 	Domain ggscore.Domain
 	Limits ggsmember.Limits
-	// Gap is the least time between two heartbeats, also where there is news.
+	// Gap is the minimum time between two heartbeats, urgent updates included.
 	Gap time.Duration
-	// Seeds are asked while nobody else is known.
+	// Seeds receive the heartbeats while no other member is known.
 	Seeds []netip.AddrPort
 }
 
@@ -32,8 +32,8 @@
 	return Options{Domain: d, Limits: ggsmember.DefaultLimits(), Gap: 100 * time.Millisecond}
 }
 
-// Stats counts what a Server sent and received since it started. Bytes are
-// those of the datagrams, without headers.
+// Stats counts the datagrams that a Server sent, received and rejected since it
+// started. Byte counts exclude the headers of IP and UDP.
 type Stats struct {
 	Sent          uint64
 	SentBytes     uint64
@@ -42,8 +42,7 @@
 	Dropped       uint64
 }
 
-// A Server exchanges heartbeats for one dispatcher. It is safe for concurrent
-// use.
+// A Server exchanges heartbeats for one dispatcher. It is safe for concurrent use.
 type Server struct {
 	conn  *net.UDPConn
 	clock func() time.Time
@@ -51,16 +50,15 @@
 	log   log.Logger
 	wake  chan struct{}
 
-	// mu guards all below.
-	mu     sync.Mutex
-	table  *ggsmember.Table
-	stats  Stats
-	last   []ggsmember.Member
-	notify []func()
+	// mu guards the fields below.
+	mu          sync.Mutex
+	table       *ggsmember.Table
+	stats       Stats
+	lastMembers []ggsmember.Member
+	subscribers []func()
 }
 
-// Listen opens the UDP socket of a control address. A failure is a
-// *ListenError.
+// Listen opens the UDP socket of a control address. Errors are of type *ListenError.
 func Listen(ctx context.Context, addr netip.AddrPort) (*net.UDPConn, error) {
 	var c net.ListenConfig
 	conn, err := c.ListenPacket(ctx, "udp", addr.String())
@@ -74,8 +72,8 @@
 	return u, nil
 }
 
-// New returns a Server on a socket, which Run closes. self is the member
-// itself, with the text of a version 7 UUID as incarnation.
+// New returns a Server that uses the socket. Run closes the socket. self is the dispatcher's own
+// member, with the text of a version 7 UUID as incarnation.
 func New(conn *net.UDPConn, self ggsmember.Member, clock func() time.Time, o Options, l log.Logger) *Server {
 	return &Server{
 		conn:  conn,
@@ -87,14 +85,14 @@
 	}
 }
 
-// Members returns those that live, in the order of names.
+// Members returns the members that aren't gone, self included, ordered by VM ID.
 func (s *Server) Members() []ggsmember.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Members(s.clock())
 }
 
-// Run sends and receives until ctx ends. It returns nil.
+// Run sends and receives heartbeats until ctx ends. It returns nil.
 func (s *Server) Run(ctx context.Context) error {
 	var g sync.WaitGroup
 	g.Go(s.receive)
@@ -102,13 +100,13 @@
 		<-ctx.Done()
 		_ = s.conn.Close()
 	})
-	g.Go(func() { s.beat(ctx) })
+	g.Go(func() { s.sendLoop(ctx) })
 	g.Wait()
 	return nil
 }
 
-// SetListed takes a reading of the platform's list. Entry VMs of the own
-// domain count.
+// SetListed applies a reading of the platform's list. It ignores all VMs but the entry VMs of the
+// own domain.
 func (s *Server) SetListed(vms []ggscore.VM) {
 	var own []ggscore.VM
 	for _, v := range vms {
@@ -119,41 +117,41 @@
 	s.mu.Lock()
 	s.table.SetListed(s.clock(), own)
 	s.mu.Unlock()
-	s.changed()
+	s.handleChange()
 }
 
-// SetSelf says what the member itself is. Leaving is never taken back.
+// SetSelf sets the own member's state. The leaving state is final.
 func (s *Server) SetSelf(leaving bool, r ggscore.Revision) {
 	s.mu.Lock()
 	s.table.SetSelf(leaving, r)
 	s.mu.Unlock()
-	s.changed()
+	s.handleChange()
 }
 
-// Stats returns the counts so far.
+// Stats returns the counts since the start.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// Subscribe has f called after the membership changed, apart from sequence
-// numbers. f may call any method of s.
+// Subscribe registers f to be called after each change of the membership. Changes of sequence
+// numbers don't count. f may call any method of s.
 func (s *Server) Subscribe(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.notify = append(s.notify, f)
+	s.subscribers = append(s.subscribers, f)
 }
 
-// beat sends heartbeats in time, and sooner where there is news.
-func (s *Server) beat(ctx context.Context) {
+// sendLoop sends a heartbeat at each interval, and earlier for an urgent update.
+func (s *Server) sendLoop(ctx context.Context) {
 	t := time.NewTimer(rand.N(s.opts.Limits.Interval))
 	defer t.Stop()
 	gap := time.NewTimer(s.opts.Gap)
 	defer gap.Stop()
 	for {
-		// News waits for the gap's end, so that a wave of it can't take more
-		// than its share of bytes and processor time.
+		// Urgent updates wait for the end of the gap, which bounds the bandwidth and processor
+		// time of a burst of updates.
 		select {
 		case <-gap.C:
 		case <-ctx.Done():
@@ -166,24 +164,24 @@
 			return
 		}
 		s.send()
-		s.changed()
+		s.handleChange()
 		gap.Reset(s.opts.Gap)
 		t.Reset(s.opts.Limits.Interval)
 	}
 }
 
-// changed wakes the sender where there is news, and calls the subscribers
-// where the membership changed.
-func (s *Server) changed() {
+// handleChange wakes sendLoop if an urgent update is pending, and calls the subscribers if the
+// membership changed.
+func (s *Server) handleChange() {
 	s.mu.Lock()
 	urgent := s.table.Urgent()
 	members := s.table.Members(s.clock())
 	for i := range members {
 		members[i].Sequence = 0
 	}
-	same := slices.Equal(members, s.last)
-	s.last = members
-	notify := s.notify
+	same := slices.Equal(members, s.lastMembers)
+	s.lastMembers = members
+	subscribers := s.subscribers
 	s.mu.Unlock()
 	if urgent {
 		select {
@@ -195,12 +193,12 @@
 		return
 	}
 	_ = level.Info(s.log).Log("event", "membershipChanged", "members", len(members))
-	for _, f := range notify {
+	for _, f := range subscribers {
 		f()
 	}
 }
 
-// receive takes heartbeats until the socket is closed.
+// receive receives heartbeats until the socket is closed.
 func (s *Server) receive() {
 	var buf [maxDatagramBytes + 1]byte
 	for {
@@ -222,12 +220,12 @@
 		}
 		s.table.Receive(s.clock(), netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), h)
 		s.mu.Unlock()
-		s.changed()
+		s.handleChange()
 	}
 }
 
-// send sends one heartbeat to each target. A datagram that can't be sent is as
-// good as lost.
+// send sends one heartbeat to each target. A failed datagram isn't sent again, as if it were lost
+// in the network.
 func (s *Server) send() {
 	s.mu.Lock()
 	now := s.clock()
@@ -240,15 +238,15 @@
 		}
 	}
 	h.Monitor = true
-	watched := encode(s.opts.Domain, h)
+	withMonitor := encode(s.opts.Domain, h)
 	h.Monitor = false
-	plain := encode(s.opts.Domain, h)
+	withoutMonitor := encode(s.opts.Domain, h)
 	sent := uint64(0)
 	bytes := uint64(0)
 	for _, t := range to {
-		b := plain
+		b := withoutMonitor
 		if t.Monitor {
-			b = watched
+			b = withMonitor
 		}
 		if _, err := s.conn.WriteToUDPAddrPort(b, t.Addr); err == nil {
 			sent++
--- a/io/ggsheartbeat/server_test.go
+++ b/io/ggsheartbeat/server_test.go
@@ -21,7 +21,7 @@
 
 const domain = ggscore.Domain("cr-central-a")
 
-// node is a Server that runs until the test ends, or stop is called.
+// node is a Server that runs until the test ends or stop is called.
 type node struct {
 	*Server
 	addr    netip.AddrPort
@@ -39,7 +39,7 @@
 	o.Seeds = seeds
 	self := ggsmember.Member{VM: vm, Incarnation: uuid.Must(uuid.NewV7()).String()}
 	n := &node{
-		Server:  New(conn, self, time.Now, o, log.NewNopLogger()), //nolint:forbidigo // The test's clock is the real one.
+		Server:  New(conn, self, time.Now, o, log.NewNopLogger()), //nolint:forbidigo // The test uses the real clock.
 		addr:    a.AddrPort(),
 		changes: make(chan struct{}, 1),
 	}
@@ -59,8 +59,8 @@
 	return n
 }
 
-// await waits until the membership is as wanted: for each member a text of its
-// name, a star where it is leaving, and its revision.
+// await waits until the members are as wanted. Each is written as its VM ID, a star if it is
+// leaving, and its revision.
 func (n *node) await(c *qt.C, want ...string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
@@ -84,8 +84,8 @@
 	}
 }
 
-// New work goes on to a VM that said that it is leaving, or that was killed,
-// while the platform is away: nobody hears of it but by heartbeats.
+// Guards against new work for a VM that is leaving or was killed. While the platform is
+// unreachable, only heartbeats report this to the other members.
 func TestMembershipOverUDP(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -95,7 +95,7 @@
 	d.SetSelf(false, 7)
 	a.await(c, "vm-a@0", "vm-b@0", "vm-d@7")
 	b.await(c, "vm-a@0", "vm-b@0", "vm-d@7")
-	start := time.Now() //nolint:forbidigo // Real time is what is promised.
+	start := time.Now() //nolint:forbidigo // The bound of 3 s is in real time.
 	d.SetSelf(true, 7)
 	a.await(c, "vm-a@0", "vm-b@0", "vm-d*@7")
 	b.await(c, "vm-a@0", "vm-b@0", "vm-d*@7")
@@ -104,7 +104,7 @@
 	a.await(c, "vm-a@0", "vm-b@0")
 }
 
-// A stray datagram ends the process or makes up a member.
+// Guards against malformed or misdirected datagrams that panic the process or add a member.
 func TestBadDatagramsAreDropped(t *testing.T) {
 	t.Parallel()
 	good := encode(domain, ggsmember.Heartbeat{Sender: ggsmember.Member{VM: "vm-b"}})
@@ -114,8 +114,8 @@
 		"cut short":     good[:len(good)-1],
 		"trailing":      append(append([]byte{}, good...), 0),
 		"other domain":  encode("perth-a", ggsmember.Heartbeat{Sender: ggsmember.Member{VM: "vm-b"}}),
-		"no name":       encode(domain, ggsmember.Heartbeat{}),
-		"many members":  append(append([]byte{}, good[:len(good)-1]...), 0xff, 0xff, 3),
+		"no VM ID":      encode(domain, ggsmember.Heartbeat{}),
+		"many updates":  append(append([]byte{}, good[:len(good)-1]...), 0xff, 0xff, 3),
 		"unknown flags": func() []byte { b := append([]byte{}, good...); b[5] = 0x80; return b }(),
 		"too long":      make([]byte, maxDatagramBytes+1),
 	} {
@@ -146,19 +146,20 @@
 	})
 }
 
-// headerBytes are those of IP and UDP.
+// headerBytes is the size of the headers of IPv4 and UDP.
 const headerBytes = 28
 
-// traffic returns the bytes a second that a member sends and receives on
-// average, headers included, in a domain where one is replaced every minute: five times the letter's rate.
+// traffic returns the bytes per second that a member sends and receives on average, headers
+// included, in a domain of n members. One member is replaced every minute, which is five times
+// the specified rate.
 func traffic(n int) float64 {
 	const seconds = 90
 	now := time.Unix(1_800_000_000, 0)
-	member := func(i, life int) ggsmember.Member {
+	member := func(i, run int) ggsmember.Member {
 		return ggsmember.Member{
 			VM:          ggscore.VMID(fmt.Sprintf("cr-central-a-%03d", i)),
 			Addr:        netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7000),
-			Incarnation: fmt.Sprintf("01900000-%04d-7000-8000-%012d", life, i),
+			Incarnation: fmt.Sprintf("01900000-%04d-7000-8000-%012d", run, i),
 			Sequence:    1 << 14, Revision: 1 << 20,
 		}
 	}
@@ -195,15 +196,15 @@
 	return float64(bytes) / float64(n) / seconds
 }
 
-// Control takes more of a node than its 2 KB a second, at the largest domain
-// that beats to all and at the letter's 100 members a domain.
+// Guards against control traffic above the bound of 2 KB per second for each node, at the largest
+// domain with heartbeats to all members and at the specified 100 members per domain.
 func TestTrafficStaysBelow2KB(t *testing.T) {
 	t.Parallel()
 	for _, n := range []int{3, 9, 10, 100} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			perSecond := traffic(n)
-			t.Logf("%d members: %.0f bytes a second a member, sent and received", n, perSecond)
+			t.Logf("%d members: each sends and receives %.0f bytes per second", n, perSecond)
 			qt.Check(t, perSecond < 2000, qt.IsTrue, qt.Commentf("%d members: %.0f", n, perSecond))
 		})
 	}
