--- a/io/ggsexchange/doc.go
+++ b/io/ggsexchange/doc.go
@@ -1,5 +1,5 @@
-// Package ggsexchange makes single HTTP/1.1 exchanges with endpoints over kept
-// connections, and says exactly what an exchange that failed may have done.
+// Package ggsexchange sends single HTTP/1.1 requests to endpoints over pooled connections. For
+// each failure it reports whether the request can have reached the endpoint.
 //
 // # Usage
 //
@@ -10,12 +10,12 @@
 //	defer a.Close()
 //	n, err := a.Body.Read(buf)
 //
-// A connection is used again only after an answer that had an end of its own,
-// with nothing behind it, and only while the endpoint has sent nothing since.
-// net/http's client sends some requests once more by itself and hides which
-// bytes were written; here a request goes out at most once.
+// A connection is reused only after an answer with explicit framing (Content-Length or chunks)
+// that was read to its end, and only if the endpoint has sent nothing since. The client of
+// net/http repeats some requests on its own and doesn't report which bytes were written. This
+// package sends each request at most once.
 //
 // # Locks
 //
-// Pool.mu is a leaf: nothing is locked and no I/O is done under it.
+// Pool.mu is a leaf lock: no other lock is taken and no blocking I/O is done while it is held.
 package ggsexchange
--- a/io/ggsexchange/errors.go
+++ b/io/ggsexchange/errors.go
@@ -7,8 +7,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A ConnLimitError says that all connections that an endpoint may get from
-// this process are in use.
+// A ConnLimitError says that all connections that this process may open to an endpoint are in use.
 type ConnLimitError struct {
 	Addr  netip.AddrPort
 	Limit int
@@ -16,19 +15,18 @@
 
 // Error implements error.
 func (e *ConnLimitError) Error() string {
-	return fmt.Sprintf("all %d connections to %s are in use", e.Limit, e.Addr)
+	return fmt.Sprintf("connection limit reached: all %d connections to %s are in use", e.Limit, e.Addr)
 }
 
-// A HeadTooLongError says that the head of an answer didn't end.
+// A HeadTooLongError says that the head of an answer exceeds the limit. Limit is in bytes.
 type HeadTooLongError struct{ Limit int }
 
 // Error implements error.
 func (e *HeadTooLongError) Error() string {
-	return fmt.Sprintf("the head of an answer is longer than %d bytes", e.Limit)
+	return fmt.Sprintf("reading answer: head is longer than %d bytes", e.Limit)
 }
 
-// A ForeignAnswersError says that an endpoint sent only answers to other
-// requests.
+// A ForeignAnswersError says that an endpoint sent only answers with the IDs of other requests.
 type ForeignAnswersError struct {
 	Want ggscore.RequestID
 	Got  ggscore.RequestID
@@ -36,5 +34,5 @@
 
 // Error implements error.
 func (e *ForeignAnswersError) Error() string {
-	return fmt.Sprintf("answer to request %q where that to %q was due", e.Got, e.Want)
+	return fmt.Sprintf("reading answer: got the answer to request %q, want %q", e.Got, e.Want)
 }
--- a/io/ggsexchange/exchange.go
+++ b/io/ggsexchange/exchange.go
@@ -17,42 +17,41 @@
 	ggscore "greengageslip/core"
 )
 
-// maxForeign is the number of answers to other requests that are read past. An
-// endpoint that sends an answer twice leaves one behind.
-const maxForeign = 3
+// maxMismatched is the number of answers to read before the exchange fails because all have the
+// IDs of other requests. An endpoint that sends an answer twice leaves one such answer unread.
+const maxMismatched = 3
 
-// foreignBytes bounds the body of an answer that is read past.
-const foreignBytes = 1 << 20
+// maxMismatchedBytes bounds the body of an answer to another request, which is discarded.
+const maxMismatchedBytes = 1 << 20
 
-// maxHeadBytes bounds the head of an answer. An endpoint that never ends its head
-// would take the process's memory.
+// maxHeadBytes bounds the head of an answer. An endless head would exhaust the process's memory.
 const maxHeadBytes = 64 << 10
 
-// noBound lets a boundedReader read on.
-const noBound = -1
+// noLimit disables the limit of a limitedReader when it is set as remaining.
+const noLimit = -1
 
-// A boundedReader reads no more than is left, or without a bound.
-type boundedReader struct {
-	r    io.Reader
-	left int
+// A limitedReader fails with a *HeadTooLongError once no bytes remain. Its limit can be disabled.
+type limitedReader struct {
+	r         io.Reader
+	remaining int
 }
 
 // Read implements io.Reader.
-func (b *boundedReader) Read(p []byte) (int, error) {
-	if b.left == 0 {
+func (b *limitedReader) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
 		return 0, &HeadTooLongError{Limit: maxHeadBytes}
 	}
-	if b.left > 0 && len(p) > b.left {
-		p = p[:b.left]
+	if b.remaining > 0 && len(p) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.r.Read(p)
-	if b.left > 0 {
-		b.left -= n
+	if b.remaining > 0 {
+		b.remaining -= n
 	}
 	return n, err
 }
 
-// A Request is one to make.
+// A Request is an HTTP request to an endpoint.
 type Request struct {
 	Addr   netip.AddrPort
 	Method string
@@ -60,39 +59,39 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is the identity that the answer has to bear in IDHeader, where it
-	// bears one. Both empty turns the check off.
+	// ID must equal the answer's IDHeader if the answer has this header. An empty IDHeader
+	// disables the check.
 	ID       ggscore.RequestID
 	IDHeader string
-	// MaxConns bounds the connections to the endpoint, zero for no bound.
+	// MaxConns bounds the connections to the endpoint. Zero means no bound.
 	MaxConns int
 }
 
-// An Answer is an endpoint's answer. Close ends the exchange.
+// An Answer is an endpoint's answer. Callers must call Close when they are done with it.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, -1 where only its end tells.
+	// Length is the body's length in bytes, or -1 if it is unknown before the end of the body.
 	Length int64
 	Body   io.Reader
 
-	pool   *Pool
-	conn   *conn
-	resp   *http.Response
-	stop   func() bool
-	once   sync.Once
-	ended  bool
-	framed bool
+	pool     *Pool
+	conn     *conn
+	resp     *http.Response
+	stop     func() bool
+	once     sync.Once
+	complete bool
+	framed   bool
 }
 
-// Do makes the request once. Failures are *ggscore.CallError.
+// Do sends the request at most once. Errors are of type *ggscore.CallError.
 func (p *Pool) Do(ctx context.Context, r Request) (*Answer, error) {
 	c, err := p.get(ctx, r.Addr, r.MaxConns)
 	if err != nil {
 		return nil, &ggscore.CallError{Addr: r.Addr, NotSent: true, Kind: ggscore.FailureEndpoint, Cause: err}
 	}
-	// The caller's going away closes the connection, which is how an endpoint
-	// learns that nobody wants the answer.
+	// When the caller cancels, the connection is closed. This signals the endpoint that the answer
+	// is no longer needed.
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	a, err := p.exchange(c, r)
 	if err != nil {
@@ -110,18 +109,18 @@
 
 func (p *Pool) exchange(c *conn, r Request) (*Answer, error) {
 	if _, err := c.Write(encode(r)); err != nil {
-		// An endpoint may answer before it has read a long body, and close:
-		// its answer says more than the failed write.
+		// An endpoint may answer and close before it has read a long body. Its answer is more
+		// specific than the write error.
 		if len(r.Body) == 0 {
 			return nil, err
 		}
 	}
 	req := &http.Request{Method: r.Method}
 	var got ggscore.RequestID
-	for range maxForeign {
-		c.bound.left = maxHeadBytes
+	for range maxMismatched {
+		c.headLimit.remaining = maxHeadBytes
 		resp, err := readHead(c.r, req)
-		c.bound.left = noBound
+		c.headLimit.remaining = noLimit
 		if err != nil {
 			return nil, err
 		}
@@ -129,7 +128,7 @@
 		if r.IDHeader == "" || got == "" || got == r.ID {
 			return p.answer(c, resp), nil
 		}
-		if _, err := io.CopyN(io.Discard, resp.Body, foreignBytes); !errors.Is(err, io.EOF) {
+		if _, err := io.CopyN(io.Discard, resp.Body, maxMismatchedBytes); !errors.Is(err, io.EOF) {
 			return nil, &ForeignAnswersError{Want: r.ID, Got: got}
 		}
 	}
@@ -142,30 +141,31 @@
 		pool: p, conn: c, resp: resp,
 	}
 	a.framed = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	a.Body = &endReader{r: resp.Body, answer: a}
+	a.Body = &eofReader{r: resp.Body, answer: a}
 	if resp.ContentLength == 0 {
-		a.ended = true
+		a.complete = true
 	}
 	return a
 }
 
-// Close ends the exchange. The connection is kept where the answer was read to
-// an end of its own.
+// Close ends the exchange. It returns the connection to the pool if the answer had explicit framing
+// and was read to its end, and closes the connection otherwise.
 func (a *Answer) Close() {
 	a.once.Do(func() {
-		if !a.stop() || !a.ended || !a.framed || a.resp.Close || a.conn.r.Buffered() > 0 {
+		if !a.stop() || !a.complete || !a.framed || a.resp.Close || a.conn.r.Buffered() > 0 {
 			a.pool.discard(a.conn)
 			return
 		}
-		a.pool.put(a.conn, a.keep())
+		a.pool.put(a.conn, a.idleTimeout())
 	})
 }
 
-// Reused reports whether the exchange went over a kept connection.
-func (a *Answer) Reused() bool { return a.conn.used }
+// Reused reports whether the exchange used a pooled connection instead of a new one.
+func (a *Answer) Reused() bool { return a.conn.reused }
 
-// keep returns how long the connection may be kept.
-func (a *Answer) keep() time.Duration {
+// idleTimeout returns how long the connection may be kept idle. If the endpoint announced its own
+// timeout in the Keep-Alive header, the result is shorter than that by idleMargin.
+func (a *Answer) idleTimeout() time.Duration {
 	for part := range strings.SplitSeq(a.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -178,23 +178,22 @@
 	return a.pool.options.Idle
 }
 
-// An endReader notes that an answer's end was seen.
-type endReader struct {
+// An eofReader marks the answer as complete at the end of its body.
+type eofReader struct {
 	r      io.Reader
 	answer *Answer
 }
 
 // Read implements io.Reader.
-func (e *endReader) Read(b []byte) (int, error) {
+func (e *eofReader) Read(b []byte) (int, error) {
 	n, err := e.r.Read(b)
 	if errors.Is(err, io.EOF) {
-		e.answer.ended = true
+		e.answer.complete = true
 	}
 	return n, err
 }
 
-// encode returns the request's bytes, in one piece so that they go out in one
-// write.
+// encode returns head and body of the request in one buffer, so that they are sent in one write.
 func encode(r Request) []byte {
 	var b bytes.Buffer
 	b.Grow(1024 + len(r.Body))
@@ -215,7 +214,7 @@
 	return b.Bytes()
 }
 
-// readHead reads an answer's head, past interim ones.
+// readHead reads the head of the final answer. It skips informational answers (1xx).
 func readHead(r *bufio.Reader, req *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(r, req)
--- a/io/ggsexchange/pool.go
+++ b/io/ggsexchange/pool.go
@@ -15,85 +15,86 @@
 
 // Defaults of Options.
 const (
-	// DefaultDialTimeout is two opening packets between regions and a margin:
-	// an endpoint that doesn't take a connection by then is down or cut off.
+	// DefaultDialTimeout covers two opening packets between regions and a margin. An
+	// endpoint that hasn't accepted a connection by then is down or unreachable.
 	DefaultDialTimeout = 600 * time.Millisecond
-	// DefaultIdle is how long a connection is kept where the endpoint doesn't
-	// say how long it does.
+	// DefaultIdle is how long an idle connection is kept if the endpoint doesn't announce its own
+	// timeout.
 	DefaultIdle = 20 * time.Second
-	// DefaultBufferBytes holds most answers' heads and a stream's events.
+	// DefaultBufferBytes fits the heads of most answers and the events of a stream.
 	DefaultBufferBytes = 4 << 10
 )
 
-// idleMargin is taken off the time for which an endpoint keeps an idle
-// connection, so that no request crosses its close: a round trip between
-// regions and the granularity of the told time.
+// idleMargin is subtracted from the idle timeout that an endpoint announces, so that no request is
+// sent while the endpoint closes the connection. It covers a round trip between regions and the
+// granularity of the announced time.
 const idleMargin = 700 * time.Millisecond
 
-// userTimeout bounds how long written bytes stay unacknowledged. A peer behind
-// a partition answers nothing, and without it a connection hangs for minutes.
+// userTimeout is the TCP_USER_TIMEOUT, which bounds how long sent bytes may stay unacknowledged.
+// Without it, a connection to a peer behind a network partition hangs for minutes.
 const userTimeout = 3 * time.Second
 
-// Probes of connections on which nothing moves. An endpoint that went dark, or a
-// connection that went silent, answers nothing and closes nothing: a request that
-// waits for it would learn so at its deadline, and one that is written to it can't
-// be sent elsewhere any more. Four seconds of silence end the connection.
+// TCP keep-alive of connections without traffic. An endpoint that lost power or network neither
+// answers nor closes its connections. A request that waits for its answer would fail only at its
+// deadline, and a request that was written to it can't be sent to another endpoint any more. With
+// these values, the connection is closed after 4 s without a packet from the endpoint.
 const (
-	probeIdle     = 2 * time.Second
-	probeInterval = time.Second
-	probeCount    = 2
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 )
 
-// An Options sets a Pool. Zero fields take their defaults.
+// Options configures a Pool. Zero fields take their defaults. Now is required.
 type Options struct {
 	DialTimeout time.Duration
 	Idle        time.Duration
 	BufferBytes int
-	// Now is the clock that idle connections go by.
+	// Now is the clock for the idle timeouts.
 	Now func() time.Time
 }
 
-// A Pool keeps connections to endpoints.
+// A Pool opens connections to endpoints and reuses idle ones. It is safe for concurrent use.
 type Pool struct {
 	options Options
 	dialer  net.Dialer
 
 	mu    sync.Mutex
-	hosts map[netip.AddrPort]*host
-	// dials counts the connections that were made.
+	hosts map[netip.AddrPort]*hostConns
+	// dials counts the attempts to open a connection.
 	dials int64
 }
 
-// A host is the connections to one address. It is guarded by Pool.mu.
-type host struct {
+// hostConns are the connections to one address. open counts those in use and the idle ones. It is
+// guarded by Pool.mu.
+type hostConns struct {
 	idle []*conn
 	open int
 }
 
-// A conn is a connection and the time until which it may be used again.
+// A conn is a connection that may be reused until the time reusableUntil.
 type conn struct {
 	net.Conn
-	addr  netip.AddrPort
-	r     *bufio.Reader
-	bound *boundedReader
-	until time.Time
-	used  bool
+	addr          netip.AddrPort
+	r             *bufio.Reader
+	headLimit     *limitedReader
+	reusableUntil time.Time
+	reused        bool
 }
 
-// NewPool returns a pool without connections. Options.Now is to be set.
+// NewPool returns a pool without connections.
 func NewPool(o Options) *Pool {
 	o.DialTimeout = cmp.Or(o.DialTimeout, DefaultDialTimeout)
 	o.Idle = cmp.Or(o.Idle, DefaultIdle)
 	o.BufferBytes = cmp.Or(o.BufferBytes, DefaultBufferBytes)
-	p := &Pool{options: o, hosts: map[netip.AddrPort]*host{}}
+	p := &Pool{options: o, hosts: map[netip.AddrPort]*hostConns{}}
 	p.dialer = net.Dialer{
 		Timeout: o.DialTimeout, Control: setUserTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	return p
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	var all []*conn
@@ -108,14 +109,14 @@
 	}
 }
 
-// Dials returns the number of connections that were made.
+// Dials returns the number of attempts to open a connection.
 func (p *Pool) Dials() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// Forget ends the idle connections to an address whose endpoint is gone.
+// Forget closes the idle connections to the address of an endpoint that no longer exists.
 func (p *Pool) Forget(addr netip.AddrPort) {
 	p.mu.Lock()
 	h := p.hosts[addr]
@@ -135,7 +136,7 @@
 	}
 }
 
-// Open returns the number of connections to an address.
+// Open returns the number of open connections to an address, idle ones included.
 func (p *Pool) Open(addr netip.AddrPort) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -145,7 +146,7 @@
 	return 0
 }
 
-// get returns a connection, the one that was used last where there is one.
+// get returns the most recently used idle connection, or opens a new one.
 func (p *Pool) get(ctx context.Context, addr netip.AddrPort, limit int) (*conn, error) {
 	for {
 		c, err := p.take(addr, limit)
@@ -155,7 +156,7 @@
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.reusable() {
 			return c, nil
 		}
 		p.discard(c)
@@ -165,24 +166,25 @@
 		p.release(addr)
 		return nil, err
 	}
-	b := &boundedReader{r: nc}
-	return &conn{Conn: nc, addr: addr, bound: b, r: bufio.NewReaderSize(b, p.options.BufferBytes)}, nil
+	b := &limitedReader{r: nc}
+	return &conn{Conn: nc, addr: addr, headLimit: b, r: bufio.NewReaderSize(b, p.options.BufferBytes)}, nil
 }
 
-// take returns an idle connection, or nil with a place for a new one.
+// take returns an idle connection. Without one, it returns nil and counts a new connection, which
+// the caller must open or release.
 func (p *Pool) take(addr netip.AddrPort, limit int) (*conn, error) {
 	now := p.options.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[addr]
 	if h == nil {
-		h = &host{}
+		h = &hostConns{}
 		p.hosts[addr] = h
 	}
 	for n := len(h.idle); n > 0; n = len(h.idle) {
 		c := h.idle[n-1]
 		h.idle = h.idle[:n-1]
-		if now.Before(c.until) {
+		if now.Before(c.reusableUntil) {
 			return c, nil
 		}
 		h.open--
@@ -196,10 +198,10 @@
 	return nil, nil
 }
 
-// put keeps a connection for another exchange.
-func (p *Pool) put(c *conn, keep time.Duration) {
-	c.used = true
-	c.until = p.options.Now().Add(keep)
+// put returns a connection to the pool for another exchange.
+func (p *Pool) put(c *conn, idleTimeout time.Duration) {
+	c.reused = true
+	c.reusableUntil = p.options.Now().Add(idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	h := p.hosts[c.addr]
@@ -210,7 +212,7 @@
 	h.idle = append(h.idle, c)
 }
 
-// discard closes a connection for good.
+// discard closes a connection and releases it.
 func (p *Pool) discard(c *conn) {
 	_ = c.Close()
 	p.release(c.addr)
@@ -229,12 +231,12 @@
 	}
 }
 
-// quiet reports whether the endpoint has sent nothing since the last answer.
+// reusable reports whether the endpoint has sent nothing, not even a close, since the last answer.
 //
-// A second answer to the request before, or the endpoint's close, would meet
-// the next request: its caller would get another's bytes, or a failure that
-// leaves open whether it ran. A peek sees both before anything is written.
-func (c *conn) quiet() bool {
+// If the endpoint sent a second answer to the previous request, the next caller would receive
+// another caller's bytes. If the endpoint closed the connection, the next request would fail with
+// an unknown outcome. Peeking at the socket detects both before anything is written.
+func (c *conn) reusable() bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok || c.r.Buffered() > 0 {
 		return false
@@ -243,17 +245,17 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	silent := false
 	var b [1]byte
 	err = rc.Read(func(fd uintptr) bool {
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = e == unix.EAGAIN
+		silent = e == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && silent
 }
 
-// setUserTimeout bounds the wait for acknowledgements on a new socket.
+// setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) {
--- a/io/ggsexchange/pool_test.go
+++ b/io/ggsexchange/pool_test.go
@@ -24,20 +24,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// raw is an endpoint that answers each request with the bytes that the
-// function returns; "" closes the connection.
-type raw struct {
+// rawEndpoint answers each request with the bytes that the answer function returns. An empty text
+// closes the connection.
+type rawEndpoint struct {
 	addr  netip.AddrPort
 	conns atomic.Int64
 }
 
-func serve(t *testing.T, answer func(n int, r *http.Request) string) *raw {
+func serve(t *testing.T, answer func(n int, r *http.Request) string) *rawEndpoint {
 	t.Helper()
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	s := &raw{addr: netip.MustParseAddrPort(l.Addr().String())}
+	s := &rawEndpoint{addr: netip.MustParseAddrPort(l.Addr().String())}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -47,7 +47,7 @@
 				return
 			}
 			s.conns.Add(1)
-			go s.talk(ctx, n, answer)
+			go s.serveConn(ctx, n, answer)
 		}
 	}()
 	t.Cleanup(func() {
@@ -58,7 +58,7 @@
 	return s
 }
 
-func (s *raw) talk(ctx context.Context, c net.Conn, answer func(int, *http.Request) string) {
+func (s *rawEndpoint) serveConn(ctx context.Context, c net.Conn, answer func(int, *http.Request) string) {
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	defer func() { _ = c.Close() }()
@@ -102,16 +102,16 @@
 	return string(b), err
 }
 
-func whole(id, body string) string {
+func okAnswer(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\nContent-Length: " + lengthOf(body) + "\r\n\r\n" + body
 }
 
 func lengthOf(s string) string { return string(rune('0' + len(s))) }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s := serve(t, func(_ int, r *http.Request) string { return whole(r.Header.Get(idHeader), "ok") })
+	s := serve(t, func(_ int, r *http.Request) string { return okAnswer(r.Header.Get(idHeader), "ok") })
 	p := pool(t)
 	for range 3 {
 		b, err := get(p, s.addr, "1")
@@ -122,21 +122,21 @@
 	c.Assert(p.Dials(), qt.Equals, int64(1))
 }
 
-// An endpoint answers a request twice. The next request on the connection got
-// the second answer: one caller read another's balance.
-func TestSecondAnswerReachesNobody(t *testing.T) {
+// Guards against delivering one caller's answer to another: an endpoint answers a request twice,
+// and the next request on the connection reads the second answer.
+func TestDuplicateAnswerIsNotDelivered(t *testing.T) {
 	t.Parallel()
 	for name, answer := range map[string]func(int, *http.Request) string{
-		"at once, with an identity": func(_ int, r *http.Request) string {
-			w := whole(r.Header.Get(idHeader), "mine")
+		"immediately, with an ID": func(_ int, r *http.Request) string {
+			w := okAnswer(r.Header.Get(idHeader), "mine")
 			return w + w
 		},
-		"at once, without one": func(_ int, r *http.Request) string {
-			return whole(r.Header.Get(idHeader), "mine") + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
+		"immediately, without an ID": func(_ int, r *http.Request) string {
+			return okAnswer(r.Header.Get(idHeader), "mine") + "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 		},
-		"where the next is due": func(_ int, r *http.Request) string {
-			w := whole(r.Header.Get(idHeader), "mine")
-			return whole("stranger", "other") + w
+		"before the next answer": func(_ int, r *http.Request) string {
+			w := okAnswer(r.Header.Get(idHeader), "mine")
+			return okAnswer("stranger", "other") + w
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -153,26 +153,26 @@
 	}
 }
 
-func TestOnlyForeignAnswers(t *testing.T) {
+func TestOnlyMismatchedAnswersFail(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s := serve(t, func(int, *http.Request) string { return strings.Repeat(whole("stranger", "other"), 4) })
+	s := serve(t, func(int, *http.Request) string { return strings.Repeat(okAnswer("stranger", "other"), 4) })
 	_, err := get(pool(t), s.addr, "1")
-	var foreign *ggsexchange.ForeignAnswersError
-	c.Assert(errors.As(err, &foreign), qt.IsTrue)
-	c.Assert(foreign.Got, qt.Equals, ggscore.RequestID("stranger"))
+	var mismatch *ggsexchange.ForeignAnswersError
+	c.Assert(errors.As(err, &mismatch), qt.IsTrue)
+	c.Assert(mismatch.Got, qt.Equals, ggscore.RequestID("stranger"))
 }
 
-// An endpoint closes a kept connection. A request that can't be repeated must
-// not be written to it: whether it ran would be open.
-func TestClosedConnectionIsNotUsed(t *testing.T) {
+// Guards against writing a request to a connection that the endpoint has closed. It would be
+// unknown whether the request ran, so a request that isn't idempotent couldn't be retried.
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := serve(t, func(n int, r *http.Request) string {
 		if n == 1 {
 			return ""
 		}
-		return whole(r.Header.Get(idHeader), "ok")
+		return okAnswer(r.Header.Get(idHeader), "ok")
 	})
 	p := pool(t)
 	_, err := get(p, s.addr, "1")
@@ -180,14 +180,14 @@
 	_, err = get(p, s.addr, "2")
 	var call *ggscore.CallError
 	c.Assert(errors.As(err, &call), qt.IsTrue)
-	c.Assert(call.NotSent, qt.IsFalse, qt.Commentf("bytes were written: nobody knows whether it ran"))
+	c.Assert(call.NotSent, qt.IsFalse, qt.Commentf("bytes were written, so the request may have run"))
 	_, err = get(p, s.addr, "3")
 	c.Assert(err, qt.IsNil)
 	c.Assert(s.conns.Load(), qt.Equals, int64(2))
 }
 
-// The answer's head says that the connection is kept for two seconds. A request
-// after that crosses the endpoint's close.
+// Guards against a request that is sent while the endpoint closes the connection: the endpoint
+// announces in the Keep-Alive header that it closes idle connections after 2 s.
 func TestKeepAliveIsHonoured(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -205,13 +205,13 @@
 	c.Assert(p.Dials(), qt.Equals, int64(2))
 }
 
-func TestAnswerThatEndsEarly(t *testing.T) {
+func TestIncompleteAnswerFails(t *testing.T) {
 	t.Parallel()
 	for name, answer := range map[string]string{
-		"short of its length":    "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 10\r\n\r\nhalf",
-		"without its last chunk": "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
-		"a head without end":     "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 80<<10),
-		"no answer":              "gibberish\r\n\r\nConnection: close",
+		"shorter than its length": "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 10\r\n\r\nhalf",
+		"without its last chunk":  "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+		"endless head":            "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 80<<10),
+		"not HTTP":                "gibberish\r\n\r\nConnection: close",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -222,7 +222,7 @@
 	}
 }
 
-func TestNothingReachedTheEndpoint(t *testing.T) {
+func TestRefusedDialReportsNotSent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -235,10 +235,10 @@
 	c.Assert(call.NotSent, qt.IsTrue)
 }
 
-func TestConnectionsAreBounded(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s := serve(t, func(_ int, r *http.Request) string { return whole(r.Header.Get(idHeader), "ok") })
+	s := serve(t, func(_ int, r *http.Request) string { return okAnswer(r.Header.Get(idHeader), "ok") })
 	p := pool(t)
 	r := ggsexchange.Request{Addr: s.addr, Method: http.MethodGet, URI: "/", Host: "h", MaxConns: 1}
 	a, err := p.Do(context.Background(), r)
@@ -249,9 +249,9 @@
 	a.Close()
 }
 
-// A caller leaves while its request runs. The endpoint goes on working for
-// nobody unless its connection is closed.
-func TestEndpointLearnsThatTheCallerLeft(t *testing.T) {
+// Guards against wasted work at an endpoint: a caller cancels while its request runs, and the
+// endpoint can only detect this by the closed connection.
+func TestCancelClosesConnection(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
