--- a/io/ggsconn/conn.go
+++ b/io/ggsconn/conn.go
@@ -6,22 +6,21 @@
 	"sync/atomic"
 )
 
-// A conn notes whether the request that it carries has written anything. It has
-// the methods of net.Conn only: a ReadFrom that it took over from a TCP
-// connection would write past the notes.
+// A conn records whether the current request has written anything. It has only the methods of
+// net.Conn: a ReadFrom promoted from the TCP connection would write without being recorded.
 type conn struct {
 	net.Conn
 	received atomic.Int64
 
-	mu     sync.Mutex
-	wrote  bool
-	sealed bool
+	mu      sync.Mutex
+	written bool
+	sealed  bool
 }
 
-// Write implements net.Conn. The note is made before the write, as a write
-// that fails may have sent some bytes.
+// Write implements net.Conn. It records the write beforehand, because a write that fails may have
+// sent some bytes.
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.note(); err != nil {
+	if err := c.recordWrite(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
@@ -34,29 +33,29 @@
 	return n, err
 }
 
-// begin starts the notes of a new request.
-func (c *conn) begin() {
+// startRequest clears the record of the previous request.
+func (c *conn) startRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wrote = false
+	c.written = false
 }
 
-func (c *conn) note() error {
+func (c *conn) recordWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.sealed {
 		return &SealedError{}
 	}
-	c.wrote = true
+	c.written = true
 	return nil
 }
 
-// seal forbids all further writes and reports whether there was one. Without
-// it net/http's writing goroutine could still send a request that its caller
-// was already told had not been sent.
+// seal blocks all further writes and reports whether the current request wrote anything. Without
+// it, the write goroutine of net/http could still send a request that was already reported to the
+// caller as not sent.
 func (c *conn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.wrote
+	return c.written
 }
--- a/io/ggsconn/doc.go
+++ b/io/ggsconn/doc.go
@@ -1,5 +1,5 @@
-// Package ggsconn makes HTTP transports that can prove that a failed request
-// wrote nothing, and bounds calls by their peers' silence.
+// Package ggsconn provides HTTP transports that can prove that a failed request wrote nothing, and
+// watchdogs that cancel calls whose peers send no bytes for too long.
 //
 // # Usage
 //
@@ -7,22 +7,23 @@
 //	ctx, f := ggsconn.Track(ctx)
 //	resp, err := t.RoundTrip(req.WithContext(ctx))
 //	if err != nil && f.NothingWritten() {
-//		// the peer can't have seen a byte of the request
+//		// the peer can't have received a byte of the request
 //	}
 //
-//	ctx, dog := ggsconn.NewWatchdog(ctx, timeout, timeout)
-//	defer dog.Stop()
+//	ctx, w := ggsconn.NewWatchdog(ctx, timeout, timeout)
+//	defer w.Stop()
 //	resp, err := client.Do(req.WithContext(ctx))
-//	b, err := io.ReadAll(dog.Reader(resp.Body)) // as long as bytes come
+//	b, err := io.ReadAll(w.Reader(resp.Body)) // as long as bytes arrive
 //
-// net/http doesn't tell whether a failed request reached its connection: a
-// trace reports when a request was written whole, not whether its first byte
-// left. Connections of this package note their own writes. NothingWritten
-// closes them to further writes first, so that its answer stays true.
+// net/http doesn't report whether a failed request reached its connection: a trace reports when a
+// request was written completely, but not whether its first byte was. The connections of this
+// package record their own writes. NothingWritten first blocks further writes to the connections,
+// so that its result remains valid.
 //
-// A request carries no more than one try. Callers give a body that net/http
-// can't rewind (see Body), for otherwise net/http repeats requests by itself
-// where a reused connection breaks.
+// Callers must use bodies that net/http can't rewind (see Body). Otherwise net/http repeats a
+// request on its own when a reused connection breaks.
 //
-// Locks: Flight.mu, then conn.mu; neither is held during I/O.
+// # Locks
+//
+// Flight.mu is locked before conn.mu. Neither is held during I/O.
 package ggsconn
--- a/io/ggsconn/errors.go
+++ b/io/ggsconn/errors.go
@@ -1,14 +1,17 @@
 package ggsconn
 
-// A SealedError says that a connection takes no more writes, since the request
-// that it carried was given up.
+// A SealedError says that a connection rejects all writes because its request was abandoned.
 type SealedError struct{}
 
 // Error implements error.
-func (e *SealedError) Error() string { return "connection sealed after its request was given up" }
+func (e *SealedError) Error() string {
+	return "write rejected: the connection was sealed after its request was abandoned"
+}
 
-// A SilentError says that a call was ended because its peer was silent.
+// A SilentError says that a call was cancelled because no bytes arrived within the timeout.
 type SilentError struct{}
 
 // Error implements error.
-func (e *SilentError) Error() string { return "the peer was silent" }
+func (e *SilentError) Error() string {
+	return "call cancelled: the peer sent no bytes within the timeout"
+}
--- a/io/ggsconn/flight.go
+++ b/io/ggsconn/flight.go
@@ -8,35 +8,35 @@
 	"sync"
 )
 
-// A Flight follows one request over the connections that it is given.
+// A Flight tracks the connections that one request uses. It is safe for concurrent use.
 type Flight struct {
-	mu     sync.Mutex
-	conns  []*conn
-	opaque bool
+	mu    sync.Mutex
+	conns []*conn
+	// untracked says that the request used a connection that isn't of this package.
+	untracked bool
 }
 
-// Track returns a context for one request and the flight that follows it.
+// Track returns a context for one request and the Flight that tracks it.
 func Track(ctx context.Context) (context.Context, *Flight) {
 	f := &Flight{}
 	t := &httptrace.ClientTrace{GotConn: f.gotConn}
 	return httptrace.WithClientTrace(ctx, t), f
 }
 
-// Body returns a request body that net/http can't rewind. Given a body that it
-// can rewind, or none, net/http sends a request again by itself when a reused
-// connection breaks, if its method is GET or it has an Idempotency-Key header:
-// a deposit release would run twice. An empty body is hidden as well.
+// Body returns a request body that net/http can't rewind. If the body is rewindable or absent,
+// net/http repeats a request on its own when a reused connection breaks, provided that its method
+// is GET or that it has an Idempotency-Key header. A deposit release would then run twice. For the
+// same reason, Body also wraps an empty body.
 func Body(b []byte) io.ReadCloser {
 	return io.NopCloser(struct{ io.Reader }{bytes.NewReader(b)})
 }
 
-// NothingWritten reports whether no byte of the request was written, nor will
-// be. It is to be called only after the request failed: the connections of the
-// request can't be written afterwards.
+// NothingWritten reports whether no byte of the request was written, nor will be. It must be called
+// only after the request failed, because it blocks further writes to the request's connections.
 func (f *Flight) NothingWritten() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	none := !f.opaque
+	none := !f.untracked
 	for _, c := range f.conns {
 		if c.seal() {
 			none = false
@@ -45,8 +45,8 @@
 	return none
 }
 
-// Received returns the bytes that have arrived on the request's connections, those of
-// earlier requests included.
+// Received returns the number of bytes received on the request's connections, including the bytes
+// of earlier requests.
 func (f *Flight) Received() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,9 +62,9 @@
 	defer f.mu.Unlock()
 	c, ok := i.Conn.(*conn)
 	if !ok {
-		f.opaque = true
+		f.untracked = true
 		return
 	}
-	c.begin()
+	c.startRequest()
 	f.conns = append(f.conns, c)
 }
--- a/io/ggsconn/flight_test.go
+++ b/io/ggsconn/flight_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A sink is a connection that keeps what is written to it.
+// A sink is a connection that records what is written to it.
 type sink struct {
 	net.Conn
 	written []byte
@@ -27,11 +27,10 @@
 	return len(p), nil
 }
 
-// A caller leaves when its request has a connection and isn't written yet. It
-// is told that the request has not run and sends it elsewhere. Then net/http's
-// writing goroutine, which nobody told, gets to run and sends it here as well:
-// it runs twice. The connection must refuse the late write.
-func TestLateWriteIsRefused(t *testing.T) {
+// Guards against a request that runs twice: its caller cancels before the first write, learns that
+// the request has not run, and sends it elsewhere. Then the write goroutine of net/http, which
+// wasn't stopped, writes the request to its connection. The connection must reject this write.
+func TestWriteAfterSealFails(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := &sink{}
@@ -46,10 +45,9 @@
 	c.Assert(s.written, qt.HasLen, 0)
 }
 
-// A connection carries one request after another: what an earlier one wrote
-// must not count for a later one, and what any of a request's connections
-// wrote must count.
-func TestWritesCountForTheirRequest(t *testing.T) {
+// Guards against attributing writes to the wrong request: a connection is reused by later requests,
+// and a request may use several connections.
+func TestWritesAreRecordedPerRequest(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	n := &conn{Conn: &sink{}}
@@ -73,25 +71,25 @@
 	}
 	c.Assert(third.NothingWritten(), qt.IsFalse)
 
-	foreign := &Flight{}
-	foreign.gotConn(httptrace.GotConnInfo{Conn: &sink{}})
-	c.Assert(foreign.NothingWritten(), qt.IsFalse)
+	untracked := &Flight{}
+	untracked.gotConn(httptrace.GotConnInfo{Conn: &sink{}})
+	c.Assert(untracked.NothingWritten(), qt.IsFalse)
 }
 
 func TestNothingWrittenOverHTTP(t *testing.T) {
 	t.Parallel()
-	hangUp := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	for name, tc := range map[string]struct {
 		listens bool
 		want    bool
 	}{
-		"nobody listens": {listens: false, want: true},
-		"peer hangs up":  {listens: true, want: false},
+		"connection refused": {listens: false, want: true},
+		"connection aborted": {listens: true, want: false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			s := httptest.NewServer(http.HandlerFunc(hangUp))
+			s := httptest.NewServer(http.HandlerFunc(abort))
 			defer s.Close()
 			if !tc.listens {
 				s.Close()
--- a/io/ggsconn/transport.go
+++ b/io/ggsconn/transport.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Options bound a transport.
+// Options configures a transport.
 type Options struct {
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds the time to open a connection.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections that were idle for so long.
+	// IdleTimeout is the time after which an idle connection is closed.
 	IdleTimeout time.Duration
-	// MaxConns bounds the connections to one address. A request beyond it
-	// waits under its context. Zero means no bound.
+	// MaxConns bounds the connections to one address. A request that exceeds the bound waits until
+	// a connection is free or its context ends. Zero means no bound.
 	MaxConns int
-	// MaxIdle bounds the idle connections kept to one address.
+	// MaxIdle bounds the idle connections to one address.
 	MaxIdle int
-	// Fresh gives each request a connection of its own.
+	// Fresh opens a new connection for each request.
 	Fresh bool
 }
 
-// DefaultOptions returns the bounds for one outside system.
+// DefaultOptions returns the options for calls to one external system.
 func DefaultOptions() Options {
 	return Options{
 		DialTimeout: time.Second,
@@ -32,9 +32,9 @@
 	}
 }
 
-// NewTransport returns a transport whose connections note their writes. It
-// uses no proxy, asks for no compression and speaks HTTP/1.1 only, so that a
-// connection carries one request at a time.
+// NewTransport returns a transport whose connections record their writes. It uses no proxy and
+// requests no compression. It uses only HTTP/1.1, so that a connection carries one request at a
+// time.
 func NewTransport(o Options) *http.Transport {
 	d := &net.Dialer{Timeout: o.DialTimeout}
 	return &http.Transport{
@@ -54,11 +54,11 @@
 	}
 }
 
-// maxHeaderBytes bounds the headers of an answer.
+// maxHeaderBytes bounds the size of an answer's header.
 const maxHeaderBytes = 64 << 10
 
-// NewClient returns a client on the transport that never follows a redirect: a
-// request would leave for an address that nobody chose.
+// NewClient returns a client that uses the transport. The client doesn't follow redirects, because
+// they would send a request to an address that isn't configured.
 func NewClient(t *http.Transport) *http.Client {
 	return &http.Client{
 		Transport: t,
--- a/io/ggsconn/watchdog.go
+++ b/io/ggsconn/watchdog.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// A Watchdog ends a call whose peer is silent. An answer may take as long as its bytes
-// keep coming: read again from its start, it would take no less.
+// A Watchdog cancels a call when no bytes arrive within a timeout. It doesn't bound the total time
+// of an answer, since a retry from its start would take no less.
 type Watchdog struct {
-	cancel  context.CancelFunc
-	timer   *time.Timer
-	silence time.Duration
-	fired   atomic.Bool
+	cancel      context.CancelFunc
+	timer       *time.Timer
+	idleTimeout time.Duration
+	fired       atomic.Bool
 }
 
-// NewWatchdog returns the context of one call and the watchdog that ends it: when the
-// answer's first byte isn't read within the time first, or a later one within silence
-// of the one before.
-func NewWatchdog(ctx context.Context, first, silence time.Duration) (context.Context, *Watchdog) {
+// NewWatchdog returns the context of one call and the watchdog that cancels it. The watchdog fires
+// if the answer's first byte isn't read within the time first, or if no further byte is read within
+// idleTimeout after the previous one.
+func NewWatchdog(ctx context.Context, first, idleTimeout time.Duration) (context.Context, *Watchdog) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &Watchdog{cancel: cancel, silence: silence}
+	w := &Watchdog{cancel: cancel, idleTimeout: idleTimeout}
 	w.timer = time.AfterFunc(first, func() {
 		w.fired.Store(true)
 		cancel()
@@ -29,10 +29,11 @@
 	return ctx, w
 }
 
-// Reader returns a reader of the answer's body that tells the watchdog of each byte.
-func (w *Watchdog) Reader(r io.Reader) io.Reader { return &watchedReader{Reader: r, dog: w} }
+// Reader returns a reader of the answer's body that resets the watchdog's timer whenever it reads
+// bytes.
+func (w *Watchdog) Reader(r io.Reader) io.Reader { return &watchedReader{Reader: r, watchdog: w} }
 
-// Explain returns the error of a call: a *SilentError if the watchdog ended it.
+// Explain returns a *SilentError if the watchdog has cancelled the call, and err otherwise.
 func (w *Watchdog) Explain(err error) error {
 	if w.fired.Load() {
 		return &SilentError{}
@@ -40,7 +41,7 @@
 	return err
 }
 
-// Stop ends the watch and the call's context.
+// Stop stops the watchdog and cancels the call's context.
 func (w *Watchdog) Stop() {
 	w.timer.Stop()
 	w.cancel()
@@ -48,14 +49,14 @@
 
 type watchedReader struct {
 	io.Reader
-	dog *Watchdog
+	watchdog *Watchdog
 }
 
 // Read implements io.Reader.
 func (r *watchedReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.dog.timer.Reset(r.dog.silence)
+		r.watchdog.timer.Reset(r.watchdog.idleTimeout)
 	}
 	return n, err
 }
