--- a/io/ggsexchange/pool.go
+++ b/io/ggsexchange/pool.go
@@ -245,14 +245,14 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	reusable := false
 	var b [1]byte
 	err = rc.Read(func(fd uintptr) bool {
 		_, _, e := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent = e == unix.EAGAIN
+		reusable = e == unix.EAGAIN
 		return true
 	})
-	return err == nil && silent
+	return err == nil && reusable
 }
 
 // setUserTimeout sets TCP_USER_TIMEOUT on a new socket.
