--- a/io/ggsrpc/conn.go
+++ b/io/ggsrpc/conn.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// A countedConn counts the bytes that arrive.
-type countedConn struct {
+// A countingConn counts the bytes that it receives.
+type countingConn struct {
 	net.Conn
 	received atomic.Int64
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.received.Add(int64(n))
 	return n, err
 }
 
-// silenceSteps is how often a silence is looked at while it lasts.
-const silenceSteps = 8
+// idleChecks is the number of checks for received bytes within one idle timeout.
+const idleChecks = 8
 
-// cancelWhenSilent cancels with a *SilentError once nothing has arrived for the silence.
-// It returns when the context ends.
-func (c *countedConn) cancelWhenSilent(ctx context.Context, silence time.Duration, cancel context.CancelCauseFunc) {
-	t := time.NewTicker(silence / silenceSteps)
+// cancelWhenIdle calls cancel with a *SilentError once no bytes have arrived for idleTimeout,
+// and returns. It also returns when the context ends.
+func (c *countingConn) cancelWhenIdle(ctx context.Context, idleTimeout time.Duration, cancel context.CancelCauseFunc) {
+	t := time.NewTicker(idleTimeout / idleChecks)
 	defer t.Stop()
-	received, silent := c.received.Load(), 0
-	for silent < silenceSteps {
+	received, idle := c.received.Load(), 0
+	for idle < idleChecks {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		}
-		silent++
+		idle++
 		if now := c.received.Load(); now != received {
-			received, silent = now, 0
+			received, idle = now, 0
 		}
 	}
-	cancel(&SilentError{Silence: silence})
+	cancel(&SilentError{Silence: idleTimeout})
 }
--- a/io/ggsrpc/doc.go
+++ b/io/ggsrpc/doc.go
@@ -1,4 +1,4 @@
-// Package ggsrpc carries net/rpc calls between the system's own processes.
+// Package ggsrpc makes and serves net/rpc calls between the processes of this system.
 //
 // # Usage
 //
@@ -10,12 +10,13 @@
 //	defer p.Close()
 //	err = p.Call(ctx, addr, "Config.Head", &args, &reply)
 //
-// Call is bounded by its context alone; CallLong suits answers whose length grows with
-// data. A call's failure is a *DialError where the call cannot have reached the
-// other process, a *BrokenError where that is not known, and a *RemoteError
-// where the other process answered with an error.
+// Call is bounded only by its context. CallLong is for answers whose length grows with the amount
+// of data, and is bounded by the time without received bytes.
+//
+// A failed call returns a *DialError if the call can't have reached the other process, a
+// *BrokenError if that is unknown, and a *RemoteError if the other process answered with an error.
 //
 // # Locks
 //
-// Pool.mu and Server.mu are leaves: nothing else is locked under them.
+// Pool.mu and Server.mu are leaf locks: no other lock is taken while one of them is held.
 package ggsrpc
--- a/io/ggsrpc/errors.go
+++ b/io/ggsrpc/errors.go
@@ -18,8 +18,7 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// A BrokenError says that a call's answer didn't arrive: the call may have had
-// its effect.
+// A BrokenError says that no answer to a call arrived. The call may have taken effect.
 type BrokenError struct {
 	Addr   netip.AddrPort
 	Method string
@@ -28,13 +27,13 @@
 
 // Error implements error.
 func (e *BrokenError) Error() string {
-	return fmt.Sprintf("call of %s at %s broke: %v", e.Method, e.Addr, e.Cause)
+	return fmt.Sprintf("call of %s at %s ended without an answer: %v", e.Method, e.Addr, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Cause }
 
-// A RemoteError is an error that the other process answered with.
+// A RemoteError is an error that the other process returned as its answer.
 type RemoteError struct {
 	Addr   netip.AddrPort
 	Method string
@@ -43,11 +42,11 @@
 
 // Error implements error.
 func (e *RemoteError) Error() string {
-	return fmt.Sprintf("%s at %s: %s", e.Method, e.Addr, e.Text)
+	return fmt.Sprintf("call of %s at %s returned an error: %s", e.Method, e.Addr, e.Text)
 }
 
-// A SilentError says that nothing arrived from the other process for a time.
+// A SilentError says that no bytes arrived from the other process for the time Silence.
 type SilentError struct{ Silence time.Duration }
 
 // Error implements error.
-func (e *SilentError) Error() string { return fmt.Sprintf("nothing arrived for %s", e.Silence) }
+func (e *SilentError) Error() string { return fmt.Sprintf("no bytes received for %s", e.Silence) }
--- a/io/ggsrpc/ggsrpc_test.go
+++ b/io/ggsrpc/ggsrpc_test.go
@@ -15,7 +15,7 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// EchoArgs is exported since net/rpc asks for it.
+// EchoArgs is exported because net/rpc requires it.
 type EchoArgs struct{ Text string }
 
 type refusedError struct{}
@@ -83,8 +83,9 @@
 	c.Assert(p.Close(), qt.IsNil)
 }
 
-// Guards against an answer that is never whole because its time is bounded and its length isn't.
-func TestLongAnswerOutlivesTheSilenceBound(t *testing.T) {
+// Guards against long answers that never complete: the time of a call would be bounded, but the
+// length of its answer isn't. Only the time without received bytes is bounded.
+func TestLongAnswerMayExceedIdleTimeout(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -92,24 +93,24 @@
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	k := ggsfakelink.New(addr)
-	carried := make(chan error, 1)
-	go func() { carried <- k.Serve(ctx, l) }()
+	linkDone := make(chan error, 1)
+	go func() { linkDone <- k.Serve(ctx, l) }()
 	p := ggsrpc.NewPool(ggsrpc.PoolOptions{})
-	const silence = 200 * time.Millisecond
+	const idleTimeout = 200 * time.Millisecond
 	k.SetFaults(ggsfakelink.Faults{BytesPerSecond: 1_000_000})
 	at := netip.MustParseAddrPort(l.Addr().String())
 
 	var r EchoArgs
-	c.Assert(p.CallLong(ctx, silence, at, "Echo.Long", &EchoArgs{}, &r), qt.IsNil)
+	c.Assert(p.CallLong(ctx, idleTimeout, at, "Echo.Long", &EchoArgs{}, &r), qt.IsNil)
 	c.Assert(r.Text, qt.HasLen, longBytes)
 
 	k.SetFaults(ggsfakelink.Faults{Stall: true})
-	var silent *ggsrpc.SilentError
-	err = p.CallLong(ctx, silence, at, "Echo.Long", &EchoArgs{}, &EchoArgs{})
-	c.Assert(errors.As(err, &silent), qt.IsTrue, qt.Commentf("%v", err))
+	var idle *ggsrpc.SilentError
+	err = p.CallLong(ctx, idleTimeout, at, "Echo.Long", &EchoArgs{}, &EchoArgs{})
+	c.Assert(errors.As(err, &idle), qt.IsTrue, qt.Commentf("%v", err))
 
 	c.Assert(p.Close(), qt.IsNil)
 	cancel()
 	c.Assert(<-done, qt.IsNil)
-	c.Assert(<-carried, qt.IsNil)
+	c.Assert(<-linkDone, qt.IsNil)
 }
--- a/io/ggsrpc/pool.go
+++ b/io/ggsrpc/pool.go
@@ -13,13 +13,13 @@
 
 const defaultDialTimeout = time.Second
 
-// PoolOptions sets a Pool's limits.
+// PoolOptions configures a Pool.
 type PoolOptions struct {
-	// DialTimeout bounds the making of a connection; zero means one second.
+	// DialTimeout bounds the time to open a connection. Zero means one second.
 	DialTimeout time.Duration
 }
 
-// A Pool keeps one connection to each process that is called.
+// A Pool keeps one connection to each called process. It is safe for concurrent use.
 type Pool struct {
 	options PoolOptions
 	mu      sync.Mutex
@@ -29,7 +29,7 @@
 // A client is a connection to a process.
 type client struct {
 	*rpc.Client
-	conn *countedConn
+	conn *countingConn
 }
 
 // NewPool returns an empty Pool.
@@ -40,8 +40,8 @@
 	return &Pool{options: o, clients: make(map[netip.AddrPort]*client)}
 }
 
-// Call calls a method of the process at addr and waits for its answer or the
-// context's end. The reply must not be read after an error.
+// Call calls a method of the process at addr and waits for its answer or the end of the context.
+// The reply must not be read after an error.
 func (p *Pool) Call(ctx context.Context, addr netip.AddrPort, method string, args, reply any) error {
 	c, err := p.client(ctx, addr)
 	if err != nil {
@@ -50,11 +50,11 @@
 	return p.wait(ctx, addr, c, c.Go(method, args, reply, make(chan *rpc.Call, 1)))
 }
 
-// CallLong is Call for an answer that grows with data: it may take as long as bytes
-// arrive on its connection, and is given up after the silence without any. The
-// connection is then closed, so that the rest of the answer isn't sent.
-func (p *Pool) CallLong(ctx context.Context, silence time.Duration, addr netip.AddrPort, method string, args, reply any) error {
-	dial, cancelDial := context.WithTimeout(ctx, silence)
+// CallLong is like Call, but for an answer whose length grows with the amount of data. The call may
+// take as long as bytes arrive on its connection. It fails once no bytes have arrived for
+// idleTimeout. The connection is then closed, so that the rest of the answer isn't sent.
+func (p *Pool) CallLong(ctx context.Context, idleTimeout time.Duration, addr netip.AddrPort, method string, args, reply any) error {
+	dial, cancelDial := context.WithTimeout(ctx, idleTimeout)
 	defer cancelDial()
 	c, err := p.client(dial, addr)
 	if err != nil {
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	call := c.Go(method, args, reply, make(chan *rpc.Call, 1))
-	go c.conn.cancelWhenSilent(ctx, silence, cancel)
+	go c.conn.cancelWhenIdle(ctx, idleTimeout, cancel)
 	err = p.wait(ctx, addr, c, call)
 	if err != nil && ctx.Err() != nil {
 		p.drop(addr, c)
@@ -71,7 +71,7 @@
 	return err
 }
 
-// wait waits for the answer of a call.
+// wait waits for the answer to a call.
 func (p *Pool) wait(ctx context.Context, addr netip.AddrPort, c *client, call *rpc.Call) error {
 	select {
 	case <-ctx.Done():
@@ -88,7 +88,7 @@
 	return &BrokenError{Addr: addr, Method: call.ServiceMethod, Cause: call.Error}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Forget ends the connection to addr, whose process is gone.
+// Forget closes the connection to addr, whose process no longer exists.
 func (p *Pool) Forget(addr netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,8 +121,8 @@
 	if err != nil {
 		return nil, err
 	}
-	counted := &countedConn{Conn: conn}
-	n := &client{Client: rpc.NewClient(counted), conn: counted}
+	counting := &countingConn{Conn: conn}
+	n := &client{Client: rpc.NewClient(counting), conn: counting}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c = p.clients[addr]; c != nil {
--- a/io/ggsrpc/server.go
+++ b/io/ggsrpc/server.go
@@ -7,25 +7,25 @@
 	"sync"
 )
 
-// A Server answers calls of other processes.
+// A Server answers calls from other processes.
 type Server struct {
 	rpc   *rpc.Server
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// NewServer returns a Server without methods.
+// NewServer returns a Server without registered methods.
 func NewServer() *Server {
 	return &Server{rpc: rpc.NewServer(), conns: make(map[net.Conn]struct{})}
 }
 
-// Register makes the suitable methods of rcvr callable as "name.Method".
+// Register makes those methods of rcvr that net/rpc supports callable as "name.Method".
 func (s *Server) Register(name string, rcvr any) error {
 	return s.rpc.RegisterName(name, rcvr)
 }
 
-// Serve answers calls until the context ends. It then closes the listener and
-// every connection, and returns when all have ended.
+// Serve answers calls until the context ends. It then closes the listener and all connections, and
+// returns nil when all connections have ended.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() {
 		_ = l.Close()
