--- a/io/ggsvms/peer.go
+++ b/io/ggsvms/peer.go
@@ -10,7 +10,7 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// ServiceName is the name under which dispatchers serve the list.
+// ServiceName is the net/rpc service name under which dispatchers serve the list.
 const ServiceName = "VMs"
 
 const methodList = ServiceName + ".List"
@@ -18,7 +18,8 @@
 // A Peer is the address of a dispatcher.
 type Peer = netip.AddrPort
 
-// An Answer is a peer's list. VMs is left out where it is the Same.
+// An Answer is a peer's list and the list's age. Known is false if the peer has no list. Same says
+// that the list has the digest of the request, and VMs is then empty.
 type Answer struct {
 	Known bool
 	Same  bool
@@ -26,12 +27,12 @@
 	VMs   []ggscore.VM
 }
 
-// A PeerLister asks a peer for its list, unless that has the digest.
+// A PeerLister fetches the list of a peer, unless the list has the digest d.
 type PeerLister interface {
 	VMs(ctx context.Context, p Peer, d ggscore.Digest) (Answer, error)
 }
 
-// Peers asks peers over net/rpc.
+// Peers fetches the lists of peers over net/rpc.
 type Peers struct{ pool *ggsrpc.Pool }
 
 var _ PeerLister = (*Peers)(nil)
@@ -58,7 +59,7 @@
 // NewService returns the net/rpc service of f.
 func NewService(f *Follower) *Service { return &Service{follower: f} }
 
-// List answers a peer.
+// List implements the net/rpc method VMs.List.
 func (s *Service) List(a *ListArgs, r *ListReply) error {
 	n := s.follower.answer(a.Digest)
 	r.Known, r.Same, r.Age = n.Known, n.Same, n.Age
@@ -69,18 +70,18 @@
 	return nil
 }
 
-// ListArgs names the list that the caller has. It is exported, as the types
-// below, since net/rpc asks for it.
+// ListArgs has the digest of the caller's list. It and the types below are exported because
+// net/rpc requires it.
 type ListArgs struct{ Digest [sha256.Size]byte }
 
-// ListReply is an Answer's wire form.
+// ListReply is the wire form of an Answer.
 type ListReply struct {
 	Known, Same bool
 	Age         time.Duration
 	VMs         []VMWire
 }
 
-// VMWire is a VM's wire form.
+// VMWire is the wire form of a VM.
 type VMWire struct {
 	ID, Region, Domain, Service string
 	Role, State                 int
@@ -101,7 +102,7 @@
 	}
 }
 
-// digestOf is a digest of all that a list says.
+// digestOf returns a digest of all fields of the listed VMs.
 func digestOf(vms []ggscore.VM) ggscore.Digest {
 	h := sha256.New()
 	for i := range vms {
--- a/io/ggsvms/vms.go
+++ b/io/ggsvms/vms.go
@@ -1,4 +1,4 @@
-// Package ggsvms follows the platform's lagging list of VMs.
+// Package ggsvms keeps a copy of the platform's list of VMs, which lags behind the VMs' state.
 //
 // # Usage
 //
@@ -8,16 +8,18 @@
 //	err := server.Register(ggsvms.ServiceName, ggsvms.NewService(f))
 //	err = f.Run(ctx)
 //
-// The list of the design size has hundreds of kilobytes, and each reading is a
-// call of the platform. A few VMs of each failure domain read it; the others
-// ask those, with the digest of what they have, and are sent a list only if it
-// differs. A list comes with its age, and the younger one wins, so that no old
-// list comes back from a peer. A process that starts while the platform is away
-// has the list from its peers; without any, the last list stays in force.
+// At the design size, the list has hundreds of kilobytes, and each reading is a call to the
+// platform. Therefore only a few VMs of each failure domain, the readers, read the list from the
+// platform. The others request it from the readers with the digest of their own list, and receive
+// a list only if its digest differs.
+//
+// Each list has an age, and the younger list is kept, so that a peer can't replace a list by an
+// older one. A process that starts while the platform is unreachable gets the list from its peers.
+// If neither the platform nor a peer answers, the last list stays in use.
 //
 // # Locks
 //
-// Follower.mu is a leaf: nothing is called out under it.
+// Follower.mu is a leaf lock: no subscriber, membership or peer is called while it is held.
 package ggsvms
 
 import (
@@ -34,31 +36,31 @@
 
 const (
 	callTimeout = 2 * time.Second
-	// farAsks is the share of rounds, one in so many, in which a process asks
-	// any member instead of one that reads the platform's list.
-	farAsks = 4
-	// oldIntervals is the age, in intervals, of an old list; oldReads is the
-	// share of rounds, one in so many, in which its holder reads it.
-	oldIntervals = 10
-	oldReads     = 4
+	// In one of anyPeerRounds rounds, a process queries any member instead of a reader.
+	anyPeerRounds = 4
+	// A list is stale after staleIntervals intervals. In one of staleReadRounds rounds, a process
+	// with a stale list reads the platform's list itself.
+	staleIntervals  = 10
+	staleReadRounds = 4
 )
 
-// Options sets a Follower's times.
+// Options configures a Follower.
 type Options struct {
 	// Interval is the mean time between two readings.
 	Interval time.Duration
 }
 
-// A Membership says who reads the platform's list and whom to ask for it.
+// A Membership determines which processes read the platform's list and which peers to query.
 type Membership interface {
 	// Reads reports whether this process reads the platform's list.
 	Reads() bool
-	// Readers returns those of its domain that do, Others all the rest.
+	// Readers returns the peers of the own failure domain that read the platform's list. Others
+	// returns all other peers.
 	Readers() []Peer
 	Others() []Peer
 }
 
-// A Follower keeps the latest list.
+// A Follower keeps the latest list. It is safe for concurrent use.
 type Follower struct {
 	lister  ggscore.VMLister
 	peers   PeerLister
@@ -66,18 +68,19 @@
 	clock   func() time.Time
 	log     log.Logger
 
-	mu      sync.Mutex
-	members Membership
-	list    list
-	away    bool
-	notify  []func([]ggscore.VM)
+	mu                  sync.Mutex
+	members             Membership
+	list                list
+	platformUnreachable bool
+	subscribers         []func([]ggscore.VM)
 }
 
 // A list is one reading of the platform's list.
 type list struct {
 	vms    []ggscore.VM
 	digest ggscore.Digest
-	// read is when the platform was asked, by the own clock; zero means never.
+	// read is the time by the own clock at which the list was requested from the platform. It is
+	// zero if there is no list yet.
 	read time.Time
 }
 
@@ -86,21 +89,21 @@
 	return &Follower{lister: l, peers: p, options: o, clock: clock, log: k}
 }
 
-// List returns the latest list; known is false until there was one.
+// List returns the latest list. known is false if there is no list yet.
 func (f *Follower) List() (vms []ggscore.VM, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.list.vms, !f.list.read.IsZero()
 }
 
-// Run follows the list until the context ends.
+// Run updates the list at each interval until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for round := 0; ctx.Err() == nil; round++ {
 		if !f.read(ctx) {
-			f.ask(ctx, round)
+			f.queryPeer(ctx, round)
 		}
-		// The interval is spread so that processes that started together
-		// don't read together.
+		// The interval is randomized so that processes that started at the same time don't read
+		// at the same time.
 		t := time.NewTimer(f.options.Interval/2 + rand.N(f.options.Interval))
 		select {
 		case <-ctx.Done():
@@ -111,27 +114,26 @@
 	return nil
 }
 
-// SetMembers says who reads the platform's list. It is called before Run.
+// SetMembers sets the membership. It must be called before Run.
 func (f *Follower) SetMembers(m Membership) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members = m
 }
 
-// Subscribe calls back with each list that differs from the one before. It is
+// Subscribe registers a callback for each list that differs from the previous one. It must be
 // called before Run.
-func (f *Follower) Subscribe(notify func([]ggscore.VM)) {
+func (f *Follower) Subscribe(callback func([]ggscore.VM)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.notify = append(f.notify, notify)
+	f.subscribers = append(f.subscribers, callback)
 }
 
-// adopt takes a list if it is younger than the own one.
+// adopt replaces the own list if n was read later.
 //
-// A peer that is cut off from the platform goes on serving what it read last.
-// Taken as news, its list would show as live a VM that has been leaving for
-// long, which would get new work. What was read earlier than the own list is
-// therefore not taken, whoever serves it.
+// A peer that can't reach the platform continues to serve the list that it last read. In such a
+// list, a VM that has been leaving for long may still be live, and would get new work. A list that
+// was read earlier than the own list is therefore ignored, whichever peer serves it.
 func (f *Follower) adopt(n list) {
 	f.mu.Lock()
 	if !n.read.After(f.list.read) {
@@ -140,47 +142,48 @@
 	}
 	same := !f.list.read.IsZero() && n.digest == f.list.digest
 	f.list = n
-	notify := f.notify
+	subscribers := f.subscribers
 	f.mu.Unlock()
 	if same {
 		return
 	}
-	for _, c := range notify {
+	for _, c := range subscribers {
 		c(n.vms)
 	}
 }
 
-// ask asks a peer: mostly one that reads the platform's list, now and then
-// another, through which a domain that is cut off from the platform follows.
-func (f *Follower) ask(ctx context.Context, round int) {
+// queryPeer requests the list from a random peer, usually a reader. In some rounds it selects any
+// peer, so that a failure domain that can't reach the platform still gets new lists. It also does so
+// while there is no list yet or no reader is known.
+func (f *Follower) queryPeer(ctx context.Context, round int) {
 	f.mu.Lock()
-	m, have := f.members, f.list
+	m, current := f.members, f.list
 	f.mu.Unlock()
 	if m == nil {
 		return
 	}
-	some := m.Readers()
-	if len(some) == 0 || round%farAsks == farAsks-1 || have.read.IsZero() {
-		some = append(some, m.Others()...)
+	candidates := m.Readers()
+	if len(candidates) == 0 || round%anyPeerRounds == anyPeerRounds-1 || current.read.IsZero() {
+		candidates = append(candidates, m.Others()...)
 	}
-	if len(some) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := f.clock()
-	a, err := f.peers.VMs(ctx, some[rand.IntN(len(some))], have.digest)
+	requestedAt := f.clock()
+	a, err := f.peers.VMs(ctx, candidates[rand.IntN(len(candidates))], current.digest)
 	if err != nil || !a.Known {
 		return
 	}
-	n := list{vms: a.VMs, digest: digestOf(a.VMs), read: asked.Add(-a.Age)}
+	n := list{vms: a.VMs, digest: digestOf(a.VMs), read: requestedAt.Add(-a.Age)}
 	if a.Same {
-		n.vms, n.digest = have.vms, have.digest
+		n.vms, n.digest = current.vms, current.digest
 	}
 	f.adopt(n)
 }
 
-// answer serves a peer.
+// answer returns the answer to a peer whose list has the digest d.
 func (f *Follower) answer(d ggscore.Digest) Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,46 +197,45 @@
 	return a
 }
 
-// read reads the platform's list where this process is to; it reports whether
-// it did.
+// read reads the platform's list if this process should. It reports whether it has read the list.
 func (f *Follower) read(ctx context.Context) bool {
-	if f.lister == nil || !f.reads() {
+	if f.lister == nil || !f.shouldRead() {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	asked := f.clock()
+	requestedAt := f.clock()
 	vms, err := f.lister.ListVMs(ctx)
-	f.noteAway(ctx, err)
+	f.recordReachability(ctx, err)
 	if err != nil {
 		return false
 	}
-	f.adopt(list{vms: vms, digest: digestOf(vms), read: asked})
+	f.adopt(list{vms: vms, digest: digestOf(vms), read: requestedAt})
 	return true
 }
 
-// reads reports whether this process reads the platform's list now.
+// shouldRead reports whether this process reads the platform's list in this round.
 //
-// A process that knows no VM knows nobody to ask either. And who reads is each
-// process's own view of the members: if views differ, it may be nobody, and all
-// would keep an old list for ever. One whose list has grown old therefore reads
-// it now and then itself.
-func (f *Follower) reads() bool {
+// A process without any listed VM knows no peer to query, so it reads the list itself. Each process
+// determines the readers by its own view of the members. If the views differ, there may be no
+// reader, and all processes would keep a stale list forever. A process with a stale list therefore
+// reads the platform's list itself in some rounds.
+func (f *Follower) shouldRead() bool {
 	f.mu.Lock()
-	m, have := f.members, f.list
+	m, current := f.members, f.list
 	f.mu.Unlock()
-	if m == nil || len(have.vms) == 0 {
+	if m == nil || len(current.vms) == 0 {
 		return true
 	}
-	old := f.clock().Sub(have.read) > oldIntervals*f.options.Interval
-	return m.Reads() || (old && rand.IntN(oldReads) == 0)
+	stale := f.clock().Sub(current.read) > staleIntervals*f.options.Interval
+	return m.Reads() || (stale && rand.IntN(staleReadRounds) == 0)
 }
 
-func (f *Follower) noteAway(ctx context.Context, err error) {
+func (f *Follower) recordReachability(ctx context.Context, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if away := err != nil; f.away != away && ctx.Err() == nil {
-		f.away = away
-		_ = level.Info(f.log).Log("event", "vmListReached", "reached", !away)
+	if unreachable := err != nil; f.platformUnreachable != unreachable && ctx.Err() == nil {
+		f.platformUnreachable = unreachable
+		_ = level.Info(f.log).Log("event", "vmListReached", "reached", !unreachable)
 	}
 }
--- a/io/ggsvms/vms_test.go
+++ b/io/ggsvms/vms_test.go
@@ -12,29 +12,29 @@
 	ggscore "greengageslip/core"
 )
 
-// A platform is a list of VMs that may be away.
+// A platform serves a list of VMs. It counts the readings and can be unreachable.
 type platform struct {
-	vms  []ggscore.VM
-	away bool
-	read int
+	vms         []ggscore.VM
+	unreachable bool
+	reads       int
 }
 
 func (p *platform) ListVMs(context.Context) ([]ggscore.VM, error) {
-	p.read++
-	if p.away {
+	p.reads++
+	if p.unreachable {
 		return nil, &ggscore.StoreUnavailableError{}
 	}
 	return p.vms, nil
 }
 
-// A direct asks followers without a network.
-type direct map[Peer]*Follower
+// directPeers queries followers without a network.
+type directPeers map[Peer]*Follower
 
-func (d direct) VMs(_ context.Context, p Peer, g ggscore.Digest) (Answer, error) {
+func (d directPeers) VMs(_ context.Context, p Peer, g ggscore.Digest) (Answer, error) {
 	return d[p].answer(g), nil
 }
 
-// A membership asks its follower for the list, as the programs' do.
+// A membership calls its follower's List, as the memberships of the programs do.
 type membership struct {
 	follower *Follower
 	reads    bool
@@ -49,23 +49,23 @@
 func (m membership) Readers() []Peer { return []Peer{m.reader} }
 func (m membership) Others() []Peer  { return nil }
 
-// A world is a reader and a follower that asks it.
-type world struct {
+// A fixture has a reader, and a querier that requests the list from the reader.
+type fixture struct {
 	now      time.Time
 	platform *platform
 	reader   *Follower
-	asker    *Follower
+	querier  *Follower
 }
 
-func newWorld() *world {
-	w := &world{now: time.Unix(1000, 0), platform: &platform{vms: []ggscore.VM{{ID: "a"}}}}
+func newFixture() *fixture {
+	w := &fixture{now: time.Unix(1000, 0), platform: &platform{vms: []ggscore.VM{{ID: "a"}}}}
 	clock := func() time.Time { return w.now }
 	addr := netip.MustParseAddrPort("127.0.0.1:1")
-	peers := direct{}
+	peers := directPeers{}
 	w.reader = New(w.platform, peers, Options{Interval: time.Second}, clock, log.NewNopLogger())
 	w.reader.SetMembers(membership{follower: w.reader, reads: true, reader: addr})
-	w.asker = New(w.platform, peers, Options{Interval: time.Second}, clock, log.NewNopLogger())
-	w.asker.SetMembers(membership{follower: w.asker, reader: addr})
+	w.querier = New(w.platform, peers, Options{Interval: time.Second}, clock, log.NewNopLogger())
+	w.querier.SetMembers(membership{follower: w.querier, reader: addr})
 	peers[addr] = w.reader
 	return w
 }
@@ -78,93 +78,93 @@
 	return vms[0].ID
 }
 
-// A VM that started while the platform was away had no list, so that it served
-// nothing, although its peers knew all VMs.
+// Guards against a VM that serves nothing for lack of a list: it starts while the platform is
+// unreachable, although its peers have the list.
 func TestListComesFromPeers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld()
+	w := newFixture()
 	ctx := context.Background()
 	c.Assert(w.reader.read(ctx), qt.IsTrue)
-	w.platform.away = true
-	c.Assert(w.asker.read(ctx), qt.IsFalse)
-	w.asker.ask(ctx, 0)
-	c.Assert(idOf(w.asker), qt.Equals, ggscore.VMID("a"))
+	w.platform.unreachable = true
+	c.Assert(w.querier.read(ctx), qt.IsFalse)
+	w.querier.queryPeer(ctx, 0)
+	c.Assert(idOf(w.querier), qt.Equals, ggscore.VMID("a"))
 }
 
-// Each of hundreds of processes read the whole list from the platform every
-// second, which took most of the calls that it allows.
+// Guards against exhausting the platform's rate limit: if each of hundreds of processes reads the
+// whole list every second, this takes most of the allowed calls.
 func TestOnlyReadersCallThePlatform(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld()
+	w := newFixture()
 	ctx := context.Background()
 	c.Assert(w.reader.read(ctx), qt.IsTrue)
-	w.asker.ask(ctx, 0)
+	w.querier.queryPeer(ctx, 0)
 	for range 5 {
-		c.Assert(w.asker.read(ctx), qt.IsFalse)
-		w.asker.ask(ctx, 0)
+		c.Assert(w.querier.read(ctx), qt.IsFalse)
+		w.querier.queryPeer(ctx, 0)
 	}
-	c.Assert(w.platform.read, qt.Equals, 1)
+	c.Assert(w.platform.reads, qt.Equals, 1)
 }
 
-// A VM that had been leaving for long got new work again: a peer that was cut
-// off from the platform served the list that it had read before.
-func TestOlderListIsNotTaken(t *testing.T) {
+// Guards against new work for a VM that has been leaving for long: a peer that can't reach the
+// platform serves the list that it read earlier.
+func TestOlderListIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld()
+	w := newFixture()
 	ctx := context.Background()
 	c.Assert(w.reader.read(ctx), qt.IsTrue)
 	w.now = w.now.Add(time.Minute)
 	w.platform.vms = []ggscore.VM{{ID: "b"}}
-	c.Assert(w.asker.read(ctx), qt.IsTrue)
-	w.asker.ask(ctx, 0)
-	c.Assert(idOf(w.asker), qt.Equals, ggscore.VMID("b"))
+	c.Assert(w.querier.read(ctx), qt.IsTrue)
+	w.querier.queryPeer(ctx, 0)
+	c.Assert(idOf(w.querier), qt.Equals, ggscore.VMID("b"))
 
 	w.now = w.now.Add(time.Minute)
 	w.platform.vms = []ggscore.VM{{ID: "c"}}
 	c.Assert(w.reader.read(ctx), qt.IsTrue)
-	w.asker.ask(ctx, 0)
-	c.Assert(idOf(w.asker), qt.Equals, ggscore.VMID("c"))
+	w.querier.queryPeer(ctx, 0)
+	c.Assert(idOf(w.querier), qt.Equals, ggscore.VMID("c"))
 }
 
-// The list that a platform gave at its start was empty. Its readers knew nobody
-// then, each took another for the reader, and the deployment stayed empty.
-func TestEmptyOrOldListIsReadAgain(t *testing.T) {
+// Guards against a deployment that stays empty: the platform's first list is empty, so that no
+// process knows a peer to query, and later each process takes others for the readers.
+func TestEmptyOrStaleListIsReread(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld()
+	w := newFixture()
 	ctx := context.Background()
 	w.platform.vms = nil
-	c.Assert(w.asker.read(ctx), qt.IsTrue)
+	c.Assert(w.querier.read(ctx), qt.IsTrue)
 	w.now = w.now.Add(time.Second)
 	w.platform.vms = []ggscore.VM{{ID: "a"}}
-	c.Assert(w.asker.read(ctx), qt.IsTrue)
-	c.Assert(idOf(w.asker), qt.Equals, ggscore.VMID("a"))
+	c.Assert(w.querier.read(ctx), qt.IsTrue)
+	c.Assert(idOf(w.querier), qt.Equals, ggscore.VMID("a"))
 
-	// Later nobody reads, since all take others for the readers.
+	// No process is a reader, because each takes others for the readers.
 	w.now = w.now.Add(time.Hour)
 	w.platform.vms = []ggscore.VM{{ID: "b"}}
 	for range 1000 {
-		if w.asker.read(ctx) {
+		if w.querier.read(ctx) {
 			break
 		}
 	}
-	c.Assert(idOf(w.asker), qt.Equals, ggscore.VMID("b"))
+	c.Assert(idOf(w.querier), qt.Equals, ggscore.VMID("b"))
 }
 
-func TestSubscribersHearOfChangesOnly(t *testing.T) {
+func TestSubscribersAreNotifiedOfChangesOnly(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld()
-	var heard []ggscore.VMID
-	w.asker.Subscribe(func(vms []ggscore.VM) { heard = append(heard, vms[0].ID) })
+	w := newFixture()
+	var received []ggscore.VMID
+	w.querier.Subscribe(func(vms []ggscore.VM) { received = append(received, vms[0].ID) })
 	for _, id := range []ggscore.VMID{"a", "a", "b"} {
 		w.now = w.now.Add(time.Second)
 		w.platform.vms = []ggscore.VM{{ID: id}}
 		c.Assert(w.reader.read(context.Background()), qt.IsTrue)
-		w.asker.ask(context.Background(), 0)
+		w.querier.queryPeer(context.Background(), 0)
 	}
-	c.Assert(heard, qt.DeepEquals, []ggscore.VMID{"a", "b"})
+	c.Assert(received, qt.DeepEquals, []ggscore.VMID{"a", "b"})
 }
