--- a/io/ggspeer/bench_test.go
+++ b/io/ggspeer/bench_test.go
@@ -11,8 +11,8 @@
 	"greengageslip/core/ggsrelay"
 )
 
-// fleetSummary returns a relay's summary of all domains, for vms VMs with requests at endpoints
-// endpoints.
+// fleetSummary returns a relay's summary of all domains, with the given numbers of VMs and of
+// endpoints that process requests.
 func fleetSummary(vms, endpoints int) ggscore.Summary {
 	s := ggscore.Summary{From: "front-domain-a-1@10.0.0.1", Domain: "domain-a", Fleet: true, Sequence: 1000, Started: 1 << 60, LiveWhole: true}
 	const domains = 6
