--- a/io/ggsheartbeat/codec.go
+++ b/io/ggsheartbeat/codec.go
@@ -98,8 +98,8 @@
 	return h, nil
 }
 
-// domainHash returns a short identifier of a domain. It is compared to reject datagrams sent to
-// a wrong domain, which are rare, so 32 bits suffice.
+// domainHash returns a short identifier of a domain. Receivers compare it to reject datagrams that
+// were sent to a wrong domain. Such datagrams are rare, so 32 bits suffice.
 func domainHash(d ggscore.Domain) uint32 { return uint32(xxhash.Sum64String(string(d))) }
 
 type decoder struct {
--- a/io/ggsheartbeat/server.go
+++ b/io/ggsheartbeat/server.go
@@ -32,8 +32,8 @@
 	return Options{Domain: d, Limits: ggsmember.DefaultLimits(), Gap: 100 * time.Millisecond}
 }
 
-// Stats counts the datagrams that a Server sent, received and rejected since it
-// started. Byte counts exclude the headers of IP and UDP.
+// Stats counts the datagrams that a Server sent, received and rejected since it started. Byte
+// counts exclude the headers of IP and UDP.
 type Stats struct {
 	Sent          uint64
 	SentBytes     uint64
