--- a/io/ggsexchange/pool.go
+++ b/io/ggsexchange/pool.go
@@ -15,8 +15,8 @@
 
 // Defaults of Options.
 const (
-	// DefaultDialTimeout covers two opening packets between regions and a margin. An
-	// endpoint that hasn't accepted a connection by then is down or unreachable.
+	// DefaultDialTimeout covers two opening packets between regions and a margin. An endpoint
+	// that hasn't accepted a connection by then is down or unreachable.
 	DefaultDialTimeout = 600 * time.Millisecond
 	// DefaultIdle is how long an idle connection is kept if the endpoint doesn't announce its own
 	// timeout.
@@ -64,8 +64,8 @@
 	dials int64
 }
 
-// hostConns are the connections to one address. open counts those in use and the idle ones. It is
-// guarded by Pool.mu.
+// hostConns are the connections to one address, guarded by Pool.mu. open counts the connections in
+// use and the idle ones.
 type hostConns struct {
 	idle []*conn
 	open int
