--- a/io/ggsconn/transport.go
+++ b/io/ggsconn/transport.go
@@ -58,7 +58,7 @@
 const maxHeaderBytes = 64 << 10
 
 // NewClient returns a client that uses the transport. The client doesn't follow redirects, because
-// they would send a request to an address that isn't configured.
+// they would send a request to an address that the caller didn't choose.
 func NewClient(t *http.Transport) *http.Client {
 	return &http.Client{
 		Transport: t,
