--- a/io/ggsrpc/server.go
+++ b/io/ggsrpc/server.go
@@ -25,7 +25,8 @@
 }
 
 // Serve answers calls until the context ends. It then closes the listener and all connections, and
-// returns nil when all connections have ended.
+// returns nil when all connections have ended. If accepting a connection fails, Serve closes all
+// connections and returns the error.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() {
 		_ = l.Close()
