--- a/cmd/ggsnode/readers.go
+++ b/cmd/ggsnode/readers.go
@@ -35,8 +35,8 @@
 	return r.peers(func(m ggsconfig.Member) bool { return slices.Contains(first, m.VM) })
 }
 
-// Reads implements ggsvms.Membership.
-func (r *readers) Reads() bool {
+// IsReader implements ggsvms.Membership.
+func (r *readers) IsReader() bool {
 	return !r.role.peersOnly && slices.Contains(r.first(), r.node.VM)
 }
 
--- a/io/ggsconn/errors.go
+++ b/io/ggsconn/errors.go
@@ -8,10 +8,10 @@
 	return "write rejected: the connection was sealed after its request was abandoned"
 }
 
-// A SilentError says that a call was cancelled because no bytes arrived within the timeout.
-type SilentError struct{}
+// A IdleTimeoutError says that a call was cancelled because no bytes arrived within the timeout.
+type IdleTimeoutError struct{}
 
 // Error implements error.
-func (e *SilentError) Error() string {
+func (e *IdleTimeoutError) Error() string {
 	return "call cancelled: the peer sent no bytes within the timeout"
 }
--- a/io/ggsconn/flight.go
+++ b/io/ggsconn/flight.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// A Flight tracks the connections that one request uses. It is safe for concurrent use.
-type Flight struct {
+// A RequestTracker tracks the connections that one request uses. It is safe for concurrent use.
+type RequestTracker struct {
 	mu    sync.Mutex
 	conns []*conn
 	// untracked says that the request used a connection that isn't of this package.
@@ -17,8 +17,8 @@
 }
 
 // Track returns a context for one request and the Flight that tracks it.
-func Track(ctx context.Context) (context.Context, *Flight) {
-	f := &Flight{}
+func Track(ctx context.Context) (context.Context, *RequestTracker) {
+	f := &RequestTracker{}
 	t := &httptrace.ClientTrace{GotConn: f.gotConn}
 	return httptrace.WithClientTrace(ctx, t), f
 }
@@ -33,7 +33,7 @@
 
 // NothingWritten reports whether no byte of the request was written, nor will be. It must be called
 // only after the request failed, because it blocks further writes to the request's connections.
-func (f *Flight) NothingWritten() bool {
+func (f *RequestTracker) NothingWritten() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	none := !f.untracked
@@ -47,7 +47,7 @@
 
 // Received returns the number of bytes received on the request's connections, including the bytes
 // of earlier requests.
-func (f *Flight) Received() int64 {
+func (f *RequestTracker) Received() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var n int64
@@ -57,7 +57,7 @@
 	return n
 }
 
-func (f *Flight) gotConn(i httptrace.GotConnInfo) {
+func (f *RequestTracker) gotConn(i httptrace.GotConnInfo) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c, ok := i.Conn.(*conn)
--- a/io/ggsconn/flight_test.go
+++ b/io/ggsconn/flight_test.go
@@ -35,7 +35,7 @@
 	c := qt.New(t)
 	s := &sink{}
 	n := &conn{Conn: s}
-	f := &Flight{}
+	f := &RequestTracker{}
 	f.gotConn(httptrace.GotConnInfo{Conn: n})
 	c.Assert(f.NothingWritten(), qt.IsTrue)
 
@@ -51,16 +51,16 @@
 	t.Parallel()
 	c := qt.New(t)
 	n := &conn{Conn: &sink{}}
-	first := &Flight{}
+	first := &RequestTracker{}
 	first.gotConn(httptrace.GotConnInfo{Conn: n})
 	_, err := n.Write([]byte("POST"))
 	c.Assert(err, qt.IsNil)
 
-	second := &Flight{}
+	second := &RequestTracker{}
 	second.gotConn(httptrace.GotConnInfo{Conn: n, Reused: true})
 	c.Assert(second.NothingWritten(), qt.IsTrue)
 
-	third := &Flight{}
+	third := &RequestTracker{}
 	for range 2 {
 		other := &conn{Conn: &sink{}}
 		third.gotConn(httptrace.GotConnInfo{Conn: other})
@@ -71,7 +71,7 @@
 	}
 	c.Assert(third.NothingWritten(), qt.IsFalse)
 
-	untracked := &Flight{}
+	untracked := &RequestTracker{}
 	untracked.gotConn(httptrace.GotConnInfo{Conn: &sink{}})
 	c.Assert(untracked.NothingWritten(), qt.IsFalse)
 }
--- a/io/ggsconn/transport.go
+++ b/io/ggsconn/transport.go
@@ -18,8 +18,8 @@
 	MaxConns int
 	// MaxIdle bounds the idle connections to one address.
 	MaxIdle int
-	// Fresh opens a new connection for each request.
-	Fresh bool
+	// DisableReuse opens a new connection for each request.
+	DisableReuse bool
 }
 
 // DefaultOptions returns the options for calls to one external system.
@@ -46,7 +46,7 @@
 			return &conn{Conn: c}, nil
 		},
 		DisableCompression:     true,
-		DisableKeepAlives:      o.Fresh,
+		DisableKeepAlives:      o.DisableReuse,
 		IdleConnTimeout:        o.IdleTimeout,
 		MaxConnsPerHost:        o.MaxConns,
 		MaxIdleConnsPerHost:    o.MaxIdle,
--- a/io/ggsconn/watchdog.go
+++ b/io/ggsconn/watchdog.go
@@ -36,7 +36,7 @@
 // Explain returns a *SilentError if the watchdog has cancelled the call, and err otherwise.
 func (w *Watchdog) Explain(err error) error {
 	if w.fired.Load() {
-		return &SilentError{}
+		return &IdleTimeoutError{}
 	}
 	return err
 }
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -242,7 +242,7 @@
 	}
 	for _, g := range change.Gone {
 		_ = level.Info(e.Log).Log("event", ggslog.EventEndpointGone, "endpoint", g.ID, "addr", g.Addr)
-		e.Pool.Forget(g.Addr)
+		e.Pool.CloseIdle(g.Addr)
 		e.mu.Lock()
 		e.turns.Remove(g.ID)
 		e.limits.Remove(g.ID)
--- a/io/ggsedge/operators.go
+++ b/io/ggsedge/operators.go
@@ -169,7 +169,7 @@
 
 // watchStalled waits until a peer has announced a newer change and the watch has then received
 // nothing for ggsgossip.WatchGrace. It returns false if the context ends first.
-func (e *Edge) watchStalled(ctx context.Context, f *ggsconn.Flight) bool {
+func (e *Edge) watchStalled(ctx context.Context, f *ggsconn.RequestTracker) bool {
 	for {
 		select {
 		case <-e.operatorsNotified:
--- a/io/ggsedge/placement.go
+++ b/io/ggsedge/placement.go
@@ -71,7 +71,7 @@
 		// stalled. If the stalled connection were kept, each load would wait in vain for as long
 		// as it stayed open.
 		if ctx.Err() != nil {
-			e.Calls.Forget(p.controlAddr)
+			e.Calls.CloseConn(p.controlAddr)
 		}
 	default:
 		g.err = &NoOwnerError{Endpoint: l.endpoint}
--- a/io/ggsedge/turns.go
+++ b/io/ggsedge/turns.go
@@ -88,7 +88,7 @@
 	announced := e.turns.Announces(e.Now(), j.turn)
 	e.mu.Unlock()
 	if announced {
-		e.announceTurn(j.turn, ggspeer.Notice{Unused: true})
+		e.announceTurn(j.turn, ggspeer.Notice{Withdrawn: true})
 	}
 	j.turn = ggscore.PromptTurn{}
 }
@@ -131,7 +131,7 @@
 	t := ggscore.PromptTurn{
 		VM: n.VM, Number: n.Number, Service: n.Service, Endpoint: n.Endpoint, Begin: now.Add(n.Wait), Tokens: n.Tokens,
 	}
-	if n.Unused {
+	if n.Withdrawn {
 		e.turns.Drop(t)
 		return
 	}
--- a/io/ggsengine/client.go
+++ b/io/ggsengine/client.go
@@ -70,7 +70,7 @@
 	control.MaxIdle = maxIdleControlConns
 	o.MaxConns = s.MaxConns
 	fresh := o
-	fresh.Fresh = true
+	fresh.DisableReuse = true
 	return &Client{
 		settings: s,
 		reusing:  ggsconn.NewClient(ggsconn.NewTransport(o)),
--- a/io/ggsengine/errors.go
+++ b/io/ggsengine/errors.go
@@ -61,11 +61,11 @@
 	return fmt.Sprintf("stream event exceeds %d bytes", e.LimitBytes)
 }
 
-// A SilenceTimeoutError says that an endpoint sent no byte for Settings.SilenceTimeout.
-type SilenceTimeoutError struct{}
+// A IdleTimeoutError says that an endpoint sent no byte for Settings.SilenceTimeout.
+type IdleTimeoutError struct{}
 
 // Error implements error.
-func (e *SilenceTimeoutError) Error() string {
+func (e *IdleTimeoutError) Error() string {
 	return "endpoint sent no data within the silence timeout"
 }
 
--- a/io/ggsengine/exchange.go
+++ b/io/ggsengine/exchange.go
@@ -29,7 +29,7 @@
 func (c *Client) exchange(ctx context.Context, x *exchange) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silenceTimer := time.AfterFunc(c.settings.SilenceTimeout, func() { cancel(&SilenceTimeoutError{}) })
+	silenceTimer := time.AfterFunc(c.settings.SilenceTimeout, func() { cancel(&IdleTimeoutError{}) })
 	defer silenceTimer.Stop()
 	tracked, flight := ggsconn.Track(ctx)
 	req, err := x.newRequest(tracked)
@@ -62,7 +62,7 @@
 		kind = ggscore.FailureEndpoint
 	}
 	if cause := context.Cause(ctx); cause != nil {
-		var silenceErr *SilenceTimeoutError
+		var silenceErr *IdleTimeoutError
 		if !errors.As(cause, &silenceErr) {
 			kind = ggscore.FailureCancelled
 		}
--- a/io/ggsengine/fault_test.go
+++ b/io/ggsengine/fault_test.go
@@ -369,7 +369,7 @@
 	})
 	assertFailure(c, err, expectedFailure{false, ggscore.FailureBroken})
 	c.Assert(len(got.chunks) > 0, qt.IsTrue)
-	var silenceErr *ggsengine.SilenceTimeoutError
+	var silenceErr *ggsengine.IdleTimeoutError
 	c.Assert(err, qt.ErrorAs, &silenceErr)
 }
 
--- a/io/ggsexchange/errors.go
+++ b/io/ggsexchange/errors.go
@@ -26,13 +26,13 @@
 	return fmt.Sprintf("reading answer: head is longer than %d bytes", e.Limit)
 }
 
-// A ForeignAnswersError says that an endpoint sent only answers with the IDs of other requests.
-type ForeignAnswersError struct {
+// A MismatchedAnswersError says that an endpoint sent only answers with the IDs of other requests.
+type MismatchedAnswersError struct {
 	Want ggscore.RequestID
 	Got  ggscore.RequestID
 }
 
 // Error implements error.
-func (e *ForeignAnswersError) Error() string {
+func (e *MismatchedAnswersError) Error() string {
 	return fmt.Sprintf("reading answer: got the answer to request %q, want %q", e.Got, e.Want)
 }
--- a/io/ggsexchange/exchange.go
+++ b/io/ggsexchange/exchange.go
@@ -129,10 +129,10 @@
 			return p.answer(c, resp), nil
 		}
 		if _, err := io.CopyN(io.Discard, resp.Body, maxMismatchedBytes); !errors.Is(err, io.EOF) {
-			return nil, &ForeignAnswersError{Want: r.ID, Got: got}
+			return nil, &MismatchedAnswersError{Want: r.ID, Got: got}
 		}
 	}
-	return nil, &ForeignAnswersError{Want: r.ID, Got: got}
+	return nil, &MismatchedAnswersError{Want: r.ID, Got: got}
 }
 
 func (p *Pool) answer(c *conn, resp *http.Response) *Answer {
@@ -172,10 +172,10 @@
 			continue
 		}
 		if n, err := strconv.Atoi(value); err == nil && n >= 0 {
-			return min(time.Duration(n)*time.Second-idleMargin, a.pool.options.Idle)
+			return min(time.Duration(n)*time.Second-idleMargin, a.pool.options.IdleTimeout)
 		}
 	}
-	return a.pool.options.Idle
+	return a.pool.options.IdleTimeout
 }
 
 // An eofReader marks the answer as complete at the end of its body.
--- a/io/ggsexchange/pool.go
+++ b/io/ggsexchange/pool.go
@@ -18,9 +18,9 @@
 	// DefaultDialTimeout covers two opening packets between regions and a margin. An endpoint
 	// that hasn't accepted a connection by then is down or unreachable.
 	DefaultDialTimeout = 600 * time.Millisecond
-	// DefaultIdle is how long an idle connection is kept if the endpoint doesn't announce its own
+	// DefaultIdleTimeout is how long an idle connection is kept if the endpoint doesn't announce its own
 	// timeout.
-	DefaultIdle = 20 * time.Second
+	DefaultIdleTimeout = 20 * time.Second
 	// DefaultBufferBytes fits the heads of most answers and the events of a stream.
 	DefaultBufferBytes = 4 << 10
 )
@@ -47,7 +47,7 @@
 // Options configures a Pool. Zero fields take their defaults. Now is required.
 type Options struct {
 	DialTimeout time.Duration
-	Idle        time.Duration
+	IdleTimeout time.Duration
 	BufferBytes int
 	// Now is the clock for the idle timeouts.
 	Now func() time.Time
@@ -84,7 +84,7 @@
 // NewPool returns a pool without connections.
 func NewPool(o Options) *Pool {
 	o.DialTimeout = cmp.Or(o.DialTimeout, DefaultDialTimeout)
-	o.Idle = cmp.Or(o.Idle, DefaultIdle)
+	o.IdleTimeout = cmp.Or(o.IdleTimeout, DefaultIdleTimeout)
 	o.BufferBytes = cmp.Or(o.BufferBytes, DefaultBufferBytes)
 	p := &Pool{options: o, hosts: map[netip.AddrPort]*hostConns{}}
 	p.dialer = net.Dialer{
@@ -116,8 +116,8 @@
 	return p.dials
 }
 
-// Forget closes the idle connections to the address of an endpoint that no longer exists.
-func (p *Pool) Forget(addr netip.AddrPort) {
+// CloseIdle closes the idle connections to the address of an endpoint that no longer exists.
+func (p *Pool) CloseIdle(addr netip.AddrPort) {
 	p.mu.Lock()
 	h := p.hosts[addr]
 	if h == nil {
@@ -136,8 +136,8 @@
 	}
 }
 
-// Open returns the number of open connections to an address, idle ones included.
-func (p *Pool) Open(addr netip.AddrPort) int {
+// OpenConns returns the number of open connections to an address, idle ones included.
+func (p *Pool) OpenConns(addr netip.AddrPort) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[addr]; h != nil {
--- a/io/ggsexchange/pool_test.go
+++ b/io/ggsexchange/pool_test.go
@@ -158,7 +158,7 @@
 	c := qt.New(t)
 	s := serve(t, func(int, *http.Request) string { return strings.Repeat(okAnswer("stranger", "other"), 4) })
 	_, err := get(pool(t), s.addr, "1")
-	var mismatch *ggsexchange.ForeignAnswersError
+	var mismatch *ggsexchange.MismatchedAnswersError
 	c.Assert(errors.As(err, &mismatch), qt.IsTrue)
 	c.Assert(mismatch.Got, qt.Equals, ggscore.RequestID("stranger"))
 }
--- a/io/ggsheartbeat/server.go
+++ b/io/ggsheartbeat/server.go
@@ -21,15 +21,15 @@
 type Options struct {
 	Domain ggscore.Domain
 	Limits ggsmember.Limits
-	// Gap is the minimum time between two heartbeats, urgent updates included.
-	Gap time.Duration
+	// MinInterval is the minimum time between two heartbeats, urgent updates included.
+	MinInterval time.Duration
 	// Seeds receive the heartbeats while no other member is known.
 	Seeds []netip.AddrPort
 }
 
 // DefaultOptions returns the options for a domain.
 func DefaultOptions(d ggscore.Domain) Options {
-	return Options{Domain: d, Limits: ggsmember.DefaultLimits(), Gap: 100 * time.Millisecond}
+	return Options{Domain: d, Limits: ggsmember.DefaultLimits(), MinInterval: 100 * time.Millisecond}
 }
 
 // Stats counts the datagrams that a Server sent, received and rejected since it started. Byte
@@ -147,7 +147,7 @@
 func (s *Server) sendLoop(ctx context.Context) {
 	t := time.NewTimer(rand.N(s.opts.Limits.Interval))
 	defer t.Stop()
-	gap := time.NewTimer(s.opts.Gap)
+	gap := time.NewTimer(s.opts.MinInterval)
 	defer gap.Stop()
 	for {
 		// Urgent updates wait for the end of the gap, which bounds the bandwidth and processor
@@ -165,7 +165,7 @@
 		}
 		s.send()
 		s.handleChange()
-		gap.Reset(s.opts.Gap)
+		gap.Reset(s.opts.MinInterval)
 		t.Reset(s.opts.Limits.Interval)
 	}
 }
--- a/io/ggspeer/conn_test.go
+++ b/io/ggspeer/conn_test.go
@@ -69,7 +69,7 @@
 	c.Assert(conn.SendSummary(s, []netip.AddrPort{addr}), qt.IsNil)
 	c.Assert(<-summaries, qt.DeepEquals, s)
 	n := ggspeer.Notice{
-		VM: "vm", Number: 7, Relay: ggscore.RelayDomain, Service: "s", Endpoint: "r1", Wait: 30 * time.Millisecond, Tokens: 1460, Unused: true,
+		VM: "vm", Number: 7, Relay: ggscore.RelayDomain, Service: "s", Endpoint: "r1", Wait: 30 * time.Millisecond, Tokens: 1460, Withdrawn: true,
 	}
 	c.Assert(conn.SendNotice(n, []netip.AddrPort{addr}), qt.IsNil)
 	c.Assert(<-notices, qt.DeepEquals, n)
--- a/io/ggspeer/notice.go
+++ b/io/ggspeer/notice.go
@@ -20,8 +20,8 @@
 	// between VMs. A datagram's transit time is short compared to a turn.
 	Wait   time.Duration
 	Tokens int
-	// Unused withdraws the turn.
-	Unused bool
+	// Withdrawn withdraws the turn.
+	Withdrawn bool
 }
 
 type noticeWire struct {
@@ -40,13 +40,13 @@
 func noticeWireOf(n Notice) noticeWire {
 	return noticeWire{
 		VM: string(n.VM), Number: n.Number, Relay: int(n.Relay), Service: string(n.Service), Endpoint: string(n.Endpoint),
-		Wait: n.Wait.Milliseconds(), Tokens: n.Tokens, Unused: n.Unused,
+		Wait: n.Wait.Milliseconds(), Tokens: n.Tokens, Unused: n.Withdrawn,
 	}
 }
 
 func (w *noticeWire) notice() Notice {
 	return Notice{
 		VM: ggscore.VMID(w.VM), Number: w.Number, Relay: ggscore.Relay(w.Relay), Service: ggscore.Service(w.Service),
-		Endpoint: ggscore.EndpointID(w.Endpoint), Wait: time.Duration(w.Wait) * time.Millisecond, Tokens: w.Tokens, Unused: w.Unused,
+		Endpoint: ggscore.EndpointID(w.Endpoint), Wait: time.Duration(w.Wait) * time.Millisecond, Tokens: w.Tokens, Withdrawn: w.Unused,
 	}
 }
--- a/io/ggsrpc/conn.go
+++ b/io/ggsrpc/conn.go
@@ -40,5 +40,5 @@
 			received, idle = now, 0
 		}
 	}
-	cancel(&SilentError{Silence: idleTimeout})
+	cancel(&IdleTimeoutError{IdleTimeout: idleTimeout})
 }
--- a/io/ggsrpc/errors.go
+++ b/io/ggsrpc/errors.go
@@ -45,8 +45,10 @@
 	return fmt.Sprintf("call of %s at %s returned an error: %s", e.Method, e.Addr, e.Text)
 }
 
-// A SilentError says that no bytes arrived from the other process for the time Silence.
-type SilentError struct{ Silence time.Duration }
+// A IdleTimeoutError says that no bytes arrived from the other process for the time Silence.
+type IdleTimeoutError struct{ IdleTimeout time.Duration }
 
 // Error implements error.
-func (e *SilentError) Error() string { return fmt.Sprintf("no bytes received for %s", e.Silence) }
+func (e *IdleTimeoutError) Error() string {
+	return fmt.Sprintf("no bytes received for %s", e.IdleTimeout)
+}
--- a/io/ggsrpc/ggsrpc_test.go
+++ b/io/ggsrpc/ggsrpc_test.go
@@ -105,7 +105,7 @@
 	c.Assert(r.Text, qt.HasLen, longBytes)
 
 	k.SetFaults(ggsfakelink.Faults{Stall: true})
-	var idle *ggsrpc.SilentError
+	var idle *ggsrpc.IdleTimeoutError
 	err = p.CallLong(ctx, idleTimeout, at, "Echo.Long", &EchoArgs{}, &EchoArgs{})
 	c.Assert(errors.As(err, &idle), qt.IsTrue, qt.Commentf("%v", err))
 
--- a/io/ggsrpc/pool.go
+++ b/io/ggsrpc/pool.go
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// Forget closes the connection to addr, whose process no longer exists.
-func (p *Pool) Forget(addr netip.AddrPort) {
+// CloseConn closes the connection to addr, whose process no longer exists.
+func (p *Pool) CloseConn(addr netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.clients[addr]; c != nil {
--- a/io/ggsvms/vms.go
+++ b/io/ggsvms/vms.go
@@ -52,8 +52,8 @@
 
 // A Membership determines which processes read the platform's list and which peers to query.
 type Membership interface {
-	// Reads reports whether this process reads the platform's list.
-	Reads() bool
+	// IsReader reports whether this process reads the platform's list.
+	IsReader() bool
 	// Readers returns the peers of the own failure domain that read the platform's list. Others
 	// returns all other peers.
 	Readers() []Peer
@@ -228,7 +228,7 @@
 		return true
 	}
 	stale := f.clock().Sub(current.read) > staleIntervals*f.options.Interval
-	return m.Reads() || (stale && rand.IntN(staleReadRounds) == 0)
+	return m.IsReader() || (stale && rand.IntN(staleReadRounds) == 0)
 }
 
 func (f *Follower) recordReachability(ctx context.Context, err error) {
--- a/io/ggsvms/vms_test.go
+++ b/io/ggsvms/vms_test.go
@@ -41,7 +41,7 @@
 	reader   Peer
 }
 
-func (m membership) Reads() bool {
+func (m membership) IsReader() bool {
 	_, _ = m.follower.List()
 	return m.reads
 }
