--- a/core/errors.go
+++ b/core/errors.go
@@ -41,8 +41,8 @@
 // Unwrap returns the cause.
 func (e *AmbiguousWriteError) Unwrap() error { return e.Cause }
 
-// A StoreUnavailableError says that the platform's service was unavailable for a call. The call had no
-// effect.
+// A StoreUnavailableError says that the platform's service was unavailable for a call. The call
+// had no effect.
 type StoreUnavailableError struct{ Cause error }
 
 // Error implements error.
--- a/core/instance.go
+++ b/core/instance.go
@@ -18,7 +18,7 @@
 	// StartedAt is when the process started. An instance that restarts under its old identity has
 	// lost its previous state.
 	StartedAt time.Time
-	// Sequence counts the orders that the instance has accepted since Born.
+	// Sequence counts the orders that the instance has accepted since StartedAt.
 	Sequence uint64
 	Models   []ResidentModel
 }
--- a/core/lease.go
+++ b/core/lease.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A FencingToken is a fencing token. Each later owner of an endpoint has a greater one.
+// A FencingToken orders the owners of an endpoint: each later owner has a greater token.
 type FencingToken uint64
 
 // A Lease is an ownership as its holder knows it. Expires is on the holder's monotonic clock,
--- a/core/serving.go
+++ b/core/serving.go
@@ -96,8 +96,8 @@
 	AdapterSlots int
 }
 
-// AdapterCapacity returns the number of adapters that a runner has slots and memory for beside its first
-// model. A runner that is ordered to load more crashes.
+// AdapterCapacity returns the number of adapters that a runner has slots and memory for beside
+// its first model. A runner that is ordered to load more crashes.
 func (e *EngineSpec) AdapterCapacity() int {
 	n := e.AdapterSlots
 	if len(e.Models) > 0 && e.Bytes > 0 && e.Models[0].AdapterBytes > 0 {
--- a/core/serving_test.go
+++ b/core/serving_test.go
@@ -10,7 +10,7 @@
 
 // Guards against orders to load more adapters than fit into a runner's memory beside its model,
 // even if it has a slot for each. The runner would crash with all its requests.
-func TestPlaces(t *testing.T) {
+func TestAdapterCapacity(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		spec ggscore.EngineSpec
@@ -22,7 +22,7 @@
 		"by memory": {spec: ggscore.EngineSpec{
 			AdapterSlots: 18, Bytes: 65200, Models: []ggscore.ModelSpec{{Bytes: 65100, AdapterBytes: 12}},
 		}, want: 8},
-		"no room": {spec: ggscore.EngineSpec{
+		"no memory beside the model": {spec: ggscore.EngineSpec{
 			AdapterSlots: 18, Bytes: 65000, Models: []ggscore.ModelSpec{{Bytes: 65100, AdapterBytes: 12}},
 		}},
 		"sizes unknown": {spec: ggscore.EngineSpec{AdapterSlots: 18}, want: 18},
--- a/core/turn.go
+++ b/core/turn.go
@@ -38,7 +38,7 @@
 	Took    time.Duration
 }
 
-// A TurnTally counts the streams of a service, and those that missed their targets (Hurt).
+// A TurnTally counts the streams of a service, and those that missed their targets (Degraded).
 // Either prompts of other requests made a stream pause for longer than callers want, or the
 // stream waited too long for its turn.
 type TurnTally struct {
--- a/core/txn.go
+++ b/core/txn.go
@@ -58,8 +58,8 @@
 	return fmt.Sprintf("transaction refused: one of %d keys is at another revision", len(e.Entries))
 }
 
-// A HistoryCompactedError says that the store no longer has the changes after a position. All entries
-// below the prefix have to be read again.
+// A HistoryCompactedError says that the store no longer has the changes after a position. All
+// entries below the prefix have to be read again.
 type HistoryCompactedError struct{ After StorePosition }
 
 // Error implements error.
