--- a/core/ggsfencing/claims.go
+++ b/core/ggsfencing/claims.go
@@ -16,7 +16,7 @@
 // A record that this VM released itself is claimed again without delay. No other VM has sent
 // orders since the release, because its claim would have replaced the record. With a delay,
 // a rolling restart would leave the endpoints of one VM after the other without orders for
-// longer than Turn.
+// longer than MinOrderGap.
 func (k *OwnershipTracker) Claims(now time.Time, ready []ggscore.Instance) []Claim {
 	if !k.synced || k.ownRevision == 0 {
 		return nil
--- a/core/ggsfencing/explore_test.go
+++ b/core/ggsfencing/explore_test.go
@@ -68,7 +68,7 @@
 			}
 			l, ordered := x.last[e.ID]
 			switch {
-			case ordered && l.vm != v.id && x.now.Sub(l.at) < turn:
+			case ordered && l.vm != v.id && x.now.Sub(l.at) < minOrderGap:
 				return fmt.Sprintf("%s sends an order to %s only %s after %s", v.id, e.ID, x.now.Sub(l.at), l.vm)
 			case ordered && (f < l.fence || f == l.fence && l.vm != v.id):
 				return fmt.Sprintf("%s sends an order to %s with fencing token %d after %d of %s", v.id, e.ID, f, l.fence, l.vm)
@@ -99,7 +99,7 @@
 		add("heartbeat, delayed", func(x *exploration, v *vm) { x.heartbeat(v, delayed, time.Hour) })
 		add("claims, delayed", func(x *exploration, v *vm) { x.claimAll(v, delayed) })
 		add("releases, delayed", func(x *exploration, v *vm) { x.release(v, delayed, time.Hour) })
-		add("restarts", func(_ *exploration, v *vm) { v.k = keeper(v.id) })
+		add("restarts", func(_ *exploration, v *vm) { v.k = newTracker(v.id) })
 	}
 	return ms
 }
--- a/core/ggsfencing/keeper.go
+++ b/core/ggsfencing/keeper.go
@@ -8,20 +8,21 @@
 //
 // # Usage
 //
-//	k := ggsfencing.NewKeeper(ggsfencing.Options{Self: vm, Turn: 3 * time.Second})
-//	k.Observe(now, at, reading)             // each reading of the store
-//	k.SetHeard(vms)                         // VMs whose gossip heartbeats arrive
-//	p := k.Beat(now)                        // write it to the store under p's conditions
-//	k.BeatEnded(sent, p, at, refused)
-//	for _, c := range k.Claims(now, ready) { … k.ClaimEnded(sent, c, at) }
-//	fence, ok := k.May(now, endpoint)       // immediately before each order
+//	k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, MinOrderGap: 3 * time.Second})
+//	k.Observe(now, at, reading)                 // each reading of the store
+//	k.SetListed(now, endpoints)                 // each reading of the list of endpoints
+//	k.SetReachable(vms)                         // VMs whose gossip heartbeats arrive
+//	p := k.NextHeartbeat(now)                   // write it to the store under p's conditions
+//	k.HeartbeatAnswered(sent, p, at, refused)
+//	for _, c := range k.Claims(now, ready) { … k.ClaimAcknowledged(sent, c, at) }
+//	fence, ok := k.AuthorizeOrder(now, endpoint) // immediately before each order
 //
 // An ownership record in the store names the VM that sends orders to an endpoint. Each VM
 // writes its own heartbeat under the condition that its records are unchanged. It sends orders
 // until Validity has passed since it sent the last acknowledged heartbeat. Another VM takes a
 // record over under the condition that the owner's heartbeat is unchanged since that VM first
-// saw it, at least Validity plus Turn plus Margin ago. At the takeover, the previous owner's
-// last order is therefore at least Turn old.
+// saw it, at least Validity plus MinOrderGap plus Margin ago. At the takeover, the previous
+// owner's last order is therefore at least MinOrderGap old.
 //
 // Neither leases, nor synchronized clocks, nor messages between the two VMs are needed, so
 // the guarantee also holds when messages are lost or late and when VMs are suspended or
@@ -36,18 +37,18 @@
 // epoch:
 //
 //   - Only the VM that holds the right for an endpoint claims the endpoint at once.
-//   - Every other VM waits Validity plus Turn plus Margin after its first reading of the
-//     epoch. By then all rights from earlier epochs have expired.
+//   - Every other VM waits Validity plus MinOrderGap plus Margin after its first reading of
+//     the epoch. By then all rights from earlier epochs have expired.
 //   - A record belongs to the epoch in its own value. A record that was copied, or written
 //     late, doesn't name the current owner.
 //   - A write belongs to the epoch of its conditions. An acknowledgement from another epoch
 //     is ignored.
 //
-// VMs that have waited mark the epoch as settled in the store (Settled), so that VMs that
+// VMs that have waited mark the epoch as settled in the store (SettledEpoch), so that VMs that
 // start later don't wait.
 //
-// The caller passes times from a clock that continues while the VM is suspended. A Keeper has
-// no clock, goroutine or lock of its own; the caller serializes access.
+// The caller passes times from a clock that continues while the VM is suspended. An
+// OwnershipTracker has no clock, goroutine or lock of its own; the caller serializes access.
 package ggsfencing
 
 import (
@@ -62,7 +63,8 @@
 const (
 	// DefaultValidity is how long a VM sends orders after the last acknowledged heartbeat.
 	// It covers a store outage of 8 s, because adapters can't be loaded without orders. The
-	// endpoints of a VM that fails for good get no orders for Validity plus Turn.
+	// endpoints of a VM that fails for good get no orders for Validity plus MinOrderGap plus
+	// Margin.
 	DefaultValidity = 9 * time.Second
 	// DefaultMargin covers an order in flight when the validity ends. It equals the order's
 	// timeout of 1 s.
@@ -70,15 +72,15 @@
 	// DefaultClaimDelay is how long a new VM waits before its first claims, so that VMs that
 	// start together share the endpoints.
 	DefaultClaimDelay = 1500 * time.Millisecond
-	// DefaultRecordRetention is how long an endpoint is off the list before its record is deleted. It
-	// exceeds the wait before a takeover, so no order can be recent by then.
+	// DefaultRecordRetention is how long an endpoint is off the list before its record is
+	// deleted. It exceeds the wait before a takeover, so no order can be recent by then.
 	DefaultRecordRetention = 20 * time.Second
 	// DefaultMaxRecords bounds the records of a VM. A store transaction takes at most 32
 	// conditions: one is for the VM's own heartbeat and maxDrops are for deleted records.
 	DefaultMaxRecords = 27
 )
 
-// An Options configures a Keeper. Zero fields take their defaults.
+// An Options configures an OwnershipTracker. Zero fields take their defaults.
 type Options struct {
 	Self   ggscore.VMID
 	Domain ggscore.Domain
@@ -127,8 +129,8 @@
 	Revision ggscore.StoreRevision
 }
 
-// A HeartbeatPlan is a heartbeat to write under the condition that the VM's previous heartbeat and
-// the records still have the given revisions in the given epoch.
+// A HeartbeatPlan is a heartbeat to write under the condition that the VM's previous heartbeat
+// and the records still have the given revisions in the given epoch.
 type HeartbeatPlan struct {
 	Epoch    ggscore.StoreEpoch
 	Revision ggscore.StoreRevision
@@ -150,8 +152,8 @@
 	OwnerRevision ggscore.StoreRevision
 }
 
-// A OwnershipTracker tracks the ownership records and heartbeats that one VM has read, and this VM's
-// rights to send orders.
+// An OwnershipTracker tracks the ownership records and heartbeats that one VM has read, and this
+// VM's rights to send orders.
 type OwnershipTracker struct {
 	options Options
 	started time.Time
@@ -197,7 +199,7 @@
 	fence ggscore.FencingToken
 }
 
-// NewOwnershipTracker returns a Keeper without records or rights.
+// NewOwnershipTracker returns an OwnershipTracker without records or rights.
 func NewOwnershipTracker(o Options) *OwnershipTracker {
 	o.Validity = cmp.Or(o.Validity, DefaultValidity)
 	o.Margin = cmp.Or(o.Margin, DefaultMargin)
@@ -210,15 +212,16 @@
 	}
 }
 
-// takeoverWait is the time after which a right has expired and its last order is at least Turn
-// old.
+// takeoverWait is the time after which a right has expired and its last order is at least
+// MinOrderGap old.
 func (k *OwnershipTracker) takeoverWait() time.Duration {
 	return k.options.Validity + k.options.MinOrderGap + k.options.Margin
 }
 
-// NextHeartbeat returns the next heartbeat to write. It deletes the records of removed endpoints.
-// Otherwise those records would exhaust the conditions of the heartbeat's transaction as
-// endpoints come and go, until the store refused every heartbeat and no endpoint got orders.
+// NextHeartbeat returns the next heartbeat to write. The heartbeat's transaction deletes the
+// records of removed endpoints. Otherwise those records would exhaust the transaction's
+// conditions as endpoints come and go, until the store refused every heartbeat and no endpoint
+// got orders.
 func (k *OwnershipTracker) NextHeartbeat(now time.Time) HeartbeatPlan {
 	p := HeartbeatPlan{Epoch: k.epoch, Revision: k.ownRevision, MarkSettled: k.synced && k.storedSettled != k.epoch && k.earlierRightsExpired(now)}
 	for _, r := range k.records {
@@ -235,9 +238,10 @@
 	return p
 }
 
-// HeartbeatAnswered records the store's answer to a heartbeat that was sent at the given time. After a
-// refusal, the caller has to read the store again. Another VM may own one of the heartbeat's
-// records by then, so no order is sent for any of them until a later heartbeat is acknowledged.
+// HeartbeatAnswered records the store's answer to a heartbeat that was sent at the given time.
+// After a refusal, the caller has to read the store again. Another VM may own one of the
+// heartbeat's records by then, so no order is sent for any of them until a later heartbeat is
+// acknowledged.
 func (k *OwnershipTracker) HeartbeatAnswered(sent time.Time, p HeartbeatPlan, at ggscore.StorePosition, refused bool) {
 	if p.Epoch != k.epoch || at.Epoch != k.epoch {
 		return
@@ -294,8 +298,8 @@
 	return false
 }
 
-// AuthorizeOrder returns the fencing token for an order to the endpoint, and whether this VM may send
-// the order now.
+// AuthorizeOrder returns the fencing token for an order to the endpoint, and whether this VM may
+// send the order now.
 func (k *OwnershipTracker) AuthorizeOrder(now time.Time, id ggscore.EndpointID) (ggscore.FencingToken, bool) {
 	r, ok := k.rights[id]
 	if !ok || !now.Before(r.until) {
@@ -335,6 +339,7 @@
 func (k *OwnershipTracker) Epoch() (ggscore.StoreEpoch, bool) { return k.epoch, k.synced }
 
 // Stop revokes all rights of this VM to send orders. A caller that then releases the records
-// must write them under the conditions of Beat. Without those conditions, a release that takes
-// effect after the first heartbeat of the VM's next process would let two VMs send orders.
+// must write them under the conditions of NextHeartbeat. Without those conditions, a release
+// that takes effect after the first heartbeat of the VM's next process would let two VMs send
+// orders.
 func (k *OwnershipTracker) Stop() { clear(k.rights) }
--- a/core/ggsfencing/keeper_test.go
+++ b/core/ggsfencing/keeper_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	turn         = 3 * time.Second
+	minOrderGap  = 3 * time.Second
 	runner       = ggscore.EndpointID("runner")
-	takeoverWait = ggsfencing.DefaultValidity + turn + ggsfencing.DefaultMargin
+	takeoverWait = ggsfencing.DefaultValidity + minOrderGap + ggsfencing.DefaultMargin
 )
 
 func at(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
@@ -24,15 +24,15 @@
 	return ggscore.StorePosition{Revision: r}
 }
 
-func keeper(self ggscore.VMID) *ggsfencing.OwnershipTracker {
-	return ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: self, Domain: "d", MinOrderGap: turn})
+func newTracker(self ggscore.VMID) *ggsfencing.OwnershipTracker {
+	return ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: self, Domain: "d", MinOrderGap: minOrderGap})
 }
 
 func instances() []ggscore.Instance { return []ggscore.Instance{{ID: runner, Domain: "d"}} }
 
-// owner returns the Keeper of a VM that owns the runner.
+// owner returns the tracker of a VM that owns the runner.
 func owner(c *qt.C) *ggsfencing.OwnershipTracker {
-	k := keeper("a")
+	k := newTracker("a")
 	k.Observe(at(0), position(1), ggsfencing.Reading{})
 	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(5), false)
 	cs := k.Claims(at(ggsfencing.DefaultClaimDelay), instances())
@@ -74,7 +74,7 @@
 func TestTakeoverWaitsForTheOwnersRightToExpire(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := keeper("b")
+	k := newTracker("b")
 	records := []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}}
 	heartbeats := []ggsfencing.Heartbeat{{VM: "a", Domain: "d", Revision: 20}}
 	k.Observe(at(0), position(30), ggsfencing.Reading{Records: records, Heartbeats: heartbeats})
@@ -91,23 +91,23 @@
 	c.Assert(k.Claims(at(takeoverWait), instances()), qt.HasLen, 0)
 }
 
-func TestReleasedRecordIsClaimedAfterATurn(t *testing.T) {
+func TestReleasedRecordIsClaimedAfterMinOrderGap(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := keeper("b")
+	k := newTracker("b")
 	k.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
 	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(31), false)
-	c.Assert(k.Claims(at(turn), instances()), qt.HasLen, 0)
-	c.Assert(k.Claims(at(turn+ggsfencing.DefaultMargin), instances()), qt.HasLen, 1)
+	c.Assert(k.Claims(at(minOrderGap), instances()), qt.HasLen, 0)
+	c.Assert(k.Claims(at(minOrderGap+ggsfencing.DefaultMargin), instances()), qt.HasLen, 1)
 	c.Assert(k.Owner(runner), qt.Equals, ggscore.VMID(""))
 }
 
 // Guards against a rolling restart that leaves endpoints without orders for four seconds. Each
-// VM was back within a second, but waited Turn after its own release.
+// VM was back within a second, but waited MinOrderGap after its own release.
 func TestOwnReleasedRecordIsClaimedAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := keeper("a")
+	k := newTracker("a")
 	k.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
 	c.Assert(k.Claims(at(0), instances()), qt.HasLen, 0, qt.Commentf("no heartbeat yet"))
 	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(31), false)
@@ -123,7 +123,7 @@
 func TestRestartedOwnerKeepsItsRecords(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := keeper("a")
+	k := newTracker("a")
 	k.Observe(at(0), position(30), ggsfencing.Reading{
 		Records:    []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}},
 		Heartbeats: []ggsfencing.Heartbeat{{VM: "a", Domain: "d", Revision: 20}},
@@ -165,7 +165,7 @@
 func TestClaimsAreBounded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := keeper("a")
+	k := newTracker("a")
 	k.Observe(at(0), position(1), ggsfencing.Reading{})
 	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(5), false)
 	var ready []ggscore.Instance
@@ -185,7 +185,7 @@
 func TestOlderReadingIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := keeper("b")
+	k := newTracker("b")
 	k.Observe(at(0), position(40), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "c", Revision: 35}}})
 	k.Observe(at(1), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}}})
 	c.Assert(k.Owner(runner), qt.Equals, ggscore.VMID("c"))
@@ -205,7 +205,7 @@
 	reachable := []ggscore.VMID{"a", "b", "far"}
 	claims := 0
 	for _, vm := range vms {
-		k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm.VM, Domain: vm.Domain, MinOrderGap: turn})
+		k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm.VM, Domain: vm.Domain, MinOrderGap: minOrderGap})
 		k.Observe(at(0), position(10), ggsfencing.Reading{Heartbeats: vms})
 		k.SetReachable(reachable)
 		if vm.VM == "gone" {
@@ -220,8 +220,8 @@
 	c.Assert(claims, qt.Equals, 1)
 }
 
-// Guards against endpoints without an owner because the preferred owner has no room for more
-// records.
+// Guards against endpoints without an owner because the preferred owner already owns MaxRecords
+// endpoints.
 func TestClaimsFavorCapacityAndSkipFullVMs(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -238,7 +238,7 @@
 		ready = append(ready, ggscore.Instance{ID: ggscore.EndpointID(fmt.Sprintf("r%d", i)), Domain: "d"})
 	}
 	claims := func(vm ggscore.VMID, most int, records []ggsfencing.Record) int {
-		k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, Domain: "d", MinOrderGap: turn, MaxRecords: most})
+		k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, Domain: "d", MinOrderGap: minOrderGap, MaxRecords: most})
 		k.Observe(at(0), position(10), ggsfencing.Reading{Records: records, Heartbeats: vms})
 		k.SetReachable(reachable)
 		return len(k.Claims(at(ggsfencing.DefaultClaimDelay), ready))
@@ -261,7 +261,7 @@
 func TestRecordsOfAnEarlierEpochAreDeleted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := keeper("a")
+	k := newTracker("a")
 	copied := ggsfencing.Record{Endpoint: runner, Owner: "a", Epoch: 1, Revision: 10}
 	k.Observe(at(0), ggscore.StorePosition{Epoch: 2, Revision: 20}, ggsfencing.Reading{Records: []ggsfencing.Record{copied}})
 	k.SetListed(at(0), nil)
--- a/core/ggsfencing/world_test.go
+++ b/core/ggsfencing/world_test.go
@@ -122,7 +122,7 @@
 	}}
 	for i := range vms {
 		id := ggscore.VMID(fmt.Sprintf("vm-%d", i))
-		w.vms = append(w.vms, &vm{id: id, k: keeper(id)})
+		w.vms = append(w.vms, &vm{id: id, k: newTracker(id)})
 	}
 	for i := range endpoints {
 		w.endpoints = append(w.endpoints, ggscore.Instance{ID: ggscore.EndpointID(fmt.Sprintf("runner-%d", i)), Domain: "d"})
@@ -222,7 +222,7 @@
 		x.put = append(x.put, ggsfencing.Record{Endpoint: r.Endpoint, Owner: v.id, Released: true, Epoch: p.Epoch})
 	}
 	w.store(f, late, x, func(ggscore.StorePosition, bool) {})
-	v.k = keeper(v.id)
+	v.k = newTracker(v.id)
 }
 
 // advance advances the time and applies the delayed writes that are due.
@@ -259,7 +259,7 @@
 		for _, b := range w.orders {
 			switch {
 			case a.endpoint != b.endpoint || a.vm == b.vm || b.at.Before(a.at):
-			case b.at.Sub(a.at) < turn:
+			case b.at.Sub(a.at) < minOrderGap:
 				return fmt.Sprintf("%s sends an order to %s at %s, %s sends one only %s later", a.vm, a.endpoint, a.at, b.vm, b.at.Sub(a.at))
 			case b.fence <= a.fence:
 				return fmt.Sprintf("%s sends an order to %s with fencing token %d, then %s with %d", a.vm, a.endpoint, a.fence, b.vm, b.fence)
@@ -294,7 +294,7 @@
 		w.release(v, f, late)
 	case "restart":
 		if rapid.IntRange(0, 4).Draw(t, "confirm") == 0 {
-			v.k = keeper(v.id)
+			v.k = newTracker(v.id)
 		}
 	case "restore":
 		if rapid.IntRange(0, 2).Draw(t, "confirm") == 0 {
