--- a/core/ggsepoch/tracker.go
+++ b/core/ggsepoch/tracker.go
@@ -11,7 +11,7 @@
 //	a := t.Answer(sent, named, stale)    // the epoch that the call's answer named
 //	if a.Late { … }                      // the answer is from an epoch that has ended
 //	if a.Changed { … }                   // a.Epoch is a new epoch
-//	changed := t.Learn(epoch)            // an epoch that a peer reports
+//	changed := t.ObservePeer(epoch)      // an epoch that a peer reports
 //
 // The store is linearizable. A call that was sent after an epoch became known can't be
 // answered from an earlier epoch, whatever epoch the answer names.
