--- a/core/ggsresident/answers.go
+++ b/core/ggsresident/answers.go
@@ -96,7 +96,7 @@
 		return
 	}
 	l.sequence = s.Expected + 1
-	l.unclearSince = time.Time{}
+	l.ambiguousSince = time.Time{}
 	if s.Target.Adapter == "" {
 		l.modelPollAt = now.Add(l.options.LoadTime)
 		return
@@ -144,8 +144,8 @@
 
 // postpone delays all orders after an ambiguous answer until the next resync.
 func (l *Ledger) postpone(now time.Time, s Step) {
-	if l.unclearSince.IsZero() {
-		l.unclearSince = now
+	if l.ambiguousSince.IsZero() {
+		l.ambiguousSince = now
 	}
 	if h := l.held[s.Target]; h != nil {
 		h.pollAt = now.Add(l.options.PollInterval)
--- a/core/ggsresident/ledger.go
+++ b/core/ggsresident/ledger.go
@@ -1,5 +1,5 @@
 // Package ggsresident decides which placement orders an endpoint gets: which adapters to load,
-// and which to evict to make room.
+// and which to evict to free slots.
 //
 // Inputs are the endpoint's status reports, the adapters that requests wait for, the VMs'
 // reports of adapters in use, and the answers to orders. Outputs are the next order and the
@@ -7,12 +7,12 @@
 //
 // # Usage
 //
-//	l := ggsresident.NewLedger(ggsresident.Options{Slots: 16, Transit: 4})
+//	l := ggsresident.NewLedger(ggsresident.Options{Slots: 16, MaxInTransit: 4})
 //	l.Sync(now, status)             // the endpoint's status report
 //	l.Want(now, target, version)    // a request waits for the adapter
 //	l.Use(now, target, vm, active)  // whether a VM's requests use the adapter
 //	o, ok := l.Next(now)            // the next order
-//	l.Ended(now, o, answer)
+//	l.HandleAnswer(now, o, answer)
 //	at := l.Due(now)                // when to call Next again
 //
 // One VM sends orders to an endpoint, one at a time. Each order is conditional on the number
@@ -72,8 +72,9 @@
 	minBackoff      = 10 * time.Millisecond
 	maxBackoff      = 500 * time.Millisecond
 	maxBackoffShift = 6
-	// maxWants bounds the adapters that wait to be loaded. It is two rounds of DefaultTransit,
-	// half a second in all; further requests are served faster at other endpoints.
+	// maxWants bounds the adapters that wait to be loaded. It is two rounds of
+	// DefaultMaxInTransit, half a second in all; further requests are served faster at other
+	// endpoints.
 	maxWants = 8
 )
 
@@ -115,18 +116,18 @@
 	synced  bool
 	// misdirectedAt is when another endpoint last answered at the address, zero for never.
 	misdirectedAt time.Time
-	// unclearSince is when an answer first left open what the endpoint accepted, zero if the number
-	// of accepted orders is known.
-	unclearSince time.Time
-	sequence     uint64
-	models       map[ggscore.BaseModel]bool
-	held         map[ggscore.ModelAdapter]*held
-	wants        []want
-	// loadedBefore are the adapters that were loaded before. The endpoint may still have them in its
-	// own memory.
+	// ambiguousSince is when an answer first left open what the endpoint accepted, zero if the
+	// number of accepted orders is known.
+	ambiguousSince time.Time
+	sequence       uint64
+	models         map[ggscore.BaseModel]bool
+	held           map[ggscore.ModelAdapter]*held
+	wants          []want
+	// loadedBefore are the adapters that were loaded before. The endpoint may still have them in
+	// its own memory.
 	loadedBefore map[ggscore.ModelAdapter]bool
-	// lostOrder is an order whose answer was lost, nil for none. lostAnswers is the number of answers
-	// lost in a row, and repeatAt is when the order is repeated.
+	// lostOrder is an order whose answer was lost, nil for none. lostAnswers is the number of
+	// answers lost in a row, and repeatAt is when the order is repeated.
 	lostOrder   *Step
 	lostAnswers int
 	repeatAt    time.Time
@@ -144,7 +145,8 @@
 	evicting  bool
 	orderedAt time.Time
 	pollAt    time.Time
-	// polling says that a poll is in flight. lostPolls is the number of unanswered polls in a row.
+	// polling says that a poll is in flight. lostPolls is the number of unanswered polls in a
+	// row.
 	polling   bool
 	lostPolls int
 	lastUsed  time.Time
@@ -182,11 +184,11 @@
 	if !l.synced {
 		return false
 	}
-	return l.unclearSince.IsZero() || now.Sub(l.unclearSince) < resyncAfter
+	return l.ambiguousSince.IsZero() || now.Sub(l.ambiguousSince) < resyncAfter
 }
 
-// RecentlyMisdirected reports whether another endpoint has recently answered at the address. The caller
-// then pauses.
+// RecentlyMisdirected reports whether another endpoint has recently answered at the address. The
+// caller then pauses.
 //
 // A runner that restarts after a crash answers at its address under another identity, while
 // the previous entry stays on the list for 3.6 s. Without the pause, status requests and
@@ -196,15 +198,15 @@
 }
 
 // Ambiguous reports whether an answer left open which orders the endpoint accepted.
-func (l *Ledger) Ambiguous() bool { return !l.unclearSince.IsZero() }
+func (l *Ledger) Ambiguous() bool { return !l.ambiguousSince.IsZero() }
 
 // Sync applies the endpoint's status report. A report that is older than the last order is
 // ignored, unless an answer was ambiguous.
 func (l *Ledger) Sync(now time.Time, s ggscore.InstanceStatus) {
-	if l.synced && s.Sequence < l.sequence && l.unclearSince.IsZero() {
+	if l.synced && s.Sequence < l.sequence && l.ambiguousSince.IsZero() {
 		return
 	}
-	l.synced, l.unclearSince, l.lostOrder, l.sequence = true, time.Time{}, nil, s.Sequence
+	l.synced, l.ambiguousSince, l.lostOrder, l.sequence = true, time.Time{}, nil, s.Sequence
 	before := l.held
 	l.models, l.held = map[ggscore.BaseModel]bool{}, map[ggscore.ModelAdapter]*held{}
 	for _, m := range s.Models {
@@ -277,8 +279,7 @@
 // Waiting returns the number of adapters that wait to be loaded.
 func (l *Ledger) Waiting() int { return len(l.wants) }
 
-// Holds reports whether the endpoint holds the adapter in the version, zero
-// for any.
+// Holds reports whether the endpoint holds the adapter in the version, zero for any.
 func (l *Ledger) Holds(t ggscore.ModelAdapter, version uint64) bool {
 	if t.Adapter == "" {
 		return l.models[t.Model]
--- a/core/ggsresident/ledger_test.go
+++ b/core/ggsresident/ledger_test.go
@@ -185,7 +185,7 @@
 	c.Assert(s.Expected, qt.Equals, uint64(20))
 }
 
-func TestTransitIsBounded(t *testing.T) {
+func TestLoadsInTransitAreBounded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	l := synced(16, 0)
@@ -297,7 +297,7 @@
 		rate  float64
 		users []ggscore.VMID
 		ended []ggscore.VMID
-		room  int
+		free  int
 	}{
 		"rare, ended":              {0.1, []ggscore.VMID{"v1", "v2"}, []ggscore.VMID{"v1", "v2"}, 1},
 		"rare, one in flight":      {0.1, []ggscore.VMID{"v1", "v2"}, []ggscore.VMID{"v2"}, 0},
@@ -320,7 +320,7 @@
 			for _, vm := range tc.ended {
 				l.Use(at(100*time.Millisecond), adapter(0), vm, false)
 			}
-			c.Assert(l.FreeCapacity(at(110*time.Millisecond)), qt.Equals, tc.room)
+			c.Assert(l.FreeCapacity(at(110*time.Millisecond)), qt.Equals, tc.free)
 			c.Assert(l.FreeCapacity(at(2*time.Second)), qt.Equals, 1, qt.Commentf("no report of use for long"))
 		})
 	}
--- a/core/ggsresident/orders.go
+++ b/core/ggsresident/orders.go
@@ -20,7 +20,7 @@
 	}
 	// After an ambiguous answer the number of accepted orders isn't known, and every order
 	// that expects a wrong number is refused.
-	if !l.unclearSince.IsZero() || l.evicting() {
+	if !l.ambiguousSince.IsZero() || l.evicting() {
 		return Step{}, false
 	}
 	if l.lostOrder != nil {
@@ -159,7 +159,7 @@
 			due = l.modelPollAt
 		}
 	}
-	if l.needsEviction() && l.unclearSince.IsZero() {
+	if l.needsEviction() && l.ambiguousSince.IsZero() {
 		if idle, ok := l.nextUnusedAt(now); ok && (due.IsZero() || idle.Before(due)) {
 			due = idle
 		}
@@ -167,8 +167,8 @@
 	if l.lostOrder != nil && (due.IsZero() || l.repeatAt.Before(due)) {
 		due = l.repeatAt
 	}
-	if !l.unclearSince.IsZero() && (due.IsZero() || l.unclearSince.Add(resyncAfter).Before(due)) {
-		due = l.unclearSince.Add(resyncAfter)
+	if !l.ambiguousSince.IsZero() && (due.IsZero() || l.ambiguousSince.Add(resyncAfter).Before(due)) {
+		due = l.ambiguousSince.Add(resyncAfter)
 	}
 	return due
 }
