--- a/core/ggsmember/doc.go
+++ b/core/ggsmember/doc.go
@@ -6,7 +6,7 @@
 //	t := ggsmember.NewTable(self, limits)
 //	t.SetSelf(leaving, revision)
 //	to := t.Targets(now)             // where the next heartbeat goes
-//	h := t.Beat(now)                 // send it to each target
+//	h := t.NextHeartbeat(now)        // send it to each target
 //	t.Receive(now, from, heartbeat)  // each heartbeat that arrives
 //	t.SetListed(now, vms)            // each reading of the platform's list
 //	members := t.Members(now)
--- a/core/ggsmember/member.go
+++ b/core/ggsmember/member.go
@@ -53,8 +53,8 @@
 	AllToAll int
 	// Monitors is the number of members that each sends to in a larger domain.
 	Monitors int
-	// MaxUpdates bounds the updates in one heartbeat. NewsSends is the number of heartbeats that
-	// carry an urgent update.
+	// MaxUpdates bounds the updates in one heartbeat. UpdateSends is the number of heartbeats
+	// that carry an urgent update.
 	MaxUpdates  int
 	UpdateSends int
 }
--- a/core/ggsmember/table.go
+++ b/core/ggsmember/table.go
@@ -164,11 +164,11 @@
 	var to []Target
 	for _, id := range t.order {
 		e := t.entries[id]
-		watch := e.sendsAsMonitor > t.limits.UpdateSends
+		monitor := e.sendsAsMonitor > t.limits.UpdateSends
 		// A member that is gone but still listed stays a target, since it may only be
 		// unreachable for a while.
 		if (e.sendsAsMonitor > 0 || t.broadcasts > 0) && (!e.gone || e.listed) && e.member.Addr.IsValid() {
-			to = append(to, Target{Addr: e.member.Addr, Monitor: watch})
+			to = append(to, Target{Addr: e.member.Addr, Monitor: monitor})
 		}
 		e.sendsAsMonitor = max(0, e.sendsAsMonitor-1)
 	}
--- a/core/ggsmember/table_test.go
+++ b/core/ggsmember/table_test.go
@@ -46,7 +46,7 @@
 	return d
 }
 
-func (d *domain) beat(i int) {
+func (d *domain) sendHeartbeat(i int) {
 	t := d.tables[i]
 	to := t.Targets(d.now)
 	h := t.NextHeartbeat(d.now)
@@ -68,7 +68,7 @@
 		d.now = d.now.Add(time.Second / steps)
 		for i, t := range d.tables {
 			if t.Urgent() || int(d.now.UnixMilli()/(1000/steps))%steps == i%steps {
-				d.beat(i)
+				d.sendHeartbeat(i)
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 			d := newDomain(3)
 			old := d.tables[1].NextHeartbeat(d.now)
 			d.tables[1].SetSelf(true, 0)
-			d.beat(1)
+			d.sendHeartbeat(1)
 			c.Assert(d.view(0).Leaving, qt.IsTrue)
 			undo(d.tables[0], d.now, old)
 			c.Assert(d.view(0).Leaving, qt.IsTrue)
@@ -210,7 +210,7 @@
 	d.pass(2 * time.Second)
 	c.Assert(len(d.tables[1].Targets(d.now)) < 20, qt.IsTrue)
 	d.tables[1].SetSelf(true, 0)
-	d.beat(1)
+	d.sendHeartbeat(1)
 	for i := range d.tables {
 		c.Assert(d.view(i).Leaving, qt.IsTrue)
 	}
@@ -230,7 +230,7 @@
 	}
 	c.Assert(d.view(2), qt.IsNil)
 	c.Assert(d.tables[1].Urgent(), qt.IsTrue)
-	d.beat(1)
+	d.sendHeartbeat(1)
 	for i := range d.tables {
 		c.Assert(d.view(i), qt.IsNotNil)
 	}
