--- a/core/ggsplace/choose.go
+++ b/core/ggsplace/choose.go
@@ -67,7 +67,7 @@
 const LoadWait = 2500 * time.Millisecond
 
 // plainQueueFactor bounds the requests at a plain endpoint, in multiples of its slots. A
-// request behind two rounds of work misses most latency objectives, and the endpoint sheds
+// request behind two rounds of work misses most target latencies, and the endpoint sheds
 // load soon after.
 const plainQueueFactor = 3
 
@@ -215,7 +215,7 @@
 }
 
 // Retry-after times for refused callers. Load that fills endpoints comes in bursts of seconds,
-// so that a retry can still meet the latency objective.
+// so that a retry can still meet the target latency.
 const (
 	retryFull      = 300 * time.Millisecond
 	retryNoneReady = 600 * time.Millisecond
--- a/core/ggsplace/departures.go
+++ b/core/ggsplace/departures.go
@@ -8,8 +8,8 @@
 )
 
 // RecordDeparture records that an endpoint announced in an answer that it is leaving, and reports
-// whether that was unknown. The announcement is valid for one process of the endpoint (its
-// Born time) and takes precedence over the registry entry.
+// whether that was unknown. The announcement is valid for one process of the endpoint, which
+// StartedAt identifies, and takes precedence over the registry entry.
 func (t *Table) RecordDeparture(d ggscore.Departure) bool {
 	e := t.endpoints[d.Endpoint]
 	if e == nil || !e.StartedAt.Equal(d.StartedAt) {
--- a/core/ggsplace/departures_test.go
+++ b/core/ggsplace/departures_test.go
@@ -16,11 +16,11 @@
 // and against announcements of an earlier process that apply to its successor.
 func TestDepartureAppliesToOneProcess(t *testing.T) {
 	t.Parallel()
-	born, again := time.UnixMilli(1_000), time.UnixMilli(9_000)
-	entry := func(born time.Time) ggscore.Instance {
-		return ggscore.Instance{ID: "p0", Service: plain, Domain: "d0", Slots: 6, StartedAt: born}
+	started, restarted := time.UnixMilli(1_000), time.UnixMilli(9_000)
+	entry := func(started time.Time) ggscore.Instance {
+		return ggscore.Instance{ID: "p0", Service: plain, Domain: "d0", Slots: 6, StartedAt: started}
 	}
-	announced := ggscore.Departure{Endpoint: "p0", StartedAt: born}
+	announced := ggscore.Departure{Endpoint: "p0", StartedAt: started}
 	for name, tc := range map[string]struct {
 		announced  []ggscore.Departure
 		after      []ggscore.Instance
@@ -28,19 +28,19 @@
 		accepts    bool
 		departures int
 	}{
-		"no announcement":  {after: []ggscore.Instance{entry(born)}, accepts: true},
-		"entry unchanged":  {announced: []ggscore.Departure{announced}, after: []ggscore.Instance{entry(born)}, changed: true, departures: 1},
+		"no announcement":  {after: []ggscore.Instance{entry(started)}, accepts: true},
+		"entry unchanged":  {announced: []ggscore.Departure{announced}, after: []ggscore.Instance{entry(started)}, changed: true, departures: 1},
 		"entry removed":    {announced: []ggscore.Departure{announced}, changed: true},
-		"restarted":        {announced: []ggscore.Departure{announced}, after: []ggscore.Instance{entry(again)}, changed: true, accepts: true},
-		"another process":  {announced: []ggscore.Departure{{Endpoint: "p0", StartedAt: again}}, after: []ggscore.Instance{entry(born)}, accepts: true},
-		"unknown endpoint": {announced: []ggscore.Departure{{Endpoint: "p9", StartedAt: born}}, after: []ggscore.Instance{entry(born)}, accepts: true},
-		"announced twice":  {announced: []ggscore.Departure{announced, announced}, after: []ggscore.Instance{entry(born)}, departures: 1},
+		"restarted":        {announced: []ggscore.Departure{announced}, after: []ggscore.Instance{entry(restarted)}, changed: true, accepts: true},
+		"another process":  {announced: []ggscore.Departure{{Endpoint: "p0", StartedAt: restarted}}, after: []ggscore.Instance{entry(started)}, accepts: true},
+		"unknown endpoint": {announced: []ggscore.Departure{{Endpoint: "p9", StartedAt: started}}, after: []ggscore.Instance{entry(started)}, accepts: true},
+		"announced twice":  {announced: []ggscore.Departure{announced, announced}, after: []ggscore.Instance{entry(started)}, departures: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			h := table("d0", 1)
-			h.SetInstances([]ggscore.Instance{entry(born)})
+			h.SetInstances([]ggscore.Instance{entry(started)})
 			changed := false
 			for _, d := range tc.announced {
 				changed = h.RecordDeparture(d)
--- a/core/ggsplace/flights.go
+++ b/core/ggsplace/flights.go
@@ -38,8 +38,8 @@
 // summed reports whether the peers' requests are reported as one sum.
 func (t *Table) summed() bool { return t.peers[allPeers] != nil }
 
-// SetPeersInFlight takes one report that sums up the requests in flight of all peers. It replaces the
-// reports of single peers.
+// SetPeersInFlight takes one report that sums up the requests in flight of all peers. The report
+// replaces the reports of single peers.
 func (t *Table) SetPeersInFlight(now time.Time, fs []ggscore.InFlight) {
 	for vm, p := range t.peers {
 		if vm != allPeers {
@@ -118,8 +118,8 @@
 	}
 }
 
-// ReportInFlight returns this VM's requests in flight per endpoint, with the requests that ended and
-// failed since the previous call. It resets the counts of ended and failed requests.
+// ReportInFlight returns this VM's requests in flight per endpoint, with the requests that ended
+// and failed since the previous call. It resets the counts of ended and failed requests.
 func (t *Table) ReportInFlight() []ggscore.InFlight {
 	var fs []ggscore.InFlight
 	for id, e := range t.endpoints {
--- a/core/ggsplace/table.go
+++ b/core/ggsplace/table.go
@@ -9,16 +9,17 @@
 // # Usage
 //
 //	t := ggsplace.NewTable(ggsplace.Options{Domain: domain, Seed: 1})
-//	t.SetPlaces(service, slots)              // adapter slots of each runner
+//	t.SetAdapterSlots(service, adapterSlots)        // adapter slots of each runner
 //	change := t.SetInstances(instances)
-//	t.SetPeer(now, vm, inFlight)             // a peer's requests in flight
-//	t.Depart(departure)                      // an answer announced that its endpoint leaves
-//	t.Pause(now, endpoint, d)                // the endpoint requested a pause
-//	t.SetHeld(now, endpoint, held)           // resident adapters, from the orderer
-//	t.SetRoom(endpoint, waiting, freeSlots)  // load queue, from the orderer
-//	t.Asked(now, adapter, n)                 // requests seen by any VM
-//	c, err := t.Choose(now, q)               // *RefusedError: answer with its RetryAfter
-//	t.Takes(now, c.Instance.ID)              // checked again just before sending
+//	t.SetPeerInFlight(now, vm, inFlight)            // a peer's requests in flight
+//	t.RecordDeparture(departure)                    // an answer announced that its endpoint leaves
+//	t.Pause(now, endpoint, d)                       // the endpoint requested a pause
+//	t.SetLoadable(endpoint, true)                   // an orderer serves the endpoint
+//	t.SetHeld(now, endpoint, held)                  // resident adapters, from the orderer
+//	t.SetLoadCapacity(endpoint, waiting, freeSlots) // load queue, from the orderer
+//	t.RecordRequests(now, adapter, n)               // requests seen by any VM
+//	c, err := t.Choose(now, q)                      // *RefusedError: answer with its RetryAfter
+//	ok := t.Accepts(now, c.Instance.ID)             // checked again just before sending
 //	t.Sent(now, c.Instance.ID)
 //	t.Ended(now, c.Instance.ID, result)
 //
@@ -96,7 +97,8 @@
 	// adapters queued for loading there.
 	loadable bool
 	waiting  int
-	// freeSlots is the number of adapters that can be loaded without waiting for an adapter slot.
+	// freeSlots is the number of adapters that can be loaded without waiting for an adapter
+	// slot.
 	freeSlots int
 	// leaveAnnounced is set when an answer announced that the endpoint is leaving. Its registry
 	// entry can lag behind.
@@ -241,7 +243,8 @@
 // reports that it is: the interval of registry entries plus their propagation delay.
 const missingTTL = 1500 * time.Millisecond
 
-// holds reports whether the adapter is believed to be resident at the endpoint.
+// holds reports whether the adapter is resident at the endpoint, according to the most recent
+// report or registry entry.
 func (e *endpoint) holds(now time.Time, a ggscore.ModelAdapter, version uint64) bool {
 	m := e.entry
 	if a.Adapter != "" && now.Sub(e.reportedAt) < heldMaxAge {
--- a/core/ggsplace/table_test.go
+++ b/core/ggsplace/table_test.go
@@ -274,7 +274,7 @@
 	c.Assert(choose(c, tb, q).Instance.ID, qt.Equals, home, qt.Commentf("all fail alike"))
 }
 
-func TestOwnReportsEndedRequestsOnce(t *testing.T) {
+func TestReportInFlightCountsEndedRequestsOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	tb := table("d0", 1)
@@ -351,7 +351,7 @@
 	c.Assert(tb.MissRate(at(time.Second), "r00", adapter(3)), qt.Equals, 0.0)
 }
 
-// Guards against counting a peer's requests twice, or for ever after the peer fell silent. A
+// Guards against counting a peer's requests twice, or for ever after the peer's reports stop. A
 // peer can report an endpoint that this VM doesn't know yet. An endpoint that seems full gets
 // no requests.
 func TestPeersRequestsAreCountedOnce(t *testing.T) {
@@ -376,7 +376,7 @@
 	c.Assert(inFlight(), qt.Equals, 0)
 }
 
-// Guards against requests to a runner that is believed to have an adapter in memory but has
+// Guards against requests to a runner that is assumed to have an adapter in memory but has
 // dropped it.
 func TestWarmMemoryScalesWithAdapterSlots(t *testing.T) {
 	t.Parallel()
--- a/core/ggsplace/warm.go
+++ b/core/ggsplace/warm.go
@@ -44,7 +44,7 @@
 	delete(e.warm, oldest)
 }
 
-// isWarm reports whether the endpoint is believed to have the adapter in its own memory.
+// isWarm reports whether the endpoint is assumed to have the adapter in its own memory.
 func (e *endpoint) isWarm(a ggscore.ModelAdapter, version uint64) bool {
 	w, ok := e.warm[a]
 	return ok && (version == 0 || w.version == version)
