--- a/core/ggsclaim/decision.go
+++ b/core/ggsclaim/decision.go
@@ -73,9 +73,9 @@
 	Grant  Grant
 	State  State
 	Result Result
-	// Seen is set with DecisionAway if the key is known to have been claimed before.
+	// Seen is set with DecisionUnavailable if the key is known to have been claimed before.
 	Seen bool
-	// RetryAfter is set with DecisionAway, DecisionFull and DecisionInProgress.
+	// RetryAfter is set with DecisionUnavailable, DecisionFull and DecisionInProgress.
 	RetryAfter time.Duration
 }
 
--- a/core/ggsclaim/doc.go
+++ b/core/ggsclaim/doc.go
@@ -16,7 +16,7 @@
 //	w := ggsclaim.NewWriter(limits)
 //	w.Begin(op, k, body, id, now)
 //	for s := w.Next(now); s.Kind != ggsclaim.StepIdle; s = w.Next(now) {
-//		// read or write the shard, then report by ReadDone, WriteDone or Away
+//		// read or write the shard, then report by ReadDone, WriteDone or Unavailable
 //	}
 //	for _, s := range w.Settled() {
 //		// s.Decision answers the operation s.Op
--- a/core/ggsclaim/model_test.go
+++ b/core/ggsclaim/model_test.go
@@ -94,7 +94,7 @@
 	open := mine && (r.state == StateClaimed || r.state == StateUnknown)
 	ended := register{state: i.finish, claim: r.claim, body: r.body}
 	switch {
-	// DecisionGone is also the answer to a record whose write took effect, if the answer
+	// DecisionClaimMissing is also the answer to a record whose write took effect, if the answer
 	// was lost and the key was claimed again afterwards.
 	case (o.kind == DecisionRecorded || o.kind == DecisionClaimMissing) && open:
 		return []any{ended}
--- a/core/ggsclaim/world_test.go
+++ b/core/ggsclaim/world_test.go
@@ -103,7 +103,7 @@
 	endAnswered = iota
 	endLostAfterEffect
 	endLostBeforeEffect
-	endAway
+	endUnavailable
 )
 
 // finishIO finishes a process's I/O.
@@ -114,7 +114,7 @@
 	switch {
 	case step.Kind == StepIdle:
 		return
-	case how == endAway, step.Kind == StepRead && how != endAnswered:
+	case how == endUnavailable, step.Kind == StepRead && how != endAnswered:
 		pr.writer.Unavailable(time.Second)
 	case step.Kind == StepRead:
 		pr.writer.ReadDone(w.shard, w.revision)
--- a/core/ggsclaim/writer.go
+++ b/core/ggsclaim/writer.go
@@ -86,7 +86,7 @@
 func NewWriter(l Limits) *Writer { return &Writer{limits: l} }
 
 // Unavailable reports that a read failed, or that a write had no effect because the platform's
-// key-value service did not accept it. Claims are answered at once by Recall and not
+// key-value service did not accept it. Claims are answered at once by DecideFromCache and not
 // dispatched. Outcomes stay pending and are retried.
 func (w *Writer) Unavailable(retryAfter time.Duration) {
 	w.requeue()
--- a/core/ggsclaim/writer_test.go
+++ b/core/ggsclaim/writer_test.go
@@ -42,7 +42,7 @@
 		"answer": func(t *rapid.T) { w.finishIO(process.Draw(t, "process"), endAnswered) },
 		"settle": func(t *rapid.T) { w.settle(process.Draw(t, "process")) },
 		"lose": func(t *rapid.T) {
-			w.finishIO(process.Draw(t, "process"), rapid.IntRange(endLostAfterEffect, endAway).Draw(t, "how"))
+			w.finishIO(process.Draw(t, "process"), rapid.IntRange(endLostAfterEffect, endUnavailable).Draw(t, "how"))
 		},
 		"land":   func(t *rapid.T) { pick(t, len(w.delayed), w.applyDelayed) },
 		"crash":  func(t *rapid.T) { w.crash(process.Draw(t, "process")) },
@@ -176,7 +176,7 @@
 	w.beginWrite()
 	w.finishIO(0, endLostAfterEffect)
 	w.startIO(0)
-	w.finishIO(0, endAway)
+	w.finishIO(0, endUnavailable)
 	w.settle(0)
 	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 }
@@ -222,7 +222,7 @@
 }
 
 // A holder's release takes effect, but its answer is lost and the key is claimed again
-// before the holder reads. The answer must be DecisionGone. Seed 5158163687557833157 of
+// before the holder reads. The answer must be DecisionClaimMissing. Seed 5158163687557833157 of
 // TestAtMostOnceUnderFaults showed that the model excluded this.
 func TestReleaseWithLostAnswer(t *testing.T) {
 	t.Parallel()
