--- a/core/ggsdocument/follower_test.go
+++ b/core/ggsdocument/follower_test.go
@@ -142,22 +142,22 @@
 	for range ggsdocument.HistoryLength - 1 {
 		h = accepted(c, h, "market/cr", "1", "x")
 	}
-	fate, r := h.StatusOf("first", 0)
-	c.Assert(fate, qt.Equals, ggsdocument.ChangeAccepted)
+	status, r := h.StatusOf("first", 0)
+	c.Assert(status, qt.Equals, ggsdocument.ChangeAccepted)
 	c.Assert(r, qt.Equals, ggscore.Revision(1))
-	fate, _ = h.StatusOf("never", 0)
-	c.Assert(fate, qt.Equals, ggsdocument.ChangeNotAccepted)
+	status, _ = h.StatusOf("never", 0)
+	c.Assert(status, qt.Equals, ggsdocument.ChangeNotAccepted)
 	h = accepted(c, h, "market/cr", "1", "y")
 	c.Assert(h.Changes, qt.HasLen, ggsdocument.HistoryLength)
-	fate, _ = h.StatusOf("first", 0)
-	c.Assert(fate, qt.Equals, ggsdocument.ChangeUnknown)
+	status, _ = h.StatusOf("first", 0)
+	c.Assert(status, qt.Equals, ggsdocument.ChangeUnknown)
 
 	latest := accepted(c, ggsdocument.Head{}, "market/wa", "1", "latest")
 	for range ggsdocument.HistoryLength {
 		latest = accepted(c, latest, "market/cr", "1", "x")
 	}
-	fate, r = latest.StatusOf("latest", 0)
-	c.Assert(fate, qt.Equals, ggsdocument.ChangeAccepted)
+	status, r = latest.StatusOf("latest", 0)
+	c.Assert(status, qt.Equals, ggsdocument.ChangeAccepted)
 	c.Assert(r, qt.Equals, ggscore.Revision(1))
 }
 
