--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -7,7 +7,7 @@
 //	rs := ggsgossip.Routes(self, peers, h.Relay, h.Sequence) // forward a heartbeat
 //	age := ggsgossip.ReadAge(ggsgossip.Rank(self.VM, reachable), rand.Float64())
 //	wait := ggsgossip.WatchWait(len(reachable)+1, rand.Float64())
-//	next := ggsgossip.BeatInterval(len(reachable)+1, owner)
+//	next := ggsgossip.HeartbeatInterval(len(reachable)+1, owner)
 //
 // A message goes directly to the VMs of the sender's failure domain, to one VM of each other
 // domain of its region, and to one VM of each other region. The latter two forward it. Traffic
@@ -135,8 +135,8 @@
 	return d
 }
 
-// AloneReadAge returns the age of the list of endpoints at which a VM without reachable peers reads
-// the list.
+// AloneReadAge returns the age of the list of endpoints at which a VM without reachable peers
+// reads the list.
 func AloneReadAge() time.Duration { return aloneAge }
 
 const (
