--- a/core/ggsrelay/doc.go
+++ b/core/ggsrelay/doc.go
@@ -13,18 +13,18 @@
 //
 //	n := ggsrelay.NewNode(ggsrelay.Options{Self: self, Started: started})
 //	n.SetMembers(members)
-//	if n.Large() { … }                        // else heartbeats go to each VM
-//	h.Carrier, to = n.Report(now, h)          // send the heartbeat to those VMs
+//	if n.UsesRelays() { … }                   // else heartbeats go to each VM
+//	h.CountingRelay, to = n.Report(now, h)    // send the heartbeat to those VMs
 //	n.Heartbeat(now, h)                       // a VM's heartbeat arrived
 //	v, ok := n.Summary(now, s)                // a summary arrived; apply v
-//	ms, v, ok := n.Tick(now, domainOf)        // send each m.Summary to m.To; apply v
+//	ms, v, ok := n.Tick(now, controller)      // send each m.Summary to m.To; apply v
 //
 // # Increments and states
 //
 // Counts of ended requests, demand and samples are increments and are added up. A heartbeat
-// names the one relay that forwards its increments (its carrier), so that they are counted
-// once. The relays of a domain alternate as carriers. All other parts of a heartbeat are
-// states, of which the newest replaces the older ones.
+// names the one relay that forwards its increments (its counting relay), so that they are
+// counted once. The relays of a domain alternate as counting relays. All other parts of a
+// heartbeat are states, of which the newest replaces the older ones.
 //
 // The package has no clock, goroutine or lock. Callers pass the time and serialize access.
 package ggsrelay
--- a/core/ggsrelay/node.go
+++ b/core/ggsrelay/node.go
@@ -138,7 +138,7 @@
 
 // Report records this VM's next heartbeat. It returns the relay that forwards the increments
 // in the heartbeat, and the VMs to send the heartbeat to.
-func (n *Node) Report(now time.Time, h ggscore.Heartbeat) (carrier ggscore.VMID, to []ggscore.VMID) {
+func (n *Node) Report(now time.Time, h ggscore.Heartbeat) (countingRelay ggscore.VMID, to []ggscore.VMID) {
 	vms := n.Relays(now)
 	if len(vms) == 0 {
 		return "", nil
--- a/core/ggsrelay/sim_test.go
+++ b/core/ggsrelay/sim_test.go
@@ -154,8 +154,8 @@
 	if n.sequence%9 == 0 {
 		h.Holdings = []ggscore.Holding{{Endpoint: endpointOf(n.member.VM), Whole: true}}
 	}
-	carrier, to := n.Report(clock(s.now), h)
-	h.CountingRelay = carrier
+	countingRelay, to := n.Report(clock(s.now), h)
+	h.CountingRelay = countingRelay
 	for _, vm := range to {
 		s.send(n, vm, func(o *simNode) { o.Heartbeat(clock(s.now), h) })
 	}
--- a/core/ggsrelay/table.go
+++ b/core/ggsrelay/table.go
@@ -179,7 +179,7 @@
 
 // stateSummary returns a summary of this VM's domain with the states that are sent each time.
 func (t *table) stateSummary(now time.Time) ggscore.Summary {
-	s := ggscore.Summary{Progress: unknownNews()}
+	s := ggscore.Summary{Progress: unknownProgress()}
 	for vm, h := range t.heartbeats {
 		s.Included = append(s.Included, ggscore.IncludedHeartbeat{VM: Hash(vm), Sequence: h.Sequence})
 		if now.Sub(h.receivedAt) <= maxLiveAge {
@@ -211,7 +211,7 @@
 // unknownAge is the age that stands for a list that was never read.
 const unknownAge = time.Hour
 
-func unknownNews() ggscore.StoreProgress {
+func unknownProgress() ggscore.StoreProgress {
 	return ggscore.StoreProgress{ListAge: unknownAge, OperatorsAge: unknownAge}
 }
 
