--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -69,8 +69,8 @@
 	suspendedUntil time.Time
 }
 
-// RecordGap records a gap between two pieces of a stream, and reports whether prefill made the gap
-// longer than callers accept.
+// RecordGap records a gap between two pieces of a stream, and reports whether prefill made the
+// gap longer than callers accept.
 func (t *Table) RecordGap(now time.Time, s ggscore.Service, id ggscore.EndpointID, gap time.Duration) bool {
 	v := t.service(s)
 	if v.gapAim <= 0 || gap <= 0 {
@@ -84,8 +84,8 @@
 }
 
 // RecordStream records a stream of this VM: at its end if it wasn't degraded, otherwise when it
-// became degraded. A stream is degraded by a gap for which Gap returns true, or by a first
-// piece that is late only because the prompt waited for its turn.
+// became degraded. A stream is degraded by a gap for which RecordGap returns true, or by a
+// first piece that is late only because the prompt waited for its turn.
 func (t *Table) RecordStream(now time.Time, s ggscore.Service, id ggscore.EndpointID, degraded bool) {
 	if !t.service(s).knowsAllTurns(now, id) {
 		return
--- a/core/ggsturn/pauses_test.go
+++ b/core/ggsturn/pauses_test.go
@@ -154,7 +154,7 @@
 	c.Assert(b.Modes(), qt.DeepEquals, a.Modes())
 }
 
-func TestUntoldReportsOnce(t *testing.T) {
+func TestDrainUnreportedReportsOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := learningTable()
--- a/core/ggsturn/speed.go
+++ b/core/ggsturn/speed.go
@@ -131,8 +131,8 @@
 	return q.slowness
 }
 
-// RecordFirstPiece records the arrival of an answer's first piece. sent is when the prompt was sent, at
-// its turn or slightly later.
+// RecordFirstPiece records the arrival of an answer's first piece. sent is when the prompt was
+// sent, at its turn or slightly later.
 func (t *Table) RecordFirstPiece(now time.Time, n ggscore.PromptTurn, sent time.Time) {
 	v, q := t.service(n.Service), t.queue(n.Endpoint)
 	i := q.find(n)
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -13,27 +13,27 @@
 // # Usage
 //
 //	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
-//	t.SetService(service, gapAim)                  // from the configuration
-//	e := t.Expect(now, service, endpoint, tokens)  // to choose an endpoint
-//	n := t.Take(now, service, endpoint, tokens, d) // announce to peers, wait until n.Begin
-//	t.SetEndpoints(service, endpoints)             // in a large fleet
-//	ok := t.Announces(now, n)                      // whether to announce the turn
-//	n, ok := t.Confirm(now, n)                     // send, or announce and wait again
-//	t.Add(now, n)                                  // a peer's turn
-//	t.Drop(n)                                      // the caller left, or a peer dropped its turn
-//	t.First(now, n, sent)                          // the first piece arrived
-//	degraded := t.Gap(now, service, endpoint, gap) // a gap between two pieces
-//	t.Stream(now, service, endpoint, degraded)     // a stream ended or became degraded
-//	samples, tallies := t.Untold()                 // report to peers
-//	t.LearnFirst(sample)                           // a peer's sample
-//	t.LearnTally(now, tally)                       // a peer's stream counts
-//	t.SetDecides(first)                            // one VM decides on enforcement
-//	t.Follow(now, mode)                            // the other VMs apply its mode
+//	t.SetService(service, gapAim)                        // from the configuration
+//	t.SetEndpoints(service, endpoints)                   // in a large fleet
+//	e := t.Estimate(now, service, endpoint, tokens)      // to choose an endpoint
+//	n := t.Take(now, service, endpoint, tokens, delay)   // announce to peers, wait until n.Begin
+//	ok := t.Announces(now, n)                            // whether to announce the turn
+//	n, ok := t.Confirm(now, n)                           // send, or announce and wait again
+//	t.Add(now, n)                                        // a peer's turn
+//	t.Drop(n)                                            // a caller left, or a peer dropped its turn
+//	t.RecordFirstPiece(now, n, sent)                     // the first piece arrived
+//	degraded := t.RecordGap(now, service, endpoint, gap) // a gap between two pieces
+//	t.RecordStream(now, service, endpoint, degraded)     // a stream ended or became degraded
+//	samples, tallies := t.DrainUnreported()              // report to peers
+//	t.AddSample(sample)                                  // a peer's sample
+//	t.AddTally(now, tally)                               // a peer's stream counts
+//	t.SetDecides(first)                                  // one VM decides on enforcement
+//	t.ApplyMode(now, mode)                               // the other VMs apply its mode
 //
 // There is no central scheduler. A VM takes the next turn that is free in its own view and
 // announces the turn to its peers at once. Two VMs can take the same turn within the
-// propagation delay of a datagram. Their prompts are then prefilled together, for which the
-// bound leaves room. A VM that receives nothing from its peers continues with its own view.
+// propagation delay of a datagram. Their prompts are then prefilled together, which the
+// bound allows for. A VM that receives nothing from its peers continues with its own view.
 //
 // A Table isn't safe for concurrent use. It has no clock and no goroutines: the caller passes
 // the time.
@@ -48,8 +48,9 @@
 // Options configure a Table.
 type Options struct {
 	VM ggscore.VMID
-	// FirstNumber is the number of the first turn. It has to differ between processes of a VM, so
-	// that turns of a new process aren't mistaken for those of the previous one.
+	// FirstNumber is the number that precedes the first turn's. It has to differ between
+	// processes of a VM, so that turns of a new process aren't mistaken for those of the previous
+	// one.
 	FirstNumber uint64
 }
 
