--- a/core/ggsshare/borrow.go
+++ b/core/ggsshare/borrow.go
@@ -77,7 +77,7 @@
 	return min(s.plan.Borrowed(), s.nextPlan.Borrowed())
 }
 
-// requestTurn returns a put of the Wanted record, if the borrower holds less than an equal
+// requestTurn returns a put of the WaitMarker record, if the borrower holds less than an equal
 // share of the units and no borrower has put that record yet.
 func (s *Borrower) requestTurn(taken map[Unit]bool, holders int) []Order {
 	x := s.unitState(WaitMarker)
@@ -121,7 +121,7 @@
 	return orders
 }
 
-// heldUnits returns the held units in ascending order, without Wanted.
+// heldUnits returns the held units in ascending order, without WaitMarker.
 func (s *Borrower) heldUnits() []Unit {
 	list := []Unit{}
 	for u, x := range s.units {
@@ -174,9 +174,9 @@
 	return x
 }
 
-// releaseWanted releases the Wanted record once the borrower has as many units as its demand
-// needs, or an equal share.
-func (s *Borrower) releaseWanted(now time.Time, holders int) []Order {
+// releaseWaitMarker releases the WaitMarker record once the borrower has as many units as its
+// demand needs, or an equal share.
+func (s *Borrower) releaseWaitMarker(now time.Time, holders int) []Order {
 	if s.shortfall(now) > 0 && len(s.heldUnits()) < max(s.borrowable()/holders, 1) {
 		return nil
 	}
@@ -197,12 +197,12 @@
 	return n
 }
 
-// yield releases units whose turn has ended, if another borrower has put the Wanted record and
-// this one holds more than an equal share; otherwise their next turn begins. After a release
-// it delays the next attempt to borrow, so that the other borrower attempts first.
-func (s *Borrower) yield(now time.Time, wanted bool, holders int) []Order {
+// yield releases units whose turn has ended, if another borrower has put the WaitMarker record
+// and this one holds more than an equal share; otherwise their next turn begins. After a release
+// yield delays the next attempt to borrow, so that the other borrower attempts first.
+func (s *Borrower) yield(now time.Time, otherWaits bool, holders int) []Order {
 	if x := s.unitState(WaitMarker); x.heldRevision != 0 {
-		return s.releaseWanted(now, holders)
+		return s.releaseWaitMarker(now, holders)
 	}
 	ended := []Unit{}
 	held := s.heldUnits()
@@ -214,7 +214,7 @@
 		ended = append(ended, u)
 	}
 	spare := len(held) - s.borrowable()/(holders+1)
-	if !wanted || spare <= 0 {
+	if !otherWaits || spare <= 0 {
 		return nil
 	}
 	orders := s.release(now, ended[:min((spare+1)/2, len(ended))])
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -36,7 +36,7 @@
 // A Unit is the number of a borrowed unit.
 type Unit int
 
-// WaitMarker isn't a unit. Its record marks that a borrower is waiting, since it found no free unit.
+// WaitMarker isn't a unit. Its record says that a borrower found no free unit and waits for one.
 const WaitMarker Unit = -1
 
 // A Plan divides the limits into units. The zero Plan has no units.
--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -64,7 +64,7 @@
 	mayHaveUnknownRecord bool
 }
 
-// New returns a state without a plan, a lease or ownership. Its share is zero.
+// New returns a Borrower without a plan, a lease or ownership. Its share is zero.
 func New(o Options) *Borrower {
 	return &Borrower{
 		options:     o,
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// SetDemand sets the number of loads that the group could start now. It returns orders to execute.
+// SetDemand sets the number of loads that the group could start now. It returns orders to
+// execute.
 func (s *Borrower) SetDemand(now time.Time, loads int) []Order {
 	s.demand = loads
 	if loads > s.staticUnits() {
