--- a/core/ggsretry/budget.go
+++ b/core/ggsretry/budget.go
@@ -108,7 +108,8 @@
 	}
 }
 
-// RetainMarkets removes the budgets of markets that aren't in markets, which are those of the document.
+// RetainMarkets removes the budgets of all other markets than those in markets, which are the
+// document's.
 func (p *Policy) RetainMarkets(markets map[ggscore.Market]ggscore.MarketSpec) {
 	for m := range p.budgets {
 		if _, ok := markets[m]; !ok {
