--- a/core/ggsowner/doc.go
+++ b/core/ggsowner/doc.go
@@ -14,18 +14,18 @@
 //	l.Renewed(sent) // after each successful renewal
 //
 //	g := ggsowner.NewGroup(self)
-//	g.Want(first)
-//	g.Poll()
-//	for s := g.Next(now, l); s.Kind != ggsowner.StepIdle; s = g.Next(now, l) {
-//		// do the I/O, then call RecordRead, LeaseRead, WriteDone or Away
+//	g.SetCandidate(first)
+//	g.Invalidate()
+//	for s := g.Next(now, &l); s.Kind != ggsowner.StepIdle; s = g.Next(now, &l) {
+//		// do the I/O, then call RecordRead, LeaseRead, WriteDone or IOFailed
 //	}
-//	fence, err := g.Check(now, l, endpoint, adapter, ggscore.OrderDispatch)
+//	fence, err := g.Check(now, &l, endpoint, adapter, ggscore.OrderDispatch)
 //
 // # Safety
 //
 // Only the holder of the lease that the record names gives orders other than
 // dispatches. Another VM takes the group over only after the platform has reported
-// this lease as lapsed, or after the owner has released the record. Takeover and
+// this lease as expired, or after the owner has released the record. Takeover and
 // release are compare-and-swap writes of the record. The holder counts the lease's
 // time to live from before it sent the renewal, less a margin, on the monotonic
 // clock, so that its lease ends before the platform allows a takeover.
@@ -34,7 +34,7 @@
 // record protects, but gives no other orders. A new owner treats these adapters
 // as pinned until the earlier owner is known to have stopped. A request is
 // dispatched only if the record protects its adapter, also while the lease is
-// held, so that runs that began before the lease lapsed are protected too.
+// held, so that runs that began before the lease expired are protected too.
 //
 // The package has no clock, goroutine or lock of its own: callers pass the time,
 // do the I/O and serialize the calls.
--- a/core/ggsowner/group.go
+++ b/core/ggsowner/group.go
@@ -15,7 +15,7 @@
 	StepIdle StepKind = iota
 	// StepReadRecord reads the record.
 	StepReadRecord
-	// StepReadLease reads whether Lease of Owner has lapsed.
+	// StepReadLease reads whether Lease of Owner has expired.
 	StepReadLease
 	// StepWriteRecord writes Record if the stored record has revision Prev.
 	StepWriteRecord
@@ -50,7 +50,7 @@
 const (
 	leaseUnknown leaseState = iota
 	leaseHeld
-	leaseLapsed
+	leaseExpired
 )
 
 // A Group is one dispatcher's state of a group of endpoints. At most one I/O per
@@ -99,7 +99,7 @@
 	if m == ggscore.ModeNone || (m == ggscore.ModeResidentOnly && k != ggscore.OrderDispatch) {
 		return 0, &NotOwnerError{Endpoint: id, Mode: m}
 	}
-	// If the lease lapses during a run, the next owner evicts adapters that the
+	// If the lease expires during a run, the next owner evicts adapters that the
 	// record doesn't protect, and a run that uses one of them breaks off. The next
 	// owner treats adapters that the record protects as pinned.
 	if k == ggscore.OrderDispatch && !a.IsZero() && !g.confirmed.Has(id, a) {
@@ -192,10 +192,10 @@
 }
 
 // LeaseRead records the result of StepReadLease.
-func (g *Group) LeaseRead(lapsed bool) {
+func (g *Group) LeaseRead(expired bool) {
 	g.ownerLease = leaseHeld
-	if lapsed {
-		g.ownerLease = leaseLapsed
+	if expired {
+		g.ownerLease = leaseExpired
 	}
 }
 
@@ -284,7 +284,7 @@
 			return next, false, Step{Kind: StepReadLease, Owner: g.record.Owner.VM, Lease: g.record.Lease}
 		case leaseHeld:
 			return next, changed, Step{}
-		case leaseLapsed:
+		case leaseExpired:
 		}
 	}
 	g.takeOver(l, &next)
--- a/core/ggsowner/group_test.go
+++ b/core/ggsowner/group_test.go
@@ -75,7 +75,7 @@
 	s.runSteps(0)
 }
 
-// A paused dispatcher resumes after its lease has lapsed. It still regards itself as
+// A paused dispatcher resumes after its lease has expired. It still regards itself as
 // the owner and evicts an adapter that the new owner uses.
 func TestPausedOwnerCannotOrder(t *testing.T) {
 	t.Parallel()
@@ -90,7 +90,7 @@
 }
 
 // Two owners order loads at the same time: the first has a new lease, but the record
-// still names its lapsed lease, so that another dispatcher may take over.
+// still names its expired lease, so that another dispatcher may take over.
 func TestNewLeaseMustBeRecorded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -108,8 +108,8 @@
 }
 
 // Two owners order loads at the same time: a candidate reads that the first owner's
-// lease has lapsed and takes over from the second owner, whose lease is held.
-func TestLapseAppliesToOneOwnerOnly(t *testing.T) {
+// lease has expired and takes over from the second owner, whose lease is held.
+func TestExpiryAppliesToOneOwnerOnly(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := newSimulation(3)
@@ -204,7 +204,7 @@
 	c.Assert(s.record.Protected.Has(runner, a), qt.IsTrue)
 }
 
-// During a planned stop, requests wait until the lease lapses, because the next owner
+// During a planned stop, requests wait until the lease expires, because the next owner
 // can't take over earlier. A released group must be taken over at once, with the
 // adapters of the leaving owner's runs still pinned.
 func TestReleasedGroupIsTakenOverAtOnce(t *testing.T) {
--- a/core/ggsowner/lease.go
+++ b/core/ggsowner/lease.go
@@ -10,7 +10,7 @@
 type Limits struct {
 	// TTL is how long the platform keeps a lease after it received a renewal.
 	TTL time.Duration
-	// Margin is how much earlier the holder regards the lease as lapsed. It
+	// Margin is how much earlier the holder regards the lease as expired. It
 	// covers the time that an order is in transit, and the drift between the
 	// clocks of holder and platform over TTL.
 	Margin time.Duration
--- a/core/ggsowner/record.go
+++ b/core/ggsowner/record.go
@@ -13,7 +13,7 @@
 	Incarnation string
 }
 
-// A AdapterSet is a set of adapters per endpoint. It must not be changed once it is shared.
+// An AdapterSet is a set of adapters per endpoint. It must not be changed once it is shared.
 type AdapterSet map[ggscore.EndpointID][]ggscore.AdapterRef
 
 // Has reports whether s contains an adapter on an endpoint.
