--- a/core/ggsregistry/registry.go
+++ b/core/ggsregistry/registry.go
@@ -18,7 +18,7 @@
 //   - An endpoint that was seen leaving stays marked as leaving until its process restarts.
 //   - An endpoint whose entry is missing stays on the list for MissingGrace.
 //   - An endpoint that was seen removed stays off the list until it has a new process, its
-//     entry is written in the new epoch, or its entry still exists after CopyTrust.
+//     entry is written in the new epoch, or its entry still exists after StaleCopyPeriod.
 //
 // A Registry has no clock, goroutine or lock of its own; the caller passes times and
 // serializes access.
@@ -35,8 +35,8 @@
 	// MissingGrace is how long endpoints whose entries were lost stay on the list. Live
 	// endpoints write their entries again within about that time.
 	MissingGrace = 2 * time.Second
-	// StaleCopyPeriod is how long after the start of an epoch a copied entry may belong to a process
-	// that has ended. By then such entries have expired, after three missed heartbeats.
+	// StaleCopyPeriod is how long after the start of an epoch a copied entry may belong to a
+	// process that has ended. Later, such entries have expired after three missed heartbeats.
 	StaleCopyPeriod = 10 * time.Second
 	// removalMaxAge is how long the removal of an endpoint is remembered. Copies of the store are
 	// only seconds old.
@@ -67,8 +67,8 @@
 
 // A removal records the removal of an endpoint's process from the list.
 type removal struct {
-	born time.Time
-	at   time.Time
+	startedAt time.Time
+	at        time.Time
 }
 
 // NewRegistry returns an empty Registry.
@@ -93,7 +93,7 @@
 			continue
 		}
 		i := e.Instance
-		if born, ok := r.leaving[i.ID]; ok && born.Equal(i.StartedAt) {
+		if startedAt, ok := r.leaving[i.ID]; ok && startedAt.Equal(i.StartedAt) {
 			i.Leaving = true
 		}
 		list[i.ID] = i
@@ -130,14 +130,14 @@
 // staleCopy reports whether an entry was copied from before its process was seen removed.
 func (r *Registry) staleCopy(now time.Time, e Entry) bool {
 	d, ok := r.removed[e.ID]
-	return ok && d.born.Equal(e.StartedAt) && d.at.Before(r.epochSince) && r.copied[e.ID] == e.Revision && r.epochYoungerThan(now, StaleCopyPeriod)
+	return ok && d.startedAt.Equal(e.StartedAt) && d.at.Before(r.epochSince) && r.copied[e.ID] == e.Revision && r.epochYoungerThan(now, StaleCopyPeriod)
 }
 
 // setList stores the list and records the endpoints that were removed from it.
 func (r *Registry) setList(now time.Time, list map[ggscore.EndpointID]ggscore.Instance) {
 	for id, i := range r.list {
 		if _, ok := list[id]; !ok {
-			r.removed[id] = removal{born: i.StartedAt, at: now}
+			r.removed[id] = removal{startedAt: i.StartedAt, at: now}
 		}
 	}
 	maps.DeleteFunc(r.removed, func(id ggscore.EndpointID, d removal) bool { return now.Sub(d.at) > removalMaxAge })
--- a/core/ggsregistry/registry_test.go
+++ b/core/ggsregistry/registry_test.go
@@ -16,8 +16,8 @@
 	return ggscore.StorePosition{Epoch: e, Revision: r}
 }
 
-func entry(r ggscore.StoreRevision, born int64, leaving bool) ggsregistry.Entry {
-	return ggsregistry.Entry{Instance: ggscore.Instance{ID: "e", StartedAt: time.UnixMilli(born), Leaving: leaving}, Revision: r}
+func entry(r ggscore.StoreRevision, startedAt int64, leaving bool) ggsregistry.Entry {
+	return ggsregistry.Entry{Instance: ggscore.Instance{ID: "e", StartedAt: time.UnixMilli(startedAt), Leaving: leaving}, Revision: r}
 }
 
 // A reading is a reading of the entries at a time after the start.
