--- a/core/ggspopularity/demand.go
+++ b/core/ggspopularity/demand.go
@@ -63,8 +63,8 @@
 	return 0
 }
 
-// LongTerm returns an adapter's requests per second over the last minutes. It determines which of
-// two adapters would be missed more if evicted. The time since the last request bounds the
+// LongTerm returns an adapter's requests per second over the last minutes. It determines which
+// of two adapters would be missed more if evicted. The time since the last request bounds the
 // rate of an adapter that was popular before.
 func (d *Demand) LongTerm(now time.Time, a ggscore.ModelAdapter) float64 {
 	s := d.adapters[a]
