--- a/core/ggsroute/board_test.go
+++ b/core/ggsroute/board_test.go
@@ -110,7 +110,7 @@
 
 // A dispatcher's VM fails. The relay still answers, so that the gateway regards
 // all of the relay's dispatchers as alive and sends requests to the failed one.
-func TestBoardMarksSilentDispatchersAsGone(t *testing.T) {
+func TestBoardMarksDispatchersWithoutSummariesAsGone(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := ggsroute.NewBoard("one", 3*time.Second)
