--- a/core/ggsschedule/bench_driver_test.go
+++ b/core/ggsschedule/bench_driver_test.go
@@ -132,12 +132,12 @@
 func (v *driver) after(d time.Duration, do func()) { v.at(v.now.Add(d), do) }
 
 // measuring reports whether the warm-up is over.
-func (v *driver) measuring() bool { return v.now.Sub(epoch()) >= v.d.warmUp }
+func (v *driver) measuring() bool { return v.now.Sub(testStart()) >= v.d.warmUp }
 
 // drive runs one policy on one scenario.
 func drive(p ggsschedule.Policy, w workload, c scenario, d deployment) *outcome {
 	v := &driver{
-		d: d, c: c, now: epoch(),
+		d: d, c: c, now: testStart(),
 		s:         ggsschedule.New(ggsschedule.Options{Policy: p, StallWeight: w.stallWeight, Seed: d.seed}),
 		byID:      make(map[ggscore.EndpointID]*engine),
 		runs:      make(map[ggscore.RequestID]time.Duration),
--- a/core/ggsschedule/cost_test.go
+++ b/core/ggsschedule/cost_test.go
@@ -25,7 +25,7 @@
 // newSteadyLoad returns a scheduler with runners whose adapters have all been requested
 // once.
 func newSteadyLoad(runners, adapters int, zipf bool) *steadyLoad {
-	l := &steadyLoad{s: ggsschedule.New(ggsschedule.Options{Seed: 1}), now: epoch()}
+	l := &steadyLoad{s: ggsschedule.New(ggsschedule.Options{Seed: 1}), now: testStart()}
 	l.s.SetLoadShare(l.now, ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 3})
 	for i := range runners {
 		e := runner(fmt.Sprintf("r%d", i))
--- a/core/ggsschedule/costs.go
+++ b/core/ggsschedule/costs.go
@@ -27,7 +27,7 @@
 	// at least minLoadRateFraction of the share.
 	loadRateWindow      = 10 * time.Second
 	minLoadRateFraction = 0.05
-	// standingAfter is how long a load queue must stand before newcomers are refused. With
+	// standingAfter is how long a load queue must stand before new requests are refused. With
 	// a StallWeight of 1, waitTargetLoads is the wait target in load times.
 	standingAfter   = 2 * time.Second
 	waitTargetLoads = 2
@@ -47,7 +47,7 @@
 // first request in the queue.
 func (s *Scheduler) score(now time.Time, a *adapter) float64 {
 	n := a.queue.Len()
-	waited := time.Duration(n)*(now.Sub(s.epoch)+s.options.LoadTime) - a.queuedSum
+	waited := time.Duration(n)*(now.Sub(s.origin)+s.options.LoadTime) - a.queuedSum
 	return float64(waited) / float64(s.waitTarget(a.queue.Head().Value))
 }
 
@@ -212,7 +212,7 @@
 // first requests, since it predicts waits from a rate of loads that is still near zero.
 func (v *service) allFull(now time.Time) bool {
 	reported := slices.ContainsFunc(v.endpoints, func(e *endpoint) bool { return e.allowsLoads(now) })
-	return reported && !v.hasRoom(now)
+	return reported && !v.hasUsableAdapterSlot(now)
 }
 
 // recentLoads is the decayed number of loads that were started.
--- a/core/ggsschedule/dispatch.go
+++ b/core/ggsschedule/dispatch.go
@@ -120,10 +120,10 @@
 	a := j.adapter
 	var best *endpoint
 	var on *replica
-	room := 0
+	mostFree := 0
 	consider := func(e *endpoint, r *replica) {
-		if (j.bound == nil || j.bound == e) && e.serves(now, a.ref) && e.freeSlots() > room {
-			best, on, room = e, r, e.freeSlots()
+		if (j.bound == nil || j.bound == e) && e.serves(now, a.ref) && e.freeSlots() > mostFree {
+			best, on, mostFree = e, r, e.freeSlots()
 		}
 	}
 	if a.needsNoReplica() {
--- a/core/ggsschedule/machine_test.go
+++ b/core/ggsschedule/machine_test.go
@@ -127,7 +127,7 @@
 func (m *machine) check(orders []ggscore.Order) {
 	for _, o := range orders {
 		if debug {
-			fmt.Println(m.now.Sub(epoch()), o.Kind, o.Endpoint, o.Adapter)
+			fmt.Println(m.now.Sub(testStart()), o.Kind, o.Endpoint, o.Adapter)
 		}
 		switch o.Kind {
 		case ggscore.OrderDispatch:
@@ -196,7 +196,7 @@
 
 func (m *machine) assert(ok bool, what string) {
 	if !ok {
-		m.t.Fatalf("%s at %s", what, m.now.Sub(epoch()))
+		m.t.Fatalf("%s at %s", what, m.now.Sub(testStart()))
 	}
 }
 
@@ -580,7 +580,7 @@
 }
 
 // Engines restart, fail loads, lose ends, leave and change owners, and reports come
-// late, twice or never. The scheduler must not evict an adapter from under a run,
+// late, twice or never. The scheduler must not evict an adapter that a run uses,
 // dispatch a request twice or lose one: callers would get broken answers, duplicate
 // runs or no answer.
 func TestSchedulerKeepsItsContract(t *testing.T) {
@@ -588,7 +588,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{
 			s:             ggsschedule.New(ggsschedule.Options{Seed: 1, Policy: ggsschedule.Policy(rapid.IntRange(0, 3).Draw(t, "policy"))}),
-			now:           epoch(),
+			now:           testStart(),
 			loads:         make(map[slotKey]int),
 			unloads:       make(map[slotKey]int),
 			unsettled:     make(map[slotKey]unsettled),
@@ -596,7 +596,7 @@
 			evicted:       make(map[slotKey]time.Time),
 			orderedUnder:  make(map[slotKey]string),
 			share:         ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 3},
-			filled:        epoch(),
+			filled:        testStart(),
 			t:             t,
 		}
 		m.check(m.s.SetLoadShare(m.now, m.share))
--- a/core/ggsschedule/plan.go
+++ b/core/ggsschedule/plan.go
@@ -47,7 +47,7 @@
 func (s *Scheduler) orderMostUrgent(now time.Time) bool {
 	var candidates []loadCandidate
 	for _, v := range s.ordered {
-		if v.kind != ggscore.KindModel || !v.hasRoom(now) {
+		if v.kind != ggscore.KindModel || !v.hasUsableAdapterSlot(now) {
 			continue
 		}
 		for _, a := range v.waiting {
@@ -77,9 +77,9 @@
 	return best
 }
 
-// hasRoom reports whether any endpoint has an adapter slot that is free or can be freed
-// by an eviction.
-func (v *service) hasRoom(now time.Time) bool {
+// hasUsableAdapterSlot reports whether any endpoint has an adapter slot that is free or can be
+// freed by an eviction.
+func (v *service) hasUsableAdapterSlot(now time.Time) bool {
 	for _, e := range v.endpoints {
 		if !e.allowsLoads(now) {
 			continue
@@ -137,8 +137,8 @@
 	return all
 }
 
-// orderLoad orders one load, or the eviction that makes room for it. It reports whether
-// it did.
+// orderLoad orders one load, or the eviction that frees a slot for the load. It reports
+// whether it ordered one of them.
 func (s *Scheduler) orderLoad(now time.Time, c loadCandidate) bool {
 	e, victim := s.placement(now, c)
 	if e == nil || (c.prefetch && victim != nil && s.evictionCost(now, victim)*hysteresis > c.adapter.rate(now)) {
@@ -159,7 +159,7 @@
 }
 
 // orderRefill orders the load of the most popular adapter that a restart removed, if no
-// runner has it and there is room. It reports whether it ordered one.
+// runner has the adapter and one can load it. It reports whether it ordered a load.
 func (s *Scheduler) orderRefill(now time.Time) bool {
 	for _, v := range s.ordered {
 		for len(v.refill) > 0 {
--- a/core/ggsschedule/requests.go
+++ b/core/ggsschedule/requests.go
@@ -125,7 +125,7 @@
 func (s *Scheduler) dequeue(j *job) {
 	a := j.adapter
 	a.queue.Remove(&j.item)
-	a.queuedSum -= j.queuedAt.Sub(s.epoch)
+	a.queuedSum -= j.queuedAt.Sub(s.origin)
 	if j.bound != nil {
 		a.countBound(j.bound, -1)
 	}
@@ -152,7 +152,7 @@
 	} else {
 		a.urgent++
 	}
-	a.queuedSum += j.queuedAt.Sub(s.epoch)
+	a.queuedSum += j.queuedAt.Sub(s.origin)
 	if j.bound != nil {
 		a.countBound(j.bound, 1)
 	}
--- a/core/ggsschedule/scheduler.go
+++ b/core/ggsschedule/scheduler.go
@@ -11,9 +11,10 @@
 
 // A Scheduler schedules requests and adapters on the endpoints of one owner.
 type Scheduler struct {
-	options   Options
-	random    *rand.Rand
-	epoch     time.Time
+	options Options
+	random  *rand.Rand
+	// origin is the time of the first call. Times in sums are offsets from origin.
+	origin    time.Time
 	services  map[ggscore.Service]*service
 	ordered   []*service
 	endpoints map[ggscore.EndpointID]*endpoint
@@ -91,10 +92,10 @@
 	return s.finish(now)
 }
 
-// begin clears the orders of the previous call and sets the epoch on the first call.
+// begin clears the orders of the previous call and sets origin on the first call.
 func (s *Scheduler) begin(now time.Time) {
-	if s.epoch.IsZero() {
-		s.epoch = now
+	if s.origin.IsZero() {
+		s.origin = now
 	}
 	s.orders = s.orders[:0]
 }
--- a/core/ggsschedule/scheduler_test.go
+++ b/core/ggsschedule/scheduler_test.go
@@ -10,8 +10,8 @@
 	"greengageslip/core/ggsschedule"
 )
 
-// epoch is the start of every test's clock.
-func epoch() time.Time { return time.Unix(1_800_000_000, 0) }
+// testStart is the start of every test's clock.
+func testStart() time.Time { return time.Unix(1_800_000_000, 0) }
 
 func runner(id string) ggscore.Endpoint {
 	return ggscore.Endpoint{
@@ -49,7 +49,7 @@
 func TestRequestLoadsAdapterThenRuns(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now, "r1")
 	now = now.Add(time.Second)
 	r := request("q1", "a")
--- a/core/ggsschedule/stories_test.go
+++ b/core/ggsschedule/stories_test.go
@@ -50,7 +50,7 @@
 func TestOldReportDoesNotSettleLoad(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now, "r1")
 	now = now.Add(time.Second)
 	s.Submit(now, request("q1", "a"))
@@ -70,7 +70,7 @@
 func TestLostEvictionIsRepeated(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a", "b")
 	now = now.Add(time.Second)
 	c.Assert(kinds(s.Submit(now, request("q1", "c"))), qt.DeepEquals, []string{"unload a"})
@@ -90,7 +90,7 @@
 func TestForeignRunPinsUntilIdle(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now)
 	spec := runner("r1")
 	spec.AdapterSlots = 1
@@ -110,7 +110,7 @@
 func TestForeignRunInLaterReportPins(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now)
 	spec := runner("r1")
 	spec.AdapterSlots = 1
@@ -137,7 +137,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			now := epoch()
+			now := testStart()
 			s := resident(now, "a")
 			now = now.Add(time.Second)
 			r := request("q1", "a")
@@ -153,7 +153,7 @@
 func TestRestartReloadsMostPopularFirst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "rare", "busy")
 	now = now.Add(time.Second)
 	for i := range 9 {
@@ -177,7 +177,7 @@
 func TestMarketsShareByWeight(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a", "b")
 	s.SetMarkets(map[ggscore.Market]int{"flood": 1, "few": 2})
 	now = now.Add(time.Second)
@@ -211,7 +211,7 @@
 func TestPriorityThenDeadline(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a")
 	now = now.Add(time.Second)
 	for i, r := range []struct {
@@ -260,7 +260,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			now := epoch()
+			now := testStart()
 			s := newScheduler(now, "r1")
 			tc.prepare(s, now)
 			r := request("q1", "a")
@@ -279,7 +279,7 @@
 func TestFailedLoadDoesNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now, "r1")
 	s.SetLoadShare(now, ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 1})
 	now = now.Add(time.Second)
@@ -296,7 +296,7 @@
 		}
 		for _, o := range s.Tick(now) {
 			if o.Kind == ggscore.OrderRefuse {
-				c.Assert(now.Sub(epoch()) <= 6*time.Second, qt.IsTrue)
+				c.Assert(now.Sub(testStart()) <= 6*time.Second, qt.IsTrue)
 				return
 			}
 			c.Assert(kinds(s.LoadEnded(now, "r1", ref("bad"), ggscore.EndFailed)), qt.Not(qt.Contains), "load bad")
@@ -311,7 +311,7 @@
 func TestSlowEvictionDoesNotExceedBurst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a", "b")
 	s.SetLoadShare(now, ggscore.LoadShare{LoadsPerSecond: 1, InTransit: 3})
 	now = now.Add(time.Second)
@@ -332,7 +332,7 @@
 func TestShrunkShareHoldsForReservedLoads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a", "b")
 	now = now.Add(time.Second)
 	c.Assert(kinds(s.Submit(now, request("q1", "c"))), qt.DeepEquals, []string{"unload a"})
@@ -348,7 +348,7 @@
 func TestDeferrableRequestsAreAllAnswered(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now, "r1")
 	s.SetLoadShare(now, ggscore.LoadShare{LoadsPerSecond: 0.1, InTransit: 1})
 	answered := map[string]int{}
@@ -391,7 +391,7 @@
 func TestReportFromBeforeOwnershipIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a")
 	now = now.Add(time.Second)
 	s.SetEndpoint(now, runner("r1"), ggscore.ModeNone)
@@ -412,7 +412,7 @@
 func TestNewOwnershipPinsAdapters(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now)
 	spec := runner("r1")
 	spec.AdapterSlots = 1
@@ -436,7 +436,7 @@
 func TestCancelledRequestIsNotRetried(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a")
 	now = now.Add(time.Second)
 	s.Submit(now, request("q1", "a"))
@@ -451,7 +451,7 @@
 func TestFailingRunnerIsPaused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a")
 	now = now.Add(time.Second)
 	c.Assert(kinds(s.Submit(now, request("q1", "a"))), qt.DeepEquals, []string{"dispatch q1"})
@@ -484,7 +484,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			now := epoch()
+			now := testStart()
 			s := newScheduler(now, "r1")
 			now = now.Add(time.Second)
 			s.Submit(now, request("q1", "a"))
@@ -499,7 +499,7 @@
 func TestRefillDoesNotThrash(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now, "r1", "r2")
 	now = now.Add(time.Millisecond)
 	s.Report(now, report("r1", "one", now, idle("a", "b")...))
@@ -518,7 +518,7 @@
 func TestOldReportDoesNotUnpin(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := newScheduler(now)
 	spec := runner("r1")
 	spec.AdapterSlots = 1
@@ -540,7 +540,7 @@
 func TestEvictedAdapterInLaggingReportIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	now := epoch()
+	now := testStart()
 	s := resident(now, "a", "b")
 	now = now.Add(time.Second)
 	s.Submit(now, request("q1", "c"))
--- a/core/ggsschedule/tables.go
+++ b/core/ggsschedule/tables.go
@@ -131,8 +131,8 @@
 
 // allowsLoads reports whether adapters may be loaded on, or evicted from, the endpoint.
 // Before the first report of an ownership the resident adapters are unknown: the engine
-// would refuse a load for lack of room, and an eviction could hit an adapter that an
-// earlier owner's request uses.
+// would refuse a load if its adapter slots are full, and an eviction could remove an adapter
+// that an earlier owner's request uses.
 func (e *endpoint) allowsLoads(now time.Time) bool {
 	known := !e.reportAt.IsZero() && !e.reportAt.Before(e.ownedAt)
 	return e.accepts(now) && e.mode == ggscore.ModeFull && known
@@ -156,7 +156,7 @@
 	queue    ggsqueue.Queue[*job]
 	replicas []*replica
 	// queuedSum is the sum of the queued requests' start times, as offsets from the
-	// scheduler's epoch. It yields their total wait without a loop.
+	// scheduler's origin. It yields their total wait without a loop.
 	queuedSum time.Duration
 	// urgent counts queued requests that don't wait for a fuller batch.
 	urgent int
