--- a/core/claim.go
+++ b/core/claim.go
@@ -35,8 +35,8 @@
 	// non-zero Issued is part of the key, so retries carry the same value.
 	Issued time.Time
 	// FirstSend is the caller's assertion that it never sent the key before. Without it, a
-	// refusal because the platform's service is unavailable can't say "not run", since an
-	// earlier attempt may have run.
+	// refusal because the platform's key-value service is unavailable can't say "not run",
+	// since an earlier attempt may have run.
 	FirstSend bool
 }
 
--- a/core/errors.go
+++ b/core/errors.go
@@ -41,8 +41,8 @@
 // Unwrap returns the cause.
 func (e *AmbiguousWriteError) Unwrap() error { return e.Cause }
 
-// A StoreUnavailableError says that the platform's service was unavailable for a call. The call
-// had no effect.
+// A StoreUnavailableError says that the platform's key-value service was unavailable for a call.
+// The call had no effect.
 type StoreUnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -53,8 +53,8 @@
 // Unwrap returns the cause.
 func (e *StoreUnavailableError) Unwrap() error { return e.Cause }
 
-// A StoreBusyError says that the platform's service refused a call because its rate limit was
-// exceeded. The call had no effect.
+// A StoreBusyError says that the platform's key-value service refused a call because the
+// service's rate limit was exceeded. The call had no effect.
 type StoreBusyError struct{}
 
 // Error implements error.
--- a/core/heartbeat.go
+++ b/core/heartbeat.go
@@ -132,7 +132,7 @@
 	Demand    []Demand
 	Samples   []TurnSample
 	Tallies   []TurnTally
-	// Modes are the modes of Decider, the first of the VMs.
+	// Decider is the VM with the lowest ID, and Modes are its decisions.
 	Decider VMID
 	Modes   []TurnMode
 	Limits  []EndpointLimit
