--- a/core/ggsfencing/keeper.go
+++ b/core/ggsfencing/keeper.go
@@ -9,10 +9,10 @@
 // # Usage
 //
 //	k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, MinOrderGap: 3 * time.Second})
-//	k.Observe(now, at, reading)                 // each reading of the store
-//	k.SetListed(now, endpoints)                 // each reading of the list of endpoints
-//	k.SetReachable(vms)                         // VMs whose gossip heartbeats arrive
-//	p := k.NextHeartbeat(now)                   // write it to the store under p's conditions
+//	k.Observe(now, at, reading)                  // each reading of the store
+//	k.SetListed(now, endpoints)                  // each reading of the list of endpoints
+//	k.SetReachable(vms)                          // VMs whose gossip heartbeats arrive
+//	p := k.NextHeartbeat(now)                    // write it to the store under p's conditions
 //	k.HeartbeatAnswered(sent, p, at, refused)
 //	for _, c := range k.Claims(now, ready) { … k.ClaimAcknowledged(sent, c, at) }
 //	fence, ok := k.AuthorizeOrder(now, endpoint) // immediately before each order
@@ -63,8 +63,7 @@
 const (
 	// DefaultValidity is how long a VM sends orders after the last acknowledged heartbeat.
 	// It covers a store outage of 8 s, because adapters can't be loaded without orders. The
-	// endpoints of a VM that fails for good get no orders for Validity plus MinOrderGap plus
-	// Margin.
+	// endpoints of a VM that fails for good get no orders for about Validity plus MinOrderGap.
 	DefaultValidity = 9 * time.Second
 	// DefaultMargin covers an order in flight when the validity ends. It equals the order's
 	// timeout of 1 s.
--- a/core/ggsfencing/keeper_test.go
+++ b/core/ggsfencing/keeper_test.go
@@ -140,8 +140,8 @@
 	c.Assert(fence, qt.Equals, ggscore.FencingToken(10))
 }
 
-// Guards against records of removed endpoints that exhaust the conditions of the VM's
-// heartbeat after weeks of endpoints coming and going. The store then refused the heartbeat
+// Guards against records of removed endpoints that exhaust the conditions of the VM's heartbeat
+// after weeks in which endpoints were added and removed. The store then refused the heartbeat,
 // and no endpoint got orders.
 func TestRecordsOfRemovedEndpointsAreDeleted(t *testing.T) {
 	t.Parallel()
