--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -141,8 +141,8 @@
 
 const (
 	// minWatchWait is the least time that a watch waits for changes. A watch with a stalled
-	// connection is detected after its wait and a call's timeout. That is within the 3 s for
-	// which such a stall may delay a configuration.
+	// connection is detected after its wait plus a call's timeout, within the 3 s for which a
+	// stall may delay a configuration.
 	minWatchWait = time.Second
 	// aloneWatchWait is added to minWatchWait if no peer is reachable.
 	aloneWatchWait = 800 * time.Millisecond
@@ -174,15 +174,15 @@
 }
 
 const (
-	// ownerInterval is the time between heartbeats to the store of a VM that gives orders. The
-	// VM may give orders for 9 s after the last acknowledged heartbeat, so a store outage of
+	// ownerInterval is the time between heartbeats to the store of a VM that sends orders. The
+	// VM may send orders for 9 s after the last acknowledged heartbeat, so a store outage of
 	// 6.5 s stops no orders.
 	ownerInterval = 2500 * time.Millisecond
 	// largeOwnerInterval replaces ownerInterval from largeDeploymentVMs on, where heartbeats at
 	// ownerInterval were half of the calls to the store. A store outage of 5 s stops no orders.
 	largeOwnerInterval = 4 * time.Second
 	largeDeploymentVMs = 30
-	// minIdleInterval is the least time between heartbeats of a VM that gives no orders. Its
+	// minIdleInterval is the least time between heartbeats of a VM that sends no orders. Its
 	// record only shows other VMs that it exists, and outlasts the interval.
 	minIdleInterval = 10 * time.Second
 	// idleIntervalPerVM is the interval for each VM of the deployment, so that the number of
@@ -191,7 +191,7 @@
 )
 
 // HeartbeatInterval returns the time between a VM's heartbeats to the store. vms is the number of
-// reachable VMs, including this one. owner says whether the VM gives orders.
+// reachable VMs, including this one. owner says whether the VM sends orders.
 func HeartbeatInterval(vms int, owner bool) time.Duration {
 	switch {
 	case !owner:
--- a/core/ggsgossip/gossip_test.go
+++ b/core/ggsgossip/gossip_test.go
@@ -156,7 +156,7 @@
 	c.Assert(ggsgossip.RecordsInterval(65) > 2*time.Second, qt.IsTrue)
 }
 
-// Guards against a VM that must stop giving orders after one lost heartbeat. It may give orders for
+// Guards against a VM that must stop sending orders after one lost heartbeat. It may send orders for
 // 9 s after its last heartbeat, and sends at least two in that time, also right after it claimed
 // its first endpoint.
 func TestOwnersSendTwoHeartbeatsWithinOrderTime(t *testing.T) {
