--- a/core/ggsowner/doc.go
+++ b/core/ggsowner/doc.go
@@ -23,7 +23,7 @@
 //
 // # Safety
 //
-// Only the holder of the lease that the record names gives orders other than
+// Only the holder of the lease that the record names sends orders other than
 // dispatches. Another VM takes the group over only after the platform has reported
 // this lease as expired, or after the owner has released the record. Takeover and
 // release are compare-and-swap writes of the record. The holder counts the lease's
@@ -31,7 +31,7 @@
 // clock, so that its lease ends before the platform allows a takeover.
 //
 // An owner whose lease isn't confirmed continues to serve the adapters that the
-// record protects, but gives no other orders. A new owner treats these adapters
+// record protects, but sends no other orders. A new owner treats these adapters
 // as pinned until the earlier owner is known to have stopped. A request is
 // dispatched only if the record protects its adapter, also while the lease is
 // held, so that runs that began before the lease expired are protected too.
--- a/core/ggsowner/record.go
+++ b/core/ggsowner/record.go
@@ -67,11 +67,11 @@
 // without an owner so far.
 type Record struct {
 	Owner Holder
-	// Lease is the owner's lease. The owner may give orders other than dispatches
+	// Lease is the owner's lease. The owner may send orders other than dispatches
 	// only while it holds this lease.
 	Lease ggscore.LeaseID
 	Fence ggscore.FencingToken
-	// Released says that the owner gives no more orders and accepts no new
+	// Released says that the owner sends no more orders and accepts no new
 	// requests. The adapters of its requests in flight are in Pins.
 	Released bool
 	// Protected contains the adapters that the owner may use.
