--- a/core/ggsmember/table.go
+++ b/core/ggsmember/table.go
@@ -73,7 +73,7 @@
 		e.urgent = false
 		h.Updates = append(h.Updates, e.update())
 	}
-	if len(h.Updates) == 0 && t.large() {
+	if len(h.Updates) == 0 && t.usesMonitors() {
 		h.Updates = t.roundRobin()
 	}
 	return h
@@ -155,7 +155,7 @@
 func (t *Table) Targets(now time.Time) []Target {
 	t.expire(now)
 	monitors := t.order
-	if t.large() {
+	if t.usesMonitors() {
 		monitors = t.monitors()
 	}
 	for _, id := range monitors {
@@ -260,7 +260,7 @@
 	e.urgent = true
 }
 
-func (t *Table) large() bool { return len(t.entries)+1 > t.limits.AllToAll }
+func (t *Table) usesMonitors() bool { return len(t.entries)+1 > t.limits.AllToAll }
 
 // merge applies a received state of a member and returns its entry, or nil if the state was
 // out of date or says that the member is gone.
--- a/core/ggsmember/table_test.go
+++ b/core/ggsmember/table_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// pass advances the time in steps of a quarter of the heartbeat interval. Members with an
+// advance advances the time in steps of a quarter of the heartbeat interval. Members with an
 // urgent update send a heartbeat in each step.
-func (d *domain) pass(span time.Duration) {
+func (d *domain) advance(span time.Duration) {
 	const steps = 4
 	for range steps * int(span/time.Second) {
 		d.now = d.now.Add(time.Second / steps)
@@ -96,9 +96,9 @@
 			d := newDomain(n)
 			r := rand.New(rand.NewPCG(1, uint64(n)))
 			d.lost = func() bool { return r.IntN(5) == 0 }
-			d.pass(3 * time.Second)
+			d.advance(3 * time.Second)
 			d.tables[1].SetSelf(true, 0)
-			d.pass(3 * time.Second)
+			d.advance(3 * time.Second)
 			for i := range d.tables {
 				m := d.view(i)
 				c.Assert(m, qt.IsNotNil, qt.Commentf("seen by %d", i))
@@ -117,9 +117,9 @@
 			t.Parallel()
 			c := qt.New(t)
 			d := newDomain(n)
-			d.pass(5 * time.Second)
+			d.advance(5 * time.Second)
 			d.isolated[1] = true
-			d.pass(9 * time.Second)
+			d.advance(9 * time.Second)
 			for i := range d.tables {
 				if i == 1 {
 					continue
@@ -128,7 +128,7 @@
 				c.Assert(d.tables[i].Members(d.now), qt.HasLen, n-1)
 			}
 			d.isolated[1] = false
-			d.pass(9 * time.Second)
+			d.advance(9 * time.Second)
 			for i := range d.tables {
 				c.Assert(d.view(i), qt.IsNotNil, qt.Commentf("seen by %d", i))
 			}
@@ -176,13 +176,13 @@
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(3)
-	d.pass(2 * time.Second)
+	d.advance(2 * time.Second)
 	d.tables[0].SetListed(d.now, []ggscore.VM{
 		{ID: member(1, 0).VM, Addr: member(1, 0).Addr, State: ggscore.VMLeaving},
 		{ID: member(2, 0).VM, Addr: member(2, 0).Addr},
 	})
 	c.Assert(d.view(0).Leaving, qt.IsTrue)
-	d.pass(2 * time.Second)
+	d.advance(2 * time.Second)
 	c.Assert(d.view(2).Leaving, qt.IsTrue)
 }
 
@@ -192,12 +192,12 @@
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(40)
-	d.pass(3 * time.Second)
+	d.advance(3 * time.Second)
 	d.tables[39] = NewTable(member(39, 1), DefaultLimits())
 	for i := range 2 {
 		d.tables[39].Receive(d.now, member(i, 0).Addr, Heartbeat{Sender: member(i, 0)})
 	}
-	d.pass(30 * time.Second)
+	d.advance(30 * time.Second)
 	c.Assert(d.tables[39].Members(d.now), qt.HasLen, 40)
 }
 
@@ -207,7 +207,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(100)
-	d.pass(2 * time.Second)
+	d.advance(2 * time.Second)
 	c.Assert(len(d.tables[1].Targets(d.now)) < 20, qt.IsTrue)
 	d.tables[1].SetSelf(true, 0)
 	d.sendHeartbeat(1)
@@ -222,7 +222,7 @@
 	t.Parallel()
 	c := qt.New(t)
 	d := newDomain(100)
-	d.pass(2 * time.Second)
+	d.advance(2 * time.Second)
 	update := *d.view(0)
 	update.Gone = true
 	for _, t := range d.tables {
@@ -259,13 +259,13 @@
 	c := qt.New(t)
 	d := newDomain(18)
 	d.isolated[6] = true
-	d.pass(4 * time.Second)
+	d.advance(4 * time.Second)
 	d.isolated[12] = true
-	d.pass(5 * time.Second)
+	d.advance(5 * time.Second)
 	d.isolated = map[int]bool{}
-	d.pass(5 * time.Second)
+	d.advance(5 * time.Second)
 	for range 30 {
-		d.pass(time.Second)
+		d.advance(time.Second)
 		for i := range d.tables {
 			c.Assert(d.tables[i].Members(d.now), qt.HasLen, 18, qt.Commentf("seen by %d", i))
 		}
@@ -294,11 +294,11 @@
 				m := member(i, 0)
 				d.tables[0].SetListed(d.now, []ggscore.VM{{ID: m.VM, Addr: m.Addr}})
 			case "pass":
-				d.pass(time.Duration(rapid.IntRange(1, 8).Draw(t, "s")) * time.Second)
+				d.advance(time.Duration(rapid.IntRange(1, 8).Draw(t, "s")) * time.Second)
 			}
 		}
 		d.isolated = map[int]bool{}
-		d.pass(40 * time.Second)
+		d.advance(40 * time.Second)
 		for i := range d.tables {
 			members := d.tables[i].Members(d.now)
 			for j, m := range members {
