--- a/core/ggsrelay/sim_test.go
+++ b/core/ggsrelay/sim_test.go
@@ -25,7 +25,7 @@
 	partitioned func(a, b ggscore.Domain) bool
 	// limits returns the rate limits of endpoints that a VM knows.
 	limits func(ggscore.VMID) []ggscore.EndpointLimit
-	// departures returns the endpoints that a VM saw leave.
+	// departures returns the endpoints whose departures a VM reports.
 	departures func(ggscore.VMID) []ggscore.Departure
 	// received counts datagrams by receiver since the last reset.
 	received map[ggscore.VMID]int
