--- a/core/ggsshare/order.go
+++ b/core/ggsshare/order.go
@@ -15,7 +15,7 @@
 	OrderDelete
 )
 
-// An Order is one call to the platform's service that the caller of this package makes.
+// An Order is one call to the platform's key-value service that the caller of this package makes.
 type Order struct {
 	Kind  OrderKind
 	Unit  Unit
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -18,10 +18,10 @@
 // The limits are divided into units. Each unit allows one load in transit and an equal share
 // of the loads per second. Some units are static: they are assigned to the groups by the
 // group's number, and the owner of a group may use them even when the platform is unreachable.
-// The other units are borrowed. A borrowed unit is a record in the platform's service under
-// the borrower's lease. The unit counts only until the lease expires by the borrower's
-// monotonic clock, less a margin. A record that was released, or may have been, is never
-// used again.
+// The other units are borrowed. A borrowed unit is a record in the platform's key-value service
+// under the borrower's lease. The unit counts only until the lease expires by the borrower's
+// monotonic clock, less a margin. A record that was released, or may have been, is never used
+// again.
 //
 // The package has no clock, goroutine or lock. Callers pass the time and serialize access.
 package ggsshare
--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -27,9 +27,9 @@
 // seed.
 const shareStream = 0x7368617265
 
-// A Lease is the VM's lease in the platform's service. Expires is a time on the VM's own
-// monotonic clock. It is the lease's duration after the call that granted or renewed the lease
-// was sent, less a margin and the longest time that a load may take.
+// A Lease is the VM's lease in the platform's key-value service. Expires is a time on the VM's
+// own monotonic clock: the time at which the call that granted or renewed the lease was sent,
+// plus the lease's duration, less a margin and the longest time that a load may take.
 type Lease struct {
 	ID      ggscore.LeaseID
 	Expires time.Time
