--- a/core/ggsclaim/writer.go
+++ b/core/ggsclaim/writer.go
@@ -278,9 +278,9 @@
 func (w *Writer) answer(now time.Time, o *operation) {
 	d := o.decision
 	if d.Kind == DecisionGranted {
-		// A claim whose write was delayed past the key's retention may have met a new shard
-		// after the deletion of the old one. Such a claim doesn't prove that the key is
-		// unused.
+		// A claim whose write was delayed past the key's retention may have been recorded in a
+		// new shard after the deletion of the old one. Such a claim doesn't prove that the key
+		// is unused.
 		late := !now.Before(d.Grant.Before)
 		if late && !o.abandoned {
 			w.settle(o, Decision{Kind: DecisionExpired})
--- a/core/ggsclaim/writer_test.go
+++ b/core/ggsclaim/writer_test.go
@@ -238,8 +238,8 @@
 	c.Assert(porcupine.CheckOperations(model(), w.history), qt.IsTrue, qt.Commentf(w.print()))
 }
 
-// The write of a claim hung until the key's epoch was deleted and then met an empty
-// shard. The grant would run the request a second time.
+// The write of a claim was delayed until the key's epoch was deleted, and then created a
+// new shard. The grant would run the request a second time.
 func TestLateGrantIsRefused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
