--- a/core/ggsresident/ledger.go
+++ b/core/ggsresident/ledger.go
@@ -52,7 +52,8 @@
 	minIdleTime = 350 * time.Millisecond
 	// rareRequestRate is the request rate, in requests per second, below which an adapter is
 	// evicted as soon as all VMs have reported that they no longer use it. The reports are
-	// 0.1 s old on average, so at most one eviction in thirty meets a new request.
+	// 0.1 s old on average, so at most one eviction in thirty coincides with a new
+	// request.
 	rareRequestRate = 0.3
 	// useReportMaxAge is the age up to which a VM's report that it uses an adapter is valid. Each
 	// heartbeat repeats the report.
