--- a/core/ggsgossip/gossip_test.go
+++ b/core/ggsgossip/gossip_test.go
@@ -156,9 +156,9 @@
 	c.Assert(ggsgossip.RecordsInterval(65) > 2*time.Second, qt.IsTrue)
 }
 
-// Guards against a VM that must stop sending orders after one lost heartbeat. It may send orders for
-// 9 s after its last heartbeat, and sends at least two in that time, also right after it claimed
-// its first endpoint.
+// Guards against a VM that must stop sending orders after one lost heartbeat. A VM may send orders
+// for 9 s after its last heartbeat, and sends at least two heartbeats in that time, also right
+// after it claimed its first endpoint.
 func TestOwnersSendTwoHeartbeatsWithinOrderTime(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
