--- a/core/ggsretry/breaker.go
+++ b/core/ggsretry/breaker.go
@@ -104,9 +104,9 @@
 // Exclude appends to list the targets that must not be called now. At most half of the known
 // targets are excluded: those whose breakers opened first.
 //
-// All targets of a gateway fail while the gateway itself is disconnected. If it excluded all of
-// them, it would refuse every request until the last breaker's open time ends, long after its
-// link is restored.
+// All targets of a gateway fail while the gateway itself is disconnected. If the gateway
+// excluded all of them, it would refuse every request until the last breaker's open time ends,
+// long after its link is restored.
 func (b *Breakers[K]) Exclude(now time.Time, list []K) []K {
 	limit := int(maxExcludedShare * float64(len(b.breakers)))
 	for _, k := range b.tripped {
--- a/core/ggsretry/budget.go
+++ b/core/ggsretry/budget.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// RetainMarkets removes the budgets of all other markets than those in markets, which are the
-// document's.
+// RetainMarkets removes the budgets of markets that aren't in markets, the markets of the
+// document.
 func (p *Policy) RetainMarkets(markets map[ggscore.Market]ggscore.MarketSpec) {
 	for m := range p.budgets {
 		if _, ok := markets[m]; !ok {
