--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -20,7 +20,7 @@
 //	ok := t.Announces(now, n)                            // whether to announce the turn
 //	n, ok := t.Confirm(now, n)                           // send, or announce and wait again
 //	t.Add(now, n)                                        // a peer's turn
-//	t.Drop(n)                                            // a caller left, or a peer dropped its turn
+//	t.Drop(n)                                            // the turn is no longer needed
 //	t.RecordFirstPiece(now, n, sent)                     // the first piece arrived
 //	degraded := t.RecordGap(now, service, endpoint, gap) // a gap between two pieces
 //	t.RecordStream(now, service, endpoint, degraded)     // a stream ended or became degraded
