--- a/core/ggsclaim/writer.go
+++ b/core/ggsclaim/writer.go
@@ -86,7 +86,7 @@
 func NewWriter(l Limits) *Writer { return &Writer{limits: l} }
 
 // Unavailable reports that a read failed, or that a write had no effect because the platform's
-// key-value service did not accept it. Claims are answered at once by Recall and not
+// key-value service did not accept it. Claims are answered at once by DecideFromCache and not
 // dispatched. Outcomes stay pending and are retried.
 func (w *Writer) Unavailable(retryAfter time.Duration) {
 	w.requeue()
@@ -278,9 +278,9 @@
 func (w *Writer) answer(now time.Time, o *operation) {
 	d := o.decision
 	if d.Kind == DecisionGranted {
-		// A claim whose write was delayed past the key's retention may have met a new shard
-		// after the deletion of the old one. Such a claim doesn't prove that the key is
-		// unused.
+		// A claim whose write was delayed past the key's retention may have been recorded in a
+		// new shard after the deletion of the old one. Such a claim doesn't prove that the key
+		// is unused.
 		late := !now.Before(d.Grant.Before)
 		if late && !o.abandoned {
 			w.settle(o, Decision{Kind: DecisionExpired})
--- a/core/ggsrelay/sim_test.go
+++ b/core/ggsrelay/sim_test.go
@@ -25,7 +25,7 @@
 	partitioned func(a, b ggscore.Domain) bool
 	// limits returns the rate limits of endpoints that a VM knows.
 	limits func(ggscore.VMID) []ggscore.EndpointLimit
-	// departures returns the endpoints that a VM saw leave.
+	// departures returns the endpoints whose departures a VM reports.
 	departures func(ggscore.VMID) []ggscore.Departure
 	// received counts datagrams by receiver since the last reset.
 	received map[ggscore.VMID]int
@@ -154,8 +154,8 @@
 	if n.sequence%9 == 0 {
 		h.Holdings = []ggscore.Holding{{Endpoint: endpointOf(n.member.VM), Whole: true}}
 	}
-	carrier, to := n.Report(clock(s.now), h)
-	h.CountingRelay = carrier
+	countingRelay, to := n.Report(clock(s.now), h)
+	h.CountingRelay = countingRelay
 	for _, vm := range to {
 		s.send(n, vm, func(o *simNode) { o.Heartbeat(clock(s.now), h) })
 	}
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -18,10 +18,10 @@
 // The limits are divided into units. Each unit allows one load in transit and an equal share
 // of the loads per second. Some units are static: they are assigned to the groups by the
 // group's number, and the owner of a group may use them even when the platform is unreachable.
-// The other units are borrowed. A borrowed unit is a record in the platform's service under
-// the borrower's lease. The unit counts only until the lease expires by the borrower's
-// monotonic clock, less a margin. A record that was released, or may have been, is never
-// used again.
+// The other units are borrowed. A borrowed unit is a record in the platform's key-value service
+// under the borrower's lease. The unit counts only until the lease expires by the borrower's
+// monotonic clock, less a margin. A record that was released, or may have been, is never used
+// again.
 //
 // The package has no clock, goroutine or lock. Callers pass the time and serialize access.
 package ggsshare
@@ -36,7 +36,7 @@
 // A Unit is the number of a borrowed unit.
 type Unit int
 
-// WaitMarker isn't a unit. Its record marks that a borrower is waiting, since it found no free unit.
+// WaitMarker isn't a unit. Its record says that a borrower found no free unit and waits for one.
 const WaitMarker Unit = -1
 
 // A Plan divides the limits into units. The zero Plan has no units.
--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -27,9 +27,9 @@
 // seed.
 const shareStream = 0x7368617265
 
-// A Lease is the VM's lease in the platform's service. Expires is a time on the VM's own
-// monotonic clock. It is the lease's duration after the call that granted or renewed the lease
-// was sent, less a margin and the longest time that a load may take.
+// A Lease is the VM's lease in the platform's key-value service. Expires is a time on the VM's
+// own monotonic clock: the time at which the call that granted or renewed the lease was sent,
+// plus the lease's duration, less a margin and the longest time that a load may take.
 type Lease struct {
 	ID      ggscore.LeaseID
 	Expires time.Time
@@ -64,7 +64,7 @@
 	mayHaveUnknownRecord bool
 }
 
-// New returns a state without a plan, a lease or ownership. Its share is zero.
+// New returns a Borrower without a plan, a lease or ownership. Its share is zero.
 func New(o Options) *Borrower {
 	return &Borrower{
 		options:     o,
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// SetDemand sets the number of loads that the group could start now. It returns orders to execute.
+// SetDemand sets the number of loads that the group could start now. It returns orders to
+// execute.
 func (s *Borrower) SetDemand(now time.Time, loads int) []Order {
 	s.demand = loads
 	if loads > s.staticUnits() {
