--- a/core/ggsrelay/table.go
+++ b/core/ggsrelay/table.go
@@ -87,7 +87,7 @@
 func (t *table) changed(hs []ggscore.Holding) []ggscore.Holding {
 	var c []ggscore.Holding
 	for _, h := range hs {
-		r := loadState{h.Waiting, h.Room}
+		r := loadState{h.Waiting, h.FreeCapacity}
 		if h.Whole || t.loadStates[h.Endpoint] != r {
 			c = append(c, h)
 		}
--- a/core/ggsroute/apply.go
+++ b/core/ggsroute/apply.go
@@ -48,8 +48,8 @@
 	return true
 }
 
-// Forget deletes the state of a board that is no longer read.
-func (r *Router) Forget(board string) { delete(r.boards, board) }
+// RemoveBoard deletes the state of a board that is no longer read.
+func (r *Router) RemoveBoard(board string) { delete(r.boards, board) }
 
 // Version returns the version up to which the router has read a board, or zero.
 func (r *Router) Version(board string) uint64 {
--- a/core/ggsroute/merge.go
+++ b/core/ggsroute/merge.go
@@ -50,8 +50,8 @@
 	return true
 }
 
-// Forget deletes the state of a board that is no longer read.
-func (b *Board) Forget(board string) { delete(b.sources, board) }
+// RemoveSource deletes the state of a board that is no longer read.
+func (b *Board) RemoveSource(board string) { delete(b.sources, board) }
 
 // Version returns the version up to which another board was read, or zero.
 func (b *Board) Version(board string) uint64 {
--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -64,8 +64,8 @@
 	mayHaveUnknownRecord bool
 }
 
-// New returns a Borrower without a plan, a lease or ownership. Its share is zero.
-func New(o Options) *Borrower {
+// NewBorrower returns a Borrower without a plan, a lease or ownership. Its share is zero.
+func NewBorrower(o Options) *Borrower {
 	return &Borrower{
 		options:     o,
 		rng:         rand.New(rand.NewPCG(o.Seed, shareStream)),
--- a/core/ggsshare/share_test.go
+++ b/core/ggsshare/share_test.go
@@ -57,7 +57,7 @@
 		held:    make([]ggscore.LeaseID, groups),
 	}
 	for i := range groups {
-		s := ggsshare.New(ggsshare.Options{Group: i, Seed: uint64(i)})
+		s := ggsshare.NewBorrower(ggsshare.Options{Group: i, Seed: uint64(i)})
 		s.SetPlan(f.now, f.plan)
 		s.SetOwner(true)
 		f.vms = append(f.vms, s)
--- a/core/ggsthrottle/share_test.go
+++ b/core/ggsthrottle/share_test.go
@@ -84,10 +84,10 @@
 			continue
 		}
 		t.SetVMs(append([]ggscore.VMID(nil), live...))
-		known := t.Known(at(d))
+		known := t.RecentLimits(at(d))
 		for j, o := range c.tables {
 			if i != j && !c.down[j] {
-				o.Learn(at(d), known)
+				o.ObservePeer(at(d), known)
 			}
 		}
 	}
--- a/core/ggsthrottle/table.go
+++ b/core/ggsthrottle/table.go
@@ -94,8 +94,8 @@
 	return changed
 }
 
-// Learn records the limits known to a peer.
-func (t *Table) Learn(now time.Time, ls []ggscore.EndpointLimit) {
+// ObservePeer records the limits known to a peer.
+func (t *Table) ObservePeer(now time.Time, ls []ggscore.EndpointLimit) {
 	for _, l := range ls {
 		if l.Age <= gossipMaxAge {
 			t.Observe(now, l.Endpoint, l.Limit, now.Add(-l.Age))
@@ -103,9 +103,9 @@
 	}
 }
 
-// Known returns the announcements that a heartbeat carries: those younger than gossipMaxAge,
+// RecentLimits returns the announcements that a heartbeat carries: those younger than gossipMaxAge,
 // most recent first, at most maxGossiped.
-func (t *Table) Known(now time.Time) []ggscore.EndpointLimit {
+func (t *Table) RecentLimits(now time.Time) []ggscore.EndpointLimit {
 	var ls []ggscore.EndpointLimit
 	for id, e := range t.endpoints {
 		age := max(now.Sub(e.asOf), 0)
--- a/core/ggsturn/pauses_test.go
+++ b/core/ggsturn/pauses_test.go
@@ -15,7 +15,7 @@
 	t := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
 	t.SetService(models, gapAim)
 	t.SetDecides(true)
-	t.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: perToken, Quiet: quiet})
+	t.Restore(at(0), ggscore.TurnState{Service: models, PerToken: perToken, Quiet: quiet})
 	return t
 }
 
@@ -132,7 +132,7 @@
 	c.Assert(waits(b, 0), qt.IsTrue)
 	c.Assert(b.Estimate(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
 	// A stored record doesn't override what was learned since.
-	b.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: time.Second})
+	b.Restore(at(0), ggscore.TurnState{Service: models, PerToken: time.Second})
 	c.Assert(b.Estimate(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
 }
 
--- a/core/ggsturn/samples.go
+++ b/core/ggsturn/samples.go
@@ -57,17 +57,17 @@
 }
 
 // LearnedState returns the learned state of each service.
-func (t *Table) LearnedState() []ggscore.TurnShape {
-	var hs []ggscore.TurnShape
+func (t *Table) LearnedState() []ggscore.TurnState {
+	var hs []ggscore.TurnState
 	for n, v := range t.services {
 		if v.gapAim > 0 && v.speed.known() {
-			hs = append(hs, ggscore.TurnShape{
+			hs = append(hs, ggscore.TurnState{
 				Service: n, PerToken: v.speed.slope, Start: v.speed.intercept,
 				Quiet: v.mode.decodeGap, Mode: ggscore.TurnMode{Service: n, Waits: v.mode.enforced, DegradedBefore: v.mode.baseline},
 			})
 		}
 	}
-	slices.SortFunc(hs, func(a, b ggscore.TurnShape) int { return cmp.Compare(a.Service, b.Service) })
+	slices.SortFunc(hs, func(a, b ggscore.TurnState) int { return cmp.Compare(a.Service, b.Service) })
 	return hs
 }
 
@@ -76,7 +76,7 @@
 //
 // Without it, half of the streams had excessive gaps in the 10 s after all processes of a
 // deployment were killed, because each process had to learn again that turns were needed.
-func (t *Table) Restore(now time.Time, h ggscore.TurnShape) {
+func (t *Table) Restore(now time.Time, h ggscore.TurnState) {
 	v := t.service(h.Service)
 	if v.speed.known() || h.PerToken <= 0 {
 		return
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -48,10 +48,10 @@
 // Options configure a Table.
 type Options struct {
 	VM ggscore.VMID
-	// FirstNumber is the number that precedes the first turn's. It has to differ between
+	// LastNumber is the number that precedes the first turn's. It has to differ between
 	// processes of a VM, so that turns of a new process aren't mistaken for those of the previous
 	// one.
-	FirstNumber uint64
+	LastNumber uint64
 }
 
 var _ ggscore.TurnEstimator = (*Table)(nil)
@@ -95,7 +95,7 @@
 
 // NewTable returns a table without turns.
 func NewTable(o Options) *Table {
-	return &Table{options: o, lastNumber: o.FirstNumber, services: map[ggscore.Service]*service{}, queues: map[ggscore.EndpointID]*queue{}}
+	return &Table{options: o, lastNumber: o.LastNumber, services: map[ggscore.Service]*service{}, queues: map[ggscore.EndpointID]*queue{}}
 }
 
 // SetDecides sets whether this VM decides on the enforcement of turns. One VM decides for all:
--- a/core/ggsturn/table_test.go
+++ b/core/ggsturn/table_test.go
@@ -29,7 +29,7 @@
 func table(vm ggscore.VMID) *ggsturn.Table {
 	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
 	t.SetService(models, gapAim)
-	t.Restore(at(0), ggscore.TurnShape{Service: models, PerToken: perToken, Quiet: quiet, Mode: ggscore.TurnMode{Service: models, Waits: true, DegradedBefore: 0.5}})
+	t.Restore(at(0), ggscore.TurnState{Service: models, PerToken: perToken, Quiet: quiet, Mode: ggscore.TurnMode{Service: models, Waits: true, DegradedBefore: 0.5}})
 	return t
 }
 
--- a/core/heartbeat.go
+++ b/core/heartbeat.go
@@ -36,8 +36,8 @@
 	Epoch StoreEpoch
 	// ListedAt and OperatedAt are the positions of the last changes that were read in the list
 	// of endpoints and in the operators' entries.
-	ListedAt   StorePosition
-	OperatedAt StorePosition
+	ListedAt    StorePosition
+	OperatorsAt StorePosition
 	// ListAge and OperatorsAge are the times since the list and the entries were last read.
 	ListAge      time.Duration
 	OperatorsAge time.Duration
@@ -56,7 +56,7 @@
 	}
 	m := StoreProgress{
 		Epoch:    n.Epoch,
-		ListedAt: n.ListedAt.Max(o.ListedAt), OperatedAt: n.OperatedAt.Max(o.OperatedAt),
+		ListedAt: n.ListedAt.Max(o.ListedAt), OperatorsAt: n.OperatorsAt.Max(o.OperatorsAt),
 		ListAge: n.ListAge, OperatorsAge: n.OperatorsAge,
 		Config: max(n.Config, o.Config), Versions: max(n.Versions, o.Versions),
 	}
@@ -89,8 +89,8 @@
 	Whole bool
 	// Waiting is the number of adapters that wait to be loaded, and Room is the number of
 	// further adapters that could be loaded at once.
-	Waiting int
-	Room    int
+	Waiting      int
+	FreeCapacity int
 }
 
 // A Use is an adapter at an endpoint that requests use. Count is the number of such requests
--- a/core/policy.go
+++ b/core/policy.go
@@ -27,8 +27,8 @@
 	MechanismBreakers Mechanism = "breakers"
 	// MechanismRegions counts the latency to another region as delay.
 	MechanismRegions Mechanism = "regions"
-	// MechanismQuestions polls for loads in transit concurrently with other orders.
-	MechanismQuestions Mechanism = "questions"
+	// MechanismConcurrentPolls polls for loads in transit concurrently with other orders.
+	MechanismConcurrentPolls Mechanism = "questions"
 	// MechanismWarm prefers endpoints that still have an adapter in their own memory.
 	MechanismWarm Mechanism = "warm"
 )
@@ -37,7 +37,7 @@
 func Mechanisms() []Mechanism {
 	return []Mechanism{
 		MechanismTurns, MechanismHomes, MechanismCopies, MechanismRelease, MechanismDemand,
-		MechanismWantedFirst, MechanismFailures, MechanismBreakers, MechanismRegions, MechanismQuestions, MechanismWarm,
+		MechanismWantedFirst, MechanismFailures, MechanismBreakers, MechanismRegions, MechanismConcurrentPolls, MechanismWarm,
 	}
 }
 
--- a/core/serving.go
+++ b/core/serving.go
@@ -45,8 +45,8 @@
 	// Target is the target latency of the answer, or of the first chunk for streams. GapAim is
 	// the target for the longest gap between a stream's chunks. Both are zero if not
 	// configured.
-	Target time.Duration
-	GapAim time.Duration
+	Target    time.Duration
+	TargetGap time.Duration
 	// Priority orders the routes' requests; a lower number is served first.
 	Priority Priority
 	// MaxAttempts is the number of endpoints that one request may run on.
@@ -73,16 +73,16 @@
 	AdapterBytes int64
 }
 
-// GapAim returns the smallest GapAim of the routes to a service, zero if none is configured.
-func (c *RoutingConfig) GapAim(s Service) time.Duration {
+// TargetGap returns the smallest TargetGap of the routes to a service, zero if none is configured.
+func (c *RoutingConfig) TargetGap(s Service) time.Duration {
 	var aim time.Duration
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if r.GapAim <= 0 || aim > 0 && r.GapAim >= aim {
+		if r.TargetGap <= 0 || aim > 0 && r.TargetGap >= aim {
 			continue
 		}
 		if slices.ContainsFunc(r.Targets, func(t RouteTarget) bool { return t.Service == s }) {
-			aim = r.GapAim
+			aim = r.TargetGap
 		}
 	}
 	return aim
--- a/core/turn.go
+++ b/core/turn.go
@@ -55,9 +55,9 @@
 	DegradedBefore float64
 }
 
-// A TurnShape is the measured prompt-processing speed of a service's endpoints. Unknown fields
+// A TurnState is the measured prompt-processing speed of a service's endpoints. Unknown fields
 // are zero.
-type TurnShape struct {
+type TurnState struct {
 	Service Service
 	// PerToken is the processing time per prompt token, and Start is the time to the first
 	// chunk for an empty prompt.
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -228,7 +228,7 @@
 
 // New returns an Edge that has read no state yet.
 func New(o Options, p Parts) *Edge {
-	turns := ggsturn.NewTable(ggsturn.Options{VM: o.VM, FirstNumber: o.Seed})
+	turns := ggsturn.NewTable(ggsturn.Options{VM: o.VM, LastNumber: o.Seed})
 	limits := ggsthrottle.NewTable(o.VM)
 	e := &Edge{
 		options: o,
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -163,7 +163,7 @@
 	h.Samples, h.Tallies = e.turns.DrainUnreported()
 	h.Modes = e.turns.Modes()
 	e.shareLimits(now)
-	h.Limits = e.limits.Known(now)
+	h.Limits = e.limits.RecentLimits(now)
 	h.Departures = e.table.Departures()
 	return h
 }
@@ -172,7 +172,7 @@
 func (e *Edge) progress(now time.Time) ggscore.StoreProgress {
 	return ggscore.StoreProgress{
 		Epoch:    e.epochs.current(),
-		ListedAt: e.listChangedAt, OperatedAt: e.operatorsChangedAt,
+		ListedAt: e.listChangedAt, OperatorsAt: e.operatorsChangedAt,
 		ListAge: min(now.Sub(e.listReadTime), time.Hour), OperatorsAge: min(now.Sub(e.operatorsReadTime), time.Hour),
 		Config: e.configVersion(), Versions: e.versionSum,
 	}
@@ -190,8 +190,8 @@
 		if !w.ledger.Synced(now) {
 			continue
 		}
-		h := ggscore.Holding{Endpoint: id, Waiting: w.ledger.Waiting(), Room: w.ledger.FreeCapacity(now)}
-		e.table.SetLoadCapacity(id, h.Waiting, h.Room)
+		h := ggscore.Holding{Endpoint: id, Waiting: w.ledger.Waiting(), FreeCapacity: w.ledger.FreeCapacity(now)}
+		e.table.SetLoadCapacity(id, h.Waiting, h.FreeCapacity)
 		if w.unreported || full {
 			w.unreported = false
 			h.Held, h.Whole = w.ledger.Resident(), true
@@ -319,8 +319,8 @@
 	if e.listRead.Before(n.ListedAt) {
 		notify(e.listNotified)
 	}
-	if e.operatorsRead.Before(n.OperatedAt) {
-		e.announceOperators(now, n.OperatedAt)
+	if e.operatorsRead.Before(n.OperatorsAt) {
+		e.announceOperators(now, n.OperatorsAt)
 		notify(e.operatorsNotified)
 	}
 }
@@ -331,7 +331,7 @@
 		if e.workers[h.Endpoint] != nil {
 			continue
 		}
-		e.table.SetLoadCapacity(h.Endpoint, h.Waiting, h.Room)
+		e.table.SetLoadCapacity(h.Endpoint, h.Waiting, h.FreeCapacity)
 		if h.Whole {
 			e.table.SetHeld(now, h.Endpoint, h.Held)
 		}
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -47,7 +47,7 @@
 	DegradedBefore float64 `json:"without"`
 }
 
-func shapeRecords(hs []ggscore.TurnShape) []shapeRecord {
+func shapeRecords(hs []ggscore.TurnState) []shapeRecord {
 	var rs []shapeRecord
 	for _, h := range hs {
 		rs = append(rs, shapeRecord{
@@ -58,9 +58,9 @@
 	return rs
 }
 
-func (r *shapeRecord) shape() ggscore.TurnShape {
+func (r *shapeRecord) shape() ggscore.TurnState {
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
-	return ggscore.TurnShape{
+	return ggscore.TurnState{
 		Service: ggscore.Service(r.Service), PerToken: time.Duration(r.PerToken), Start: us(r.Start),
 		Quiet: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Waits: r.Waits, DegradedBefore: r.DegradedBefore},
 	}
--- a/io/ggsedge/newer.go
+++ b/io/ggsedge/newer.go
@@ -31,7 +31,7 @@
 		if vm == e.newer.by {
 			e.newer = newerEntries{}
 		}
-	case e.operatorsRead.IsZero() || e.operatorsRead.Before(n.OperatedAt):
+	case e.operatorsRead.IsZero() || e.operatorsRead.Before(n.OperatorsAt):
 		// The store has the newer entries.
 	case e.newer.since.IsZero():
 		e.newer = newerEntries{by: vm, since: now}
--- a/io/ggsedge/operators.go
+++ b/io/ggsedge/operators.go
@@ -305,7 +305,7 @@
 	e.paths.Store(ggspath.NewTable(c))
 	e.mu.Lock()
 	for s, spec := range c.Services {
-		e.turns.SetService(s, c.GapAim(s))
+		e.turns.SetService(s, c.TargetGap(s))
 		if spec.Engine != nil {
 			e.table.SetAdapterSlots(s, spec.Engine.AdapterCapacity())
 		}
--- a/io/ggsedge/operators_test.go
+++ b/io/ggsedge/operators_test.go
@@ -22,7 +22,7 @@
 	e.peers["peer"] = &member{}
 	announce := func(at ggscore.StorePosition) {
 		e.peers["peer"].sequence = 0
-		e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 1, Progress: ggscore.StoreProgress{OperatedAt: at}})
+		e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 1, Progress: ggscore.StoreProgress{OperatorsAt: at}})
 	}
 	e.recordOperatorsRead(position(10), nil)
 	announce(position(10))
@@ -70,7 +70,7 @@
 	defer cancel()
 	go func() {
 		<-s.watches
-		e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 1, Progress: ggscore.StoreProgress{OperatedAt: position(12)}})
+		e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 1, Progress: ggscore.StoreProgress{OperatorsAt: position(12)}})
 	}()
 	at := position(10)
 	es, next, err := e.operators(ctx, &at)
@@ -88,12 +88,12 @@
 	e.Store = s
 	e.peers["peer"] = &member{}
 	e.recordOperatorsRead(position(10), nil)
-	e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 1, Progress: ggscore.StoreProgress{OperatedAt: position(99)}})
+	e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 1, Progress: ggscore.StoreProgress{OperatorsAt: position(99)}})
 	at := position(10)
 	es, next, err := e.operators(context.Background(), &at)
 	c.Assert(err, qt.IsNil)
 	e.recordOperatorsRead(next, es)
-	e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 2, Progress: ggscore.StoreProgress{OperatedAt: position(99)}})
+	e.receiveHeartbeat(netip.AddrPort{}, ggscore.Heartbeat{VM: "peer", Sequence: 2, Progress: ggscore.StoreProgress{OperatorsAt: position(99)}})
 	ctx, cancel := context.WithTimeout(context.Background(), 2*ggsgossip.WatchGrace)
 	defer cancel()
 	at = next
--- a/io/ggsedge/relay.go
+++ b/io/ggsedge/relay.go
@@ -52,7 +52,7 @@
 	e.stats.Answered.Add(1)
 	e.metrics.observeAnswer(j.route.Kind, e.since(j.arrived))
 	_ = level.Info(e.Log).Log("event", ggslog.EventRequestEnded, "request", j.meta.ID, "endpoint", i.ID, "status", a.Status,
-		"sends", j.sends, "first", j.firstPieceAfter, "target", j.route.Target, "gap", j.maxGap, "gapAim", j.route.GapAim, "took", e.since(j.arrived))
+		"sends", j.sends, "first", j.firstPieceAfter, "target", j.route.Target, "gap", j.maxGap, "gapAim", j.route.TargetGap, "took", e.since(j.arrived))
 	if a.Status >= http.StatusInternalServerError {
 		return nil, ggsretry.ResultFailed
 	}
--- a/io/ggsedge/signals.go
+++ b/io/ggsedge/signals.go
@@ -62,7 +62,7 @@
 
 // applySignals applies the rate limits and departures that peers observed. Edge.mu is held.
 func (e *Edge) applySignals(now time.Time, ls []ggscore.EndpointLimit, ds []ggscore.Departure) {
-	e.limits.Learn(now.Add(-heartbeatDelay), ls)
+	e.limits.ObservePeer(now.Add(-heartbeatDelay), ls)
 	for _, d := range ds {
 		if e.table.RecordDeparture(d) {
 			_ = level.Info(e.Log).Log("event", ggslog.EventEndpointLeaving, "endpoint", d.Endpoint, "peers", true)
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -222,7 +222,7 @@
 		Unload: s.Unload, Endpoint: i.ID, Addr: i.Addr, Target: s.Target, Version: s.Version,
 		Expected: s.Expected, Holder: e.options.VM, Fence: fence,
 	}
-	if s.Poll && e.options.Policy.On(ggscore.MechanismQuestions) {
+	if s.Poll && e.options.Policy.On(ggscore.MechanismConcurrentPolls) {
 		polls.Go(func() {
 			e.order(ctx, w, o, s, timeout)
 			w.wake()
--- a/io/ggspeer/wire.go
+++ b/io/ggspeer/wire.go
@@ -114,7 +114,7 @@
 func progressWireOf(n ggscore.StoreProgress) progressWire {
 	return progressWire{
 		Epoch:  uint64(n.Epoch),
-		Listed: positionWireOf(n.ListedAt), Operated: positionWireOf(n.OperatedAt),
+		Listed: positionWireOf(n.ListedAt), Operated: positionWireOf(n.OperatorsAt),
 		ListAge: n.ListAge.Milliseconds(), OperatorsAge: n.OperatorsAge.Milliseconds(),
 		Config: n.Config, Versions: n.Versions,
 	}
@@ -123,7 +123,7 @@
 func (w *progressWire) progress() ggscore.StoreProgress {
 	return ggscore.StoreProgress{
 		Epoch:    ggscore.StoreEpoch(w.Epoch),
-		ListedAt: w.Listed.position(), OperatedAt: w.Operated.position(),
+		ListedAt: w.Listed.position(), OperatorsAt: w.Operated.position(),
 		ListAge: time.Duration(w.ListAge) * time.Millisecond, OperatorsAge: time.Duration(w.OperatorsAge) * time.Millisecond,
 		Config: w.Config, Versions: w.Versions,
 	}
@@ -171,7 +171,7 @@
 func (m *modelNames) holdingWires(hs []ggscore.Holding) []holdingWire {
 	ws := make([]holdingWire, 0, len(hs))
 	for _, h := range hs {
-		w := holdingWire{Endpoint: string(h.Endpoint), Whole: h.Whole, Waiting: h.Waiting, Room: h.Room}
+		w := holdingWire{Endpoint: string(h.Endpoint), Whole: h.Whole, Waiting: h.Waiting, Room: h.FreeCapacity}
 		for _, v := range h.Held {
 			w.Held = append(w.Held, heldWire{Model: m.index(v.Target.Model), Adapter: v.Target.Adapter, Version: v.Version})
 		}
@@ -183,7 +183,7 @@
 func (m modelNames) holdings(ws []holdingWire) ([]ggscore.Holding, error) {
 	var hs []ggscore.Holding
 	for _, w := range ws {
-		h := ggscore.Holding{Endpoint: ggscore.EndpointID(w.Endpoint), Whole: w.Whole, Waiting: w.Waiting, Room: w.Room}
+		h := ggscore.Holding{Endpoint: ggscore.EndpointID(w.Endpoint), Whole: w.Whole, Waiting: w.Waiting, FreeCapacity: w.Room}
 		for _, v := range w.Held {
 			t, err := m.target(v.Model, v.Adapter)
 			if err != nil {
