--- a/io/ggsconfig/attempt.go
+++ b/io/ggsconfig/attempt.go
@@ -12,25 +12,26 @@
 	"greengageslip/io/ggstoml"
 )
 
-// An attempt is one change through all its tries.
-type attempt struct {
+// A pendingChange is the state of one change across all attempts to have it accepted.
+type pendingChange struct {
 	edit    Edit
 	change  ggsdocument.Change
 	section *ggsdocument.Section
-	// sections holds the other sections that were read, by digest.
+	// sections caches the other sections that were read, by digest.
 	sections map[ggscore.Digest]*ggsdocument.Section
-	// ambiguous says that a write of the head may have taken effect; the first
-	// such write was on the head of revision tried.
-	ambiguous bool
-	tried     ggscore.Revision
-	// highest is the highest revision seen.
+	// ambiguous is set once a write of the head may have taken effect. The first
+	// such write replaced the head of revision attemptedOn.
+	ambiguous   bool
+	attemptedOn ggscore.Revision
+	// highest is the highest revision read so far.
 	highest ggscore.Revision
 }
 
-// settle returns the failure of the whole change. Once a write of the head was
-// ambiguous, only an answer that was read from a later head settles it: a
-// compare-and-swap on the earlier one can't take effect any more.
-func (a *attempt) settle(err error) error {
+// finalError returns the error that Apply reports after its last attempt. After an
+// ambiguous write of the head, only a section conflict or an invalid section is a
+// definite failure. Both are derived from a later head, and a compare-and-swap on the
+// earlier head can no longer take effect.
+func (a *pendingChange) finalError(err error) error {
 	if !a.ambiguous {
 		return err
 	}
@@ -44,16 +45,16 @@
 	}
 }
 
-// try makes one try: it reads the head, looks whether an earlier try was
-// accepted, checks the whole document and swaps the head.
+// attempt makes one attempt: it reads the head, checks whether an earlier attempt was
+// accepted, validates the whole document and replaces the head by compare-and-swap.
 //
-// The history guards against a lost answer. The writer would repeat an accepted
-// change over what others wrote since, or report a failure for a change that is
-// in force. The change's id stands in the head that the write made, so it is
-// looked for before each write; and each write names the head's previous
-// revision, so that of a delayed write and its repetition one at most takes
-// effect.
-func (e *Editor) try(ctx context.Context, a *attempt) (Accepted, error) {
+// The head's history guards against a lost answer. Without the history, the editor
+// would repeat an accepted change over later changes of other editors, or report a
+// failure for a change that is in force. Each accepted change stores its ID in the
+// head, and attempt searches the head for that ID before it writes. Each write is
+// conditional on the head's previous revision, so that a delayed write and its retry
+// can't both take effect.
+func (e *Editor) attempt(ctx context.Context, a *pendingChange) (Accepted, error) {
 	n, h, err := e.readHead(ctx)
 	if err != nil {
 		return Accepted{}, err
@@ -63,14 +64,14 @@
 	}
 	a.highest = h.Revision
 	if !a.ambiguous {
-		a.tried = h.Revision
+		a.attemptedOn = h.Revision
 	}
-	fate, r := h.StatusOf(a.change.ID, a.tried)
-	if fate == ggsdocument.ChangeAccepted {
+	status, r := h.StatusOf(a.change.ID, a.attemptedOn)
+	if status == ggsdocument.ChangeAccepted {
 		return Accepted{Revision: r}, nil
 	}
-	if fate == ggsdocument.ChangeUnknown {
-		return Accepted{}, &HistoryPassedError{Tried: a.tried, Have: h.Revision}
+	if status == ggsdocument.ChangeUnknown {
+		return Accepted{}, &HistoryPassedError{Tried: a.attemptedOn, Have: h.Revision}
 	}
 	next, err := h.Accept(a.change)
 	if err != nil {
@@ -79,27 +80,27 @@
 	if h.Sections[a.change.Section].Digest == a.change.Digest {
 		return Accepted{Revision: h.Revision, Unchanged: true}, nil
 	}
-	if err = e.checkWith(ctx, a, next); err != nil {
+	if err = e.checkDocument(ctx, a, next); err != nil {
 		return Accepted{}, err
 	}
 	if err = writeText(ctx, e.store, a.change.Digest, a.edit.Text); err != nil {
 		return Accepted{}, err
 	}
-	dropped := e.readDropped(ctx, next.UnusedTexts(h))
+	unused := e.readUnused(ctx, next.UnusedTexts(h))
 	_, err = e.store.Put(ctx, HeadKey, EncodeHead(next), n.Revision, 0)
-	var lost *ggscore.AmbiguousWriteError
-	if errors.As(err, &lost) {
+	var ambiguous *ggscore.AmbiguousWriteError
+	if errors.As(err, &ambiguous) {
 		a.ambiguous = true
 	}
 	if err != nil {
-		return Accepted{}, errors.Wrap(err, "swapping the head")
+		return Accepted{}, errors.Wrap(err, "replacing the head")
 	}
-	e.deleteDropped(ctx, dropped)
+	e.deleteUnused(ctx, unused)
 	return Accepted{Revision: next.Revision}, nil
 }
 
-// checkWith checks the whole document of a head that has the change.
-func (e *Editor) checkWith(ctx context.Context, a *attempt, h ggsdocument.Head) error {
+// checkDocument validates the whole document of head h, which contains the change.
+func (e *Editor) checkDocument(ctx context.Context, a *pendingChange, h ggsdocument.Head) error {
 	l := make([]*ggsdocument.Section, 0, len(h.Sections))
 	for _, n := range slices.Sorted(maps.Keys(h.Sections)) {
 		if n == a.change.Section {
@@ -128,9 +129,9 @@
 	return ggstoml.WithLine(err, invalid.Section, text)
 }
 
-// readSection reads and parses a section that the change doesn't touch.
+// readSection reads and parses a section that isn't part of the change.
 func (e *Editor) readSection(
-	ctx context.Context, a *attempt, n ggscore.SectionName, d ggscore.Digest,
+	ctx context.Context, a *pendingChange, n ggscore.SectionName, d ggscore.Digest,
 ) (*ggsdocument.Section, error) {
 	if s, found := a.sections[d]; found && s.Name == n {
 		return s, nil
@@ -147,11 +148,11 @@
 	return s, nil
 }
 
-// mayTryAgain reports whether a failed try may be followed by another one.
-func mayTryAgain(err error) bool {
+// isRetryable reports whether another attempt may follow an attempt that failed with err.
+func isRetryable(err error) bool {
 	var conflict *ggscore.ConflictError
-	var lost *ggscore.AmbiguousWriteError
-	var away *ggscore.StoreUnavailableError
+	var ambiguous *ggscore.AmbiguousWriteError
+	var unavailable *ggscore.StoreUnavailableError
 	var busy *ggscore.StoreBusyError
-	return errors.As(err, &conflict) || errors.As(err, &lost) || errors.As(err, &away) || errors.As(err, &busy)
+	return errors.As(err, &conflict) || errors.As(err, &ambiguous) || errors.As(err, &unavailable) || errors.As(err, &busy)
 }
--- a/io/ggsconfig/bench_test.go
+++ b/io/ggsconfig/bench_test.go
@@ -17,14 +17,14 @@
 	"greengageslip/io/ggstoml"
 )
 
-// sectionAdapters is the number of adapters in a market's section: about as
-// many as a megabyte takes.
+// sectionAdapters is the number of adapters in a market's section. Their text is
+// about one megabyte.
 const sectionAdapters = 5000
 
 func largeMarket(m, adapters int) []byte {
 	var b strings.Builder
 	for i := range adapters {
-		// Names without a pattern, or the texts would compress too well.
+		// Regular names would compress better than names in production.
 		h := sha256.Sum256([]byte(fmt.Sprint(m, i)))
 		fmt.Fprintf(&b, "[[adapters]]\nname = \"summary-%x\"\nbaseModel = \"base-8b\"\n"+
 			"versions = [\"v1\", \"v2\"]\ncurrent = \"v2\"\n\n", h[:6])
@@ -33,8 +33,8 @@
 	return []byte(b.String())
 }
 
-// BenchmarkFollower lets a process adopt documents of several sizes and reports
-// what it holds (bytes/adapter) and what a peer sends it (packedBytes/adapter).
+// BenchmarkFollower adopts documents of several sizes and reports a process's memory
+// (bytes/adapter) and the compressed text that a peer sends (packedBytes/adapter).
 func BenchmarkFollower(b *testing.B) {
 	for _, n := range []int{3_000, 50_000, 100_000, 200_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) { benchmarkFollower(b, n) })
@@ -51,7 +51,7 @@
 		t := largeMarket(m, min(sectionAdapters, n-m*sectionAdapters))
 		last = mustApply(b, s, edit(ggscore.SectionName("market/m"+strconv.Itoa(m)), t, 0, "m"+strconv.Itoa(m)))
 	}
-	before := inUse()
+	before := heapBytes()
 	f := ggsconfig.NewFollower(ggsconfig.FollowerOptions{
 		Self: "a1", Domain: "a", Store: s, Members: newNetwork(),
 	})
@@ -61,7 +61,7 @@
 	if d := <-documents; d.Revision != last {
 		b.Fatalf("revision %d was adopted, not %d", d.Revision, last)
 	}
-	held := inUse() - before
+	inMemory := heapBytes() - before
 	packed := 0
 	for _, s := range f.Head().Sections {
 		packed += len(f.PackedSection(s.Digest))
@@ -69,7 +69,7 @@
 	for b.Loop() {
 		_ = f.Current()
 	}
-	b.ReportMetric(float64(held)/float64(n), "bytes/adapter")
+	b.ReportMetric(float64(inMemory)/float64(n), "bytes/adapter")
 	b.ReportMetric(float64(packed)/float64(n), "packedBytes/adapter")
 	cancel()
 	if err := <-done; err != nil {
@@ -78,9 +78,8 @@
 	runtime.KeepAlive(f)
 }
 
-// BenchmarkHead reports the bytes of a head (headBytes) with a whole history and
-// so many sections, which each watcher reads at each change, and the time to
-// decode it.
+// BenchmarkHead reports the size of a head (headBytes) with a full history, by number
+// of sections, and the time to decode it. Each watcher reads the head at each change.
 func BenchmarkHead(b *testing.B) {
 	for _, n := range []int{10, 45, 100, 400} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -108,8 +107,8 @@
 	}
 }
 
-// BenchmarkAdopt measures what a change of one market's section costs each
-// process, beside documents of several sizes.
+// BenchmarkAdopt measures the cost per process of a change of one market's section, in
+// documents of several sizes.
 func BenchmarkAdopt(b *testing.B) {
 	for _, n := range []int{5_000, 50_000, 100_000, 200_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) { benchmarkAdopt(b, n) })
@@ -144,10 +143,10 @@
 		change(ggscore.SectionName("market/m"+strconv.Itoa(m)), largeMarket(m, sectionAdapters))
 	}
 	adopt()
-	one, other := largeMarket(0, sectionAdapters), largeMarket(n, sectionAdapters)
+	next, previous := largeMarket(0, sectionAdapters), largeMarket(n, sectionAdapters)
 	for b.Loop() {
-		one, other = other, one
-		change("market/m0", one)
+		next, previous = previous, next
+		change("market/m0", next)
 		adopt()
 	}
 }
@@ -161,8 +160,8 @@
 	return a.Revision
 }
 
-// inUse returns the bytes of the heap that are in use after a collection.
-func inUse() uint64 {
+// heapBytes returns the bytes of heap objects that remain after garbage collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/io/ggsconfig/doc.go
+++ b/io/ggsconfig/doc.go
@@ -1,5 +1,7 @@
-// Package ggsconfig keeps the operators' document in the platform's key-value
-// service and brings it to every process.
+// Package ggsconfig stores the operators' document in the platform's key-value service
+// and distributes it to every process. An Editor validates and writes changes. A
+// Follower adopts new revisions from the platform or from peers and publishes the
+// latest document to its subscribers.
 //
 // # Usage
 //
@@ -15,19 +17,20 @@
 //
 // # Storage
 //
-// The key config/sections/DIGEST holds a section's text under the hexadecimal
-// SHA-256 of it and never changes. The key config/head holds the head, as JSON by gzip.
-// A change is accepted by one compare-and-swap of config/head, so that changes
-// of different sections that are only jointly invalid can't both be accepted.
+// The key config/sections/DIGEST holds a section's text. DIGEST is the hexadecimal
+// SHA-256 of the text, so the value of a key never changes. The key config/head holds
+// the head as JSON compressed with gzip. One compare-and-swap of config/head accepts a
+// change, so two changes of different sections that are invalid only in combination
+// can't both be accepted.
 //
 // # Following
 //
-// A few VMs of each domain watch config/head; the others poll those. Every VM
-// also polls a VM elsewhere now and then, so that a domain that is cut off
-// from the platform still follows through its peers. No process goes back to a
-// lower revision.
+// A few VMs of each failure domain watch config/head, and the other VMs of the domain
+// poll these watchers. Every VM also polls other VMs at a lower rate, and watchers poll
+// VMs of other domains, so that a domain without access to the platform still receives
+// changes from peers. No process returns to a lower revision.
 //
 // # Locks
 //
-// Follower.mu is a leaf: no call is made and no other lock is taken under it.
+// Follower.mu is a leaf lock: its holder makes no remote call and takes no other lock.
 package ggsconfig
--- a/io/ggsconfig/editor.go
+++ b/io/ggsconfig/editor.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	defaultTries = 12
-	defaultPause = 50 * time.Millisecond
+	defaultAttempts = 12
+	defaultBackoff  = 50 * time.Millisecond
 )
 
-// An EditorStore is what an Editor needs of the platform's service.
+// An EditorStore is the part of the platform's service that an Editor uses.
 type EditorStore interface {
 	ggscore.Reader
 	ggscore.Writer
 }
 
-// EditorOptions sets an Editor's limits; zero values take the defaults.
+// EditorOptions holds an Editor's limits. Zero values select the defaults.
 type EditorOptions struct {
-	// Tries bounds the tries of one change.
+	// Tries is the maximum number of attempts for one change.
 	Tries int
-	// Pause is the mean pause after the first failed try; it doubles.
+	// Pause is the mean backoff after the first failed attempt. It doubles with each
+	// further attempt.
 	Pause time.Duration
-	// Floor is a revision known to be in force. A platform that shows a lower
-	// head was restored from an older copy, and changes on it are refused.
+	// Floor is a revision known to be in force. A platform with a lower head was
+	// restored from an older copy, and changes of that head are refused.
 	Floor ggscore.Revision
 }
 
-// An Editor makes operators' changes.
+// An Editor validates and writes operators' changes of the document.
 type Editor struct {
 	store   EditorStore
 	options EditorOptions
@@ -47,25 +48,25 @@
 type Edit struct {
 	Section ggscore.SectionName
 	Text    []byte
-	// ReadAt is the revision that the operator read before editing, zero for
-	// a section that he believes to be new.
+	// ReadAt is the revision that the operator read before editing. It is zero for a
+	// section that the operator expects not to exist.
 	ReadAt ggscore.Revision
 	By     string
-	// ID names the change.
+	// ID identifies the change across repetitions.
 	ID ggsdocument.ChangeID
-	// Repeated says that the change was applied before, under the same ID and
-	// with the same ReadAt, and its outcome wasn't known.
+	// Repeated marks a change that was applied before with the same ID and ReadAt, and
+	// whose outcome is unknown.
 	Repeated bool
 }
 
-// Accepted says how a change was accepted. Unchanged says that the section had
-// this text already.
+// Accepted is the result of an accepted change. Unchanged is set if the section already
+// had this text; no revision was written then, and Revision is the head's.
 type Accepted struct {
 	Revision  ggscore.Revision
 	Unchanged bool
 }
 
-// A Snapshot is the document as the platform's service has it.
+// A Snapshot is the document as stored in the platform's service.
 type Snapshot struct {
 	Head  ggsdocument.Head
 	Texts map[ggscore.SectionName][]byte
@@ -73,50 +74,49 @@
 
 // NewEditor returns an Editor on the platform's service.
 func NewEditor(s EditorStore, o EditorOptions) *Editor {
-	o.Tries = cmp.Or(o.Tries, defaultTries)
-	o.Pause = cmp.Or(o.Pause, defaultPause)
+	o.Tries = cmp.Or(o.Tries, defaultAttempts)
+	o.Pause = cmp.Or(o.Pause, defaultBackoff)
 	return &Editor{store: s, options: o}
 }
 
-// Apply makes a change and returns the revision that it gave. It fails with a
-// *ggsdocument.SectionError where the document would not be valid, with a
-// *ggsdocument.SectionConflictError where the section was changed since it was
-// read, and with an *UnknownOutcomeError where the change may have been
-// accepted.
+// Apply writes a change and returns the resulting revision. It fails with a
+// *ggsdocument.SectionError if the document would be invalid, with a
+// *ggsdocument.SectionConflictError if the section was changed after it was read, and
+// with an *UnknownOutcomeError if the change may have been accepted.
 func (e *Editor) Apply(ctx context.Context, d Edit) (Accepted, error) {
 	s, err := e.codec.ParseSection(d.Section, d.Text)
 	if err != nil {
 		return Accepted{}, err
 	}
-	a := &attempt{
+	a := &pendingChange{
 		edit:    d,
 		section: s,
 		change: ggsdocument.Change{
 			ID: d.ID, Section: d.Section, Digest: ggsdocument.DigestOf(d.Text), BaseRevision: d.ReadAt, By: d.By,
 		},
-		sections:  map[ggscore.Digest]*ggsdocument.Section{},
-		highest:   e.options.Floor,
-		ambiguous: d.Repeated,
-		tried:     d.ReadAt,
+		sections:    map[ggscore.Digest]*ggsdocument.Section{},
+		highest:     e.options.Floor,
+		ambiguous:   d.Repeated,
+		attemptedOn: d.ReadAt,
 	}
-	p := newPauser(e.options.Pause)
+	b := newRetryBackoff(e.options.Pause)
 	for range e.options.Tries {
 		var r Accepted
-		if r, err = e.try(ctx, a); err == nil {
+		if r, err = e.attempt(ctx, a); err == nil {
 			return r, nil
 		}
-		if !mayTryAgain(err) {
-			return Accepted{}, a.settle(err)
+		if !isRetryable(err) {
+			return Accepted{}, a.finalError(err)
 		}
-		if ctx.Err() != nil || !p.pause(ctx) {
-			return Accepted{}, a.settle(err)
+		if ctx.Err() != nil || !b.waitNext(ctx) {
+			return Accepted{}, a.finalError(err)
 		}
 	}
-	return Accepted{}, a.settle(&TriesSpentError{Tries: e.options.Tries, Cause: err})
+	return Accepted{}, a.finalError(&TriesSpentError{Tries: e.options.Tries, Cause: err})
 }
 
-// Check checks the document with the texts in place of its sections, without
-// writing. It returns the document.
+// Check validates the document of a snapshot with texts in place of the sections of the
+// same names, and returns that document. It writes nothing.
 func (e *Editor) Check(s Snapshot, texts map[ggscore.SectionName][]byte) (*ggscore.Document, error) {
 	all := maps.Clone(s.Texts)
 	if all == nil {
@@ -126,7 +126,7 @@
 	return CheckTexts(s.Head.Revision, all)
 }
 
-// Read reads the whole document.
+// Read reads the head and the text of every section.
 func (e *Editor) Read(ctx context.Context) (Snapshot, error) {
 	_, h, err := e.readHead(ctx)
 	if err != nil {
@@ -141,14 +141,14 @@
 	return s, nil
 }
 
-// ReadHead reads the head.
+// ReadHead reads the head. A missing head is the head of an empty document.
 func (e *Editor) ReadHead(ctx context.Context) (ggsdocument.Head, error) {
 	_, h, err := e.readHead(ctx)
 	return h, err
 }
 
-// ReadSection reads one section's text and the head that it stands in. A
-// section that isn't there gives a *NoSectionError.
+// ReadSection reads one section's text and the head that lists the section. It fails
+// with a *NoSectionError if the document has no such section.
 func (e *Editor) ReadSection(ctx context.Context, n ggscore.SectionName) ([]byte, ggsdocument.Head, error) {
 	_, h, err := e.readHead(ctx)
 	if err != nil {
@@ -162,8 +162,8 @@
 	return t, h, err
 }
 
-// CheckTexts parses and checks a whole document. Its failures are
-// *ggsdocument.SectionError with the line where it is known.
+// CheckTexts parses and validates a whole document. Its failures are
+// *ggsdocument.SectionError, with a line number if the line is known.
 func CheckTexts(r ggscore.Revision, texts map[ggscore.SectionName][]byte) (*ggscore.Document, error) {
 	l := make([]*ggsdocument.Section, 0, len(texts))
 	for _, n := range slices.Sorted(maps.Keys(texts)) {
@@ -181,7 +181,7 @@
 	return d, err
 }
 
-// readHead reads the head and the entry that holds it.
+// readHead reads the head and the store entry that holds it.
 func (e *Editor) readHead(ctx context.Context) (ggscore.Entry, ggsdocument.Head, error) {
 	n, err := e.store.Get(ctx, HeadKey)
 	if err != nil {
@@ -191,7 +191,7 @@
 	return n, h, err
 }
 
-// readText reads a section's text and verifies it.
+// readText reads a section's text and verifies its digest.
 func (e *Editor) readText(ctx context.Context, d ggscore.Digest) ([]byte, error) {
 	return readText(ctx, e.store, d)
 }
--- a/io/ggsconfig/editor_test.go
+++ b/io/ggsconfig/editor_test.go
@@ -24,7 +24,7 @@
 	return ggsconfig.Edit{Section: n, Text: text, ReadAt: readAt, By: "op-" + id, ID: ggsdocument.ChangeID(id)}
 }
 
-// apply makes a change that must be accepted.
+// apply applies a change and asserts that it is accepted.
 func apply(c *qt.C, s ggsconfig.EditorStore, d ggsconfig.Edit) ggscore.Revision {
 	c.Helper()
 	a, err := newEditor(s).Apply(context.Background(), d)
@@ -45,8 +45,8 @@
 	return n.Head
 }
 
-// Two operators read revision 2 of a market and both edit it. The second
-// would undo the first one's change without noticing, unless he is told.
+// Two operators edit the same section from revision 2. Without a conflict error, the
+// second change would silently overwrite the first.
 func TestApplyRaceOnOneSection(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -62,8 +62,7 @@
 	})
 }
 
-// Two operators edit different markets at the same time. Neither has to know
-// of the other: both changes are accepted.
+// Concurrent changes of different sections don't conflict: both are accepted.
 func TestApplyRaceOnTwoSections(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -75,10 +74,10 @@
 	c.Assert(headOf(c, s).Changes, qt.HasLen, 4)
 }
 
-// One operator takes a service away while another lets his market use it.
-// Each section is valid beside what its author read; together they would
-// leave a market without its service.
-func TestApplyRaceJointlyInvalid(t *testing.T) {
+// One operator removes a service while another adds a use of it to a market. Each
+// change is valid against the revision its author read, but both together would leave
+// a market that uses a missing service.
+func TestApplyRaceInvalidCombination(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
@@ -94,9 +93,9 @@
 	c.Assert(headOf(c, s).Revision, qt.Equals, ggscore.Revision(4))
 }
 
-// A change is accepted but its answer is lost, and others write before the
-// operator's client looks. Repeating it would make it twice; reporting a
-// failure would hide it.
+// A change is accepted, its answer is lost, and another change follows before the
+// retry. A repeated write would apply the change twice; an error would report an
+// accepted change as failed.
 func TestApplyLostAnswer(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -112,8 +111,8 @@
 	c.Assert(countOfB(h), qt.Equals, 1)
 }
 
-// The same, but an operator changes the same section after the lost answer:
-// the first change was accepted and has been replaced, which is no conflict.
+// After a lost answer another operator replaces the same section. The first change was
+// accepted, so it must not be reported as a conflict.
 func TestApplyLostAnswerThenReplaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -127,22 +126,22 @@
 	c.Assert(headOf(c, s).Sections["market/cr"].Change, qt.Equals, ggsdocument.ChangeID("other"))
 }
 
-// A write of the head is held up in the network and lands after the client has
-// tried again. Both name the same previous revision, so one takes effect.
+// A write of the head is delayed in the network and its client retries. Both writes are
+// conditional on the same previous revision, so only one may take effect.
 func TestApplyDelayedWrite(t *testing.T) {
 	t.Parallel()
-	for name, landFirst := range map[string]bool{"lands before the retry": true, "lands after the retry": false} {
+	for name, beforeRetry := range map[string]bool{"applied before the retry": true, "applied after the retry": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			s := filledStore(c)
 			s.delayWrites = 1
 			r := apply(c, &interleaved{faultyStore: s, afterLost: func() {
-				if landFirst {
-					s.land()
+				if beforeRetry {
+					s.releaseDelayed()
 				}
 			}}, edit("market/cr", marketText("v2", "asistente"), 2, "b"))
-			s.land()
+			s.releaseDelayed()
 			c.Assert(r, qt.Equals, ggscore.Revision(3))
 			h := headOf(c, s)
 			c.Assert(h.Revision, qt.Equals, ggscore.Revision(3))
@@ -151,28 +150,28 @@
 	}
 }
 
-// The platform goes away right after a write whose answer is lost. The client
-// can't know; it must say so, and the same change applied again under its id
-// must not be made twice.
+// The platform becomes unavailable right after a write whose answer is lost. The outcome
+// must be reported as unknown, and applying the change again with the same ID must not
+// apply it twice.
 func TestApplyUnknownOutcome(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
 	s.loseAnswers = 1
 	d := edit("market/cr", marketText("v2", "asistente"), 2, "b")
-	_, err := newEditor(&interleaved{faultyStore: s, afterLost: func() { s.setAway(true) }}).Apply(context.Background(), d)
+	_, err := newEditor(&interleaved{faultyStore: s, afterLost: func() { s.setUnavailable(true) }}).Apply(context.Background(), d)
 	var unknown *ggsconfig.UnknownOutcomeError
 	c.Assert(errors.As(err, &unknown), qt.IsTrue)
 	c.Assert(unknown.Change, qt.Equals, ggsdocument.ChangeID("b"))
-	s.setAway(false)
+	s.setUnavailable(false)
 	d.Repeated = true
 	c.Assert(apply(c, s, d), qt.Equals, ggscore.Revision(3))
 	c.Assert(countOfB(headOf(c, s)), qt.Equals, 1)
 }
 
-// An operator repeats a change of unknown outcome after so many others that
-// the history can't tell. Applying it would undo what came after it.
-func TestApplyRepeatedTooLate(t *testing.T) {
+// An operator repeats a change of unknown outcome after the history has dropped it.
+// Applying the change could overwrite later changes, so the outcome stays unknown.
+func TestApplyRepeatedAfterHistoryTrimmed(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
@@ -187,10 +186,9 @@
 	c.Assert(countOfB(headOf(c, s)), qt.Equals, 0)
 }
 
-// After a lost answer so many changes follow that the history no longer
-// reaches back to the try, and the section was changed again. The client must
-// not guess.
-func TestApplyHistoryPassed(t *testing.T) {
+// After a lost answer the section is changed again, and further changes push the first
+// one out of the history. The outcome can't be determined and must be reported as unknown.
+func TestApplyHistoryTrimmed(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
@@ -203,13 +201,13 @@
 	}}).Apply(context.Background(), edit("market/cr", marketText("v2", "asistente"), 2, "b"))
 	var unknown *ggsconfig.UnknownOutcomeError
 	c.Assert(errors.As(err, &unknown), qt.IsTrue)
-	var passed *ggsconfig.HistoryPassedError
-	c.Assert(errors.As(err, &passed), qt.IsTrue)
+	var trimmed *ggsconfig.HistoryPassedError
+	c.Assert(errors.As(err, &trimmed), qt.IsTrue)
 }
 
-// As many changes follow, but the section wasn't changed again: its state still
-// names the change.
-func TestApplyHistoryPassedButLatest(t *testing.T) {
+// The history no longer holds the change, but the section wasn't changed again. The
+// section's state still holds the change's ID, so the outcome is known.
+func TestApplyHistoryTrimmedSectionUnchanged(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
@@ -222,14 +220,14 @@
 	c.Assert(r, qt.Equals, ggscore.Revision(3))
 }
 
-// The platform is restored from an old copy. An operator who had read a later
-// revision, or whose client knows that one is in force, must not build on it:
-// no process would take the change.
+// The platform is restored from an old copy. A change based on a later revision, or made
+// with a Floor above the restored head, must be refused: every process would refuse the
+// resulting head as lower than its own.
 func TestApplyOnRestoredPlatform(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
-	old := s.copyOf()
+	old := s.snapshot()
 	apply(c, s, edit("market/cr", marketText("v2", "asistente"), 2, "a"))
 	s.restore(old)
 
@@ -272,7 +270,7 @@
 		"digest":      `{"revision":1,"sections":[{"digest":"zz"}]}`,
 		"replaced":    `{"revision":1,"changes":[{"replaced":"zz"}]}`,
 		"unknown key": `{"revision":1,"later":2}`,
-		"no JSON":     `revision 1`,
+		"not JSON":    `revision 1`,
 	} {
 		var b bytes.Buffer
 		z := gzip.NewWriter(&b)
@@ -288,8 +286,8 @@
 	c.Assert(errors.As(err, &bad), qt.IsTrue)
 }
 
-// An interleaved store lets something happen between a lost answer and the
-// client's next call.
+// An interleaved store runs afterLost between the first ambiguous write and the client's
+// next call.
 type interleaved struct {
 	*faultyStore
 	afterLost func()
@@ -299,15 +297,15 @@
 	ctx context.Context, k ggscore.Key, v []byte, prev ggscore.StoreRevision, l ggscore.LeaseID,
 ) (ggscore.StoreRevision, error) {
 	r, err := s.faultyStore.Put(ctx, k, v, prev, l)
-	var lost *ggscore.AmbiguousWriteError
-	if f := s.afterLost; f != nil && errors.As(err, &lost) {
+	var ambiguous *ggscore.AmbiguousWriteError
+	if f := s.afterLost; f != nil && errors.As(err, &ambiguous) {
 		s.afterLost = nil
 		f()
 	}
 	return r, err
 }
 
-// countOfB counts the revisions that change b made.
+// countOfB returns the number of revisions that change b produced.
 func countOfB(h ggsdocument.Head) int {
 	n := 0
 	for _, c := range h.Changes {
--- a/io/ggsconfig/errors.go
+++ b/io/ggsconfig/errors.go
@@ -8,8 +8,8 @@
 	"greengageslip/core/ggsdocument"
 )
 
-// An UnknownOutcomeError says that it isn't known whether a change was
-// accepted. Applying it again under the same id is safe.
+// An UnknownOutcomeError reports that a change may or may not have been accepted.
+// Applying the change again with the same ID and with Edit.Repeated set is safe.
 type UnknownOutcomeError struct {
 	Change  ggsdocument.ChangeID
 	Section ggscore.SectionName
@@ -25,8 +25,8 @@
 // Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// A TriesSpentError says that a change wasn't accepted in as many tries as
-// are made.
+// A TriesSpentError reports that a change wasn't accepted within the maximum number of
+// attempts.
 type TriesSpentError struct {
 	Tries int
 	Cause error
@@ -40,8 +40,8 @@
 // Unwrap returns the cause.
 func (e *TriesSpentError) Unwrap() error { return e.Cause }
 
-// A HistoryPassedError says that the head's history no longer reaches back to
-// the try of a change.
+// A HistoryPassedError reports that the history of the head at revision Have no longer
+// reaches back to Tried, the revision that a change may have replaced.
 type HistoryPassedError struct {
 	Tried ggscore.Revision
 	Have  ggscore.Revision
@@ -49,39 +49,42 @@
 
 // Error implements error.
 func (e *HistoryPassedError) Error() string {
-	return fmt.Sprintf("history at revision %d no longer reaches back to revision %d", e.Have, e.Tried)
+	return fmt.Sprintf("change not found: history of the head at revision %d doesn't reach back to revision %d", e.Have, e.Tried)
 }
 
-// A BadHeadError says that the value of config/head can't be decoded.
+// A BadHeadError reports that the value of config/head can't be decoded.
 type BadHeadError struct{ Cause error }
 
 // Error implements error.
-func (e *BadHeadError) Error() string { return fmt.Sprintf("bad head: %v", e.Cause) }
+func (e *BadHeadError) Error() string { return fmt.Sprintf("can't decode config/head: %v", e.Cause) }
 
 // Unwrap returns the cause.
 func (e *BadHeadError) Unwrap() error { return e.Cause }
 
-// A BadDigestError says that a text is no digest.
+// A BadDigestError reports that a text isn't a hexadecimal SHA-256 digest.
 type BadDigestError struct{ Text string }
 
 // Error implements error.
-func (e *BadDigestError) Error() string { return fmt.Sprintf("bad digest %q", e.Text) }
+func (e *BadDigestError) Error() string {
+	return fmt.Sprintf("invalid digest %q: want 64 hexadecimal digits", e.Text)
+}
 
-// A MissingSectionError says that a section's text isn't there.
+// A MissingSectionError reports that a store or peer has no section text with this digest.
+// The message contains the first 8 bytes of the digest.
 type MissingSectionError struct{ Digest ggscore.Digest }
 
 // Error implements error.
 func (e *MissingSectionError) Error() string {
-	return fmt.Sprintf("no section with digest %x", e.Digest[:8])
+	return fmt.Sprintf("section text with digest %x not found", e.Digest[:8])
 }
 
-// A NoSectionError says that the document has no such section.
+// A NoSectionError reports that the document has no section with this name.
 type NoSectionError struct{ Section ggscore.SectionName }
 
 // Error implements error.
 func (e *NoSectionError) Error() string { return fmt.Sprintf("no section %q", e.Section) }
 
-// A PeerError says that a peer didn't answer.
+// A PeerError reports that a call of a peer failed, or that its answer was unusable.
 type PeerError struct {
 	Addr  netip.AddrPort
 	Cause error
@@ -93,8 +96,8 @@
 // Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Cause }
 
-// A StoreWentBackError says that the platform's service shows an earlier
-// revision than before: it was restored from an older copy.
+// A StoreWentBackError reports that the store revision of the platform's service
+// decreased from Seen to Have. The service was then restored from an older copy.
 type StoreWentBackError struct {
 	Seen ggscore.StoreRevision
 	Have ggscore.StoreRevision
@@ -102,20 +105,22 @@
 
 // Error implements error.
 func (e *StoreWentBackError) Error() string {
-	return fmt.Sprintf("platform service went back from revision %d to %d", e.Seen, e.Have)
+	return fmt.Sprintf("platform service restored from an older copy: store revision decreased from %d to %d", e.Seen, e.Have)
 }
 
-// A BadPackError says that a section can't be uncompressed.
+// A BadPackError reports that a section's text or a head can't be decompressed.
 type BadPackError struct{ Cause error }
 
 // Error implements error.
-func (e *BadPackError) Error() string { return fmt.Sprintf("bad compressed section: %v", e.Cause) }
+func (e *BadPackError) Error() string { return fmt.Sprintf("can't decompress text: %v", e.Cause) }
 
 // Unwrap returns the cause.
 func (e *BadPackError) Unwrap() error { return e.Cause }
 
-// A TooLargeError says that a text is larger than a section may be.
+// A TooLargeError reports that a decompressed text exceeds Limit bytes.
 type TooLargeError struct{ Limit int }
 
 // Error implements error.
-func (e *TooLargeError) Error() string { return fmt.Sprintf("more than %d bytes", e.Limit) }
+func (e *TooLargeError) Error() string {
+	return fmt.Sprintf("text exceeds the limit of %d bytes", e.Limit)
+}
--- a/io/ggsconfig/fleet_test.go
+++ b/io/ggsconfig/fleet_test.go
@@ -16,10 +16,10 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// idleWindow is how long a fleet at rest is watched.
+// idleWindow is how long the traffic of an idle fleet is measured.
 const idleWindow = 5 * time.Second
 
-// A countingListener counts the bytes of its connections.
+// A countingListener counts the bytes read and written on its connections.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -50,7 +50,7 @@
 	return n, err
 }
 
-// A fleet is followers that talk net/rpc over loopback.
+// A fleet is a set of followers connected by net/rpc over loopback.
 type fleet struct {
 	members   []ggsconfig.Member
 	followers []*ggsconfig.Follower
@@ -61,10 +61,9 @@
 // Members implements ggsconfig.MemberLister.
 func (f *fleet) Members() []ggsconfig.Member { return f.members }
 
-// BenchmarkInForce reports how long an accepted change takes until it is in
-// force on every VM (the mean and the longest of the changes, in seconds), how
-// many VMs watch, and the bytes a second that a VM at rest exchanges for that,
-// with the default intervals. The platform is in memory and answers at once.
+// BenchmarkInForce measures propagation with the default intervals. It reports the time
+// until an accepted change is in force on every VM (mean-s and longest-s), the number of
+// VMs that watch, and the traffic of an idle VM. The platform is an in-memory store.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{9, 30, 60} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) { benchmarkInForce(b, n) })
@@ -105,7 +104,7 @@
 	b.ReportMetric(float64(idle)/idleWindow.Seconds()/float64(n), "idleBytes/s/VM")
 }
 
-// await waits until all followers have the revision.
+// await waits until all followers have adopted revision r.
 func (f *fleet) await(ctx context.Context, r ggscore.Revision) {
 	for _, f := range f.followers {
 		l := f.Subscribe(ctx)
@@ -115,7 +114,7 @@
 	}
 }
 
-// start starts n followers in three domains.
+// start starts n followers in three failure domains.
 func (f *fleet) start(ctx context.Context, b *testing.B, s *faultyStore, n int) {
 	var listeners []net.Listener
 	for i := range n {
--- a/io/ggsconfig/follower.go
+++ b/io/ggsconfig/follower.go
@@ -26,7 +26,7 @@
 	defaultCallTimeout  = time.Second
 )
 
-// A FollowerStore is what a Follower needs of the platform's service.
+// A FollowerStore is the part of the platform's service that a Follower uses.
 type FollowerStore interface {
 	ggscore.Reader
 	ggscore.Watcher
@@ -39,73 +39,74 @@
 	Addr   netip.AddrPort
 }
 
-// A MemberLister lists the live entry VMs, as this process knows them.
+// A MemberLister lists the entry VMs that this process knows as live.
 type MemberLister interface {
 	Members() []Member
 }
 
-// FollowerOptions says what a Follower works with. Zero durations and numbers
-// take the defaults.
+// FollowerOptions holds a Follower's dependencies and limits. Zero durations and numbers
+// select the defaults.
 type FollowerOptions struct {
 	Self    ggscore.VMID
 	Domain  ggscore.Domain
 	Store   FollowerStore
 	Peers   PeerConfig
 	Members MemberLister
-	// PeersOnly says that this process serves no peers and never watches: it
-	// polls the watchers of its domain. Store may then be nil.
+	// PeersOnly is set for a process that serves no peers and never watches the
+	// platform. It polls the watchers of its domain, and Store may be nil.
 	PeersOnly bool
-	// Repair takes the head in force where the platform was restored from an
-	// older copy; nil leaves it as it is.
+	// Repair is the store to write the head in force back to after the platform was
+	// restored from an older copy. A nil Repair disables the repair.
 	Repair EditorStore
 	// Logger may be nil.
 	Logger log.Logger
 	// Watchers is the number of VMs in a domain that watch the platform.
 	Watchers int
-	// WatchWait is how long a watch waits; PollInterval is the mean time
-	// between polls of peers; CallTimeout bounds every other call but readings of
-	// sections, which may be long: Store and Peers bound the silence of these.
-	WatchWait    time.Duration
+	// WatchWait is the longest wait of one watch call for a change.
+	WatchWait time.Duration
+	// PollInterval is the mean time between polls of peers.
 	PollInterval time.Duration
-	CallTimeout  time.Duration
+	// CallTimeout bounds every other call except reads of sections. These may take
+	// long, so Store and Peers bound the time without received bytes instead.
+	CallTimeout time.Duration
 }
 
-// A Follower keeps a process on the latest revision of the document.
+// A Follower keeps a process at the latest revision of the document.
 type Follower struct {
 	options FollowerOptions
 	current atomic.Pointer[ggscore.Document]
 
-	mu    sync.Mutex
-	rules *ggsdocument.Follower
-	// packed holds the sections of the head in force for peers.
-	packed map[ggscore.Digest]packedText
-	subs   map[*subscription]struct{}
-	state  FollowerState
+	mu       sync.Mutex
+	follower *ggsdocument.Follower
+	// packed holds the compressed sections of the head in force, to serve to peers.
+	packed        map[ggscore.Digest]packedText
+	subscriptions map[*subscription]struct{}
+	state         FollowerState
 }
 
 var _ HeadServer = (*Follower)(nil)
 
-// FollowerState is a Follower's state for dumps.
+// FollowerState is a Follower's state for diagnostics.
 type FollowerState struct {
 	Revision ggscore.Revision `json:"revision"`
 	Watching bool             `json:"watching"`
-	// PlatformAway says that the latest call of the platform failed.
+	// PlatformAway is set if the latest call of the platform failed.
 	PlatformAway bool `json:"platformAway"`
-	// From says whence the document in force came.
+	// From is the source of the document in force: a peer's VM or "platform".
 	From string `json:"from"`
-	// Refused counts heads that were refused as lower or forked, Failed those
-	// that couldn't be pulled or formed no valid document.
+	// Refused counts heads that were refused as lower or forked.
 	Refused int `json:"refused"`
-	Failed  int `json:"failed"`
-	// Unrepaired counts lower heads that the platform showed and that are no
-	// earlier state of the head in force.
+	// Failed counts heads whose sections couldn't be read or formed no valid document.
+	Failed int `json:"failed"`
+	// Unrepaired counts lower heads read from the platform that aren't an earlier state
+	// of the head in force.
 	Unrepaired int `json:"unrepaired"`
 }
 
-// A subscription hands the latest document to one subscriber.
+// A subscription delivers the latest document to one subscriber.
 type subscription struct{ documents chan *ggscore.Document }
 
-// A source is where a head and its sections come from.
+// A source provides a head and its sections: the platform or a peer.
 type source struct {
 	name    string
 	section func(ctx context.Context, d ggscore.Digest) ([]byte, error)
@@ -121,32 +122,32 @@
 	o.PollInterval = cmp.Or(o.PollInterval, defaultPollInterval)
 	o.CallTimeout = cmp.Or(o.CallTimeout, defaultCallTimeout)
 	return &Follower{
-		options: o,
-		rules:   ggsdocument.NewFollower(ggstoml.Codec{}),
-		packed:  map[ggscore.Digest]packedText{},
-		subs:    map[*subscription]struct{}{},
+		options:       o,
+		follower:      ggsdocument.NewFollower(ggstoml.Codec{}),
+		packed:        map[ggscore.Digest]packedText{},
+		subscriptions: map[*subscription]struct{}{},
 	}
 }
 
-// Current returns the document in force, nil before there is one.
+// Current returns the document in force, or nil if none was adopted yet.
 func (f *Follower) Current() *ggscore.Document { return f.current.Load() }
 
 // Head returns the head in force.
 func (f *Follower) Head() ggsdocument.Head {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.rules.Head()
+	return f.follower.Head()
 }
 
-// PackedSection returns the compressed text of a section of the head in force,
-// nil where the head has no such section.
+// PackedSection returns the compressed text of a section of the head in force, or nil if
+// the head has no section with this digest.
 func (f *Follower) PackedSection(d ggscore.Digest) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.packed[d]
 }
 
-// Run follows the document until the context ends.
+// Run follows the document until the context ends. It returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	var g errgroup.Group
 	g.Go(func() error { f.watch(ctx); return nil })
@@ -154,35 +155,36 @@
 	return g.Wait()
 }
 
-// State returns the state for dumps.
+// State returns the current state for diagnostics.
 func (f *Follower) State() FollowerState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state
-	s.Revision = f.rules.Head().Revision
+	s.Revision = f.follower.Head().Revision
 	return s
 }
 
-// Subscribe returns a channel that holds the latest document that was adopted
-// and not yet received, beginning with the one in force. It is no longer fed
-// once the context has ended.
+// Subscribe returns a channel with a buffer of one. The channel first delivers the
+// document in force, if any, then each adopted document; a newer document replaces one
+// that wasn't received yet. Delivery stops when the context ends; the channel isn't closed.
 func (f *Follower) Subscribe(ctx context.Context) <-chan *ggscore.Document {
 	s := &subscription{documents: make(chan *ggscore.Document, 1)}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.subs[s] = struct{}{}
-	if d := f.rules.Current(); d != nil {
+	f.subscriptions[s] = struct{}{}
+	if d := f.follower.Current(); d != nil {
 		s.documents <- d
 	}
 	context.AfterFunc(ctx, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.subs, s)
+		delete(f.subscriptions, s)
 	})
 	return s.documents
 }
 
-// follow takes a head from a source and pulls what it lacks from there.
+// follow offers a head to the state machine and reads the missing sections from the
+// head's source.
 func (f *Follower) follow(ctx context.Context, h ggsdocument.Head, s source) error {
 	missing, err := f.offer(h, s)
 	if err != nil {
@@ -194,7 +196,7 @@
 			err = f.deliver(d, t, s)
 		}
 		if err != nil {
-			f.giveUp(h.Revision)
+			f.dropPending(h.Revision)
 			return err
 		}
 	}
@@ -204,15 +206,15 @@
 func (f *Follower) offer(h ggsdocument.Head, s source) ([]ggscore.Digest, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	adopted, err := f.rules.Offer(h)
+	adopted, err := f.follower.Offer(h)
 	if err != nil {
-		f.refused(err, s)
+		f.recordRefusal(err, s)
 		return nil, err
 	}
 	if adopted {
 		f.publish(s)
 	}
-	return f.rules.Missing(), nil
+	return f.follower.Missing(), nil
 }
 
 func (f *Follower) deliver(d ggscore.Digest, text []byte, s source) error {
@@ -225,9 +227,9 @@
 	if p != nil {
 		f.packed[d] = p
 	}
-	adopted, err := f.rules.Deliver(d, text)
+	adopted, err := f.follower.Deliver(d, text)
 	if err != nil {
-		f.refused(err, s)
+		f.recordRefusal(err, s)
 		return err
 	}
 	if adopted {
@@ -236,30 +238,31 @@
 	return nil
 }
 
-func (f *Follower) giveUp(r ggscore.Revision) {
+func (f *Follower) dropPending(r ggscore.Revision) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rules.DropPending(r)
+	f.follower.DropPending(r)
 	f.state.Failed++
 }
 
-// dropPacked drops the sections that the head in force doesn't have. The
+// dropPacked removes compressed sections that aren't part of the head in force. The
 // caller holds f.mu.
 func (f *Follower) dropPacked() {
 	used := map[ggscore.Digest]bool{}
-	for _, s := range f.rules.Head().Sections {
+	for _, s := range f.follower.Head().Sections {
 		used[s.Digest] = true
 	}
 	maps.DeleteFunc(f.packed, func(d ggscore.Digest, _ packedText) bool { return !used[d] })
 }
 
-// publish makes the rules' document the one in force. The caller holds f.mu.
+// publish puts the document of the state machine in force and sends it to subscribers.
+// The caller holds f.mu.
 func (f *Follower) publish(s source) {
-	d := f.rules.Current()
+	d := f.follower.Current()
 	f.current.Store(d)
 	f.state.From = s.name
 	f.dropPacked()
-	for u := range f.subs {
+	for u := range f.subscriptions {
 		select {
 		case <-u.documents:
 		default:
@@ -269,9 +272,8 @@
 	_ = f.options.Logger.Log("event", "documentAdopted", "revision", uint64(d.Revision), "from", s.name)
 }
 
-// refused counts and logs a head or section that was refused. The caller
-// holds f.mu.
-func (f *Follower) refused(err error, s source) {
+// recordRefusal counts and logs a head or section that was refused. The caller holds f.mu.
+func (f *Follower) recordRefusal(err error, s source) {
 	var lower *ggsdocument.LowerHeadError
 	var forked *ggsdocument.ForkedHeadError
 	event := "documentRefused"
--- a/io/ggsconfig/follower_test.go
+++ b/io/ggsconfig/follower_test.go
@@ -20,20 +20,20 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// patience bounds every wait for an event.
-const patience = 20 * time.Second
+// eventTimeout bounds every wait for an event.
+const eventTimeout = 20 * time.Second
 
-// A network is a few processes that follow the document, with links that can
-// be cut.
+// A network is a set of processes that follow the document. Each failure domain can be
+// partitioned from the other domains and from the platform.
 type network struct {
-	mu      sync.Mutex
-	members []ggsconfig.Member
-	nodes   map[netip.AddrPort]*ggsconfig.Follower
-	cut     map[ggscore.Domain]bool
-	// repair is where processes write their head back, nil for nowhere.
+	mu          sync.Mutex
+	members     []ggsconfig.Member
+	nodes       map[netip.AddrPort]*ggsconfig.Follower
+	partitioned map[ggscore.Domain]bool
+	// repair is the processes' Repair store; nil disables the repair.
 	repair ggsconfig.EditorStore
-	// sectionTime is how long the platform's answer with a section takes to arrive.
-	sectionTime time.Duration
+	// sectionDelay is the latency of the platform's answers to reads of sections.
+	sectionDelay time.Duration
 }
 
 // Members implements ggsconfig.MemberLister.
@@ -43,13 +43,13 @@
 	return append([]ggsconfig.Member(nil), n.members...)
 }
 
-func (n *network) setCut(d ggscore.Domain, cut bool) {
+func (n *network) setPartitioned(d ggscore.Domain, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[d] = cut
+	n.partitioned[d] = partitioned
 }
 
-// A link is one process's view of the network.
+// A link is the peer client of one process.
 type link struct {
 	network *network
 	domain  ggscore.Domain
@@ -58,7 +58,7 @@
 func (l *link) Head(
 	_ context.Context, addr netip.AddrPort, have ggsdocument.Head,
 ) (ggsdocument.Head, bool, error) {
-	f, err := l.reach(addr)
+	f, err := l.follower(addr)
 	if err != nil {
 		return ggsdocument.Head{}, false, err
 	}
@@ -67,7 +67,7 @@
 }
 
 func (l *link) Section(_ context.Context, addr netip.AddrPort, d ggscore.Digest) ([]byte, error) {
-	f, err := l.reach(addr)
+	f, err := l.follower(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -82,12 +82,12 @@
 	return io.ReadAll(z)
 }
 
-func (l *link) reach(addr netip.AddrPort) (*ggsconfig.Follower, error) {
+func (l *link) follower(addr netip.AddrPort) (*ggsconfig.Follower, error) {
 	l.network.mu.Lock()
 	defer l.network.mu.Unlock()
 	f := l.network.nodes[addr]
 	for _, m := range l.network.members {
-		if m.Addr == addr && m.Domain != l.domain && (l.network.cut[m.Domain] || l.network.cut[l.domain]) {
+		if m.Addr == addr && m.Domain != l.domain && (l.network.partitioned[m.Domain] || l.network.partitioned[l.domain]) {
 			f = nil
 		}
 	}
@@ -97,22 +97,22 @@
 	return f, nil
 }
 
-// A cutStore is the platform as a domain sees it.
-type cutStore struct {
+// A domainStore is the platform's service as reached from one failure domain.
+type domainStore struct {
 	*faultyStore
 	network *network
 	domain  ggscore.Domain
 }
 
-func (s *cutStore) away() bool {
+func (s *domainStore) unreachable() bool {
 	s.network.mu.Lock()
 	defer s.network.mu.Unlock()
-	return s.network.cut[s.domain]
+	return s.network.partitioned[s.domain]
 }
 
-func (s *cutStore) Get(ctx context.Context, k ggscore.Key) (ggscore.Entry, error) {
+func (s *domainStore) Get(ctx context.Context, k ggscore.Key) (ggscore.Entry, error) {
 	if k != ggsconfig.HeadKey {
-		t := time.NewTimer(s.network.sectionTime)
+		t := time.NewTimer(s.network.sectionDelay)
 		defer t.Stop()
 		select {
 		case <-t.C:
@@ -120,34 +120,34 @@
 			return ggscore.Entry{}, &ggscore.StoreUnavailableError{Cause: ctx.Err()}
 		}
 	}
-	if s.away() {
+	if s.unreachable() {
 		return ggscore.Entry{}, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 	}
 	return s.faultyStore.Get(ctx, k)
 }
 
-func (s *cutStore) Watch(
+func (s *domainStore) Watch(
 	ctx context.Context, k ggscore.Key, after ggscore.StoreRevision, d time.Duration,
 ) ([]ggscore.Entry, ggscore.StoreRevision, error) {
 	l, r, err := s.faultyStore.Watch(ctx, k, after, d)
-	if s.away() {
+	if s.unreachable() {
 		return nil, 0, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 	}
 	return l, r, err
 }
 
 func newNetwork() *network {
-	return &network{nodes: map[netip.AddrPort]*ggsconfig.Follower{}, cut: map[ggscore.Domain]bool{}}
+	return &network{nodes: map[netip.AddrPort]*ggsconfig.Follower{}, partitioned: map[ggscore.Domain]bool{}}
 }
 
-// start adds a process and runs it until the test ends.
+// start adds a process and runs its follower until the test ends.
 func (n *network) start(c *qt.C, s *faultyStore, vm ggscore.VMID, d ggscore.Domain) *ggsconfig.Follower {
 	n.mu.Lock()
 	addr := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(len(n.members)+1))
 	n.members = append(n.members, ggsconfig.Member{VM: vm, Domain: d, Addr: addr})
 	f := ggsconfig.NewFollower(ggsconfig.FollowerOptions{
 		Self: vm, Domain: d, Members: n,
-		Store:        &cutStore{faultyStore: s, network: n, domain: d},
+		Store:        &domainStore{faultyStore: s, network: n, domain: d},
 		Peers:        &link{network: n, domain: d},
 		Repair:       n.repair,
 		WatchWait:    50 * time.Millisecond,
@@ -165,10 +165,10 @@
 	return f
 }
 
-// await waits until a follower has a revision.
+// await waits until a follower has adopted revision r.
 func await(c *qt.C, f *ggsconfig.Follower, r ggscore.Revision) {
 	c.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	for l := f.Subscribe(ctx); ; {
 		select {
@@ -178,15 +178,15 @@
 				return
 			}
 		case <-ctx.Done():
-			c.Fatalf("revision %d is not in force, but %d", r, f.Head().Revision)
+			c.Fatalf("revision %d is not in force within the timeout: have %d", r, f.Head().Revision)
 		}
 	}
 }
 
-// awaitHead waits until the platform shows a revision.
+// awaitHead waits until the platform's head has revision r.
 func awaitHead(c *qt.C, s *faultyStore, r ggscore.Revision) {
 	c.Helper()
-	poll(c, "the platform doesn't show the revision", func() bool {
+	poll(c, "the platform's head doesn't have the revision", func() bool {
 		e, err := s.Get(context.Background(), ggsconfig.HeadKey)
 		c.Assert(err, qt.IsNil)
 		h, err := ggsconfig.DecodeHead(e.Value)
@@ -203,7 +203,7 @@
 
 func poll(c *qt.C, failure string, done func() bool) {
 	c.Helper()
-	deadline := time.NewTimer(patience)
+	deadline := time.NewTimer(eventTimeout)
 	defer deadline.Stop()
 	t := time.NewTicker(time.Millisecond)
 	defer t.Stop()
@@ -216,8 +216,8 @@
 	}
 }
 
-// A change is accepted while nine VMs in three domains follow. Each must have
-// it in force within seconds, with two watches a domain at most.
+// A change is accepted while nine VMs in three domains follow the document. Each VM must
+// adopt it within seconds, with at most two watches per domain.
 func TestFollowersGetChange(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -244,14 +244,13 @@
 	c.Assert(watching <= 6, qt.IsTrue)
 }
 
-// The platform is restored from an old copy while processes run. They must
-// stay on the revision that was accepted, and follow again once the platform
-// has passed it.
+// The platform is restored from an old copy while processes run. They must keep the
+// accepted revision, and follow again once the platform's head has a higher revision.
 func TestFollowerRefusesLowerHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
-	old := s.copyOf()
+	old := s.snapshot()
 	apply(c, s, edit("market/cr", marketText("v2", "asistente"), 2, "a"))
 	f := newNetwork().start(c, s, "a1", "a")
 	await(c, f, 3)
@@ -263,9 +262,9 @@
 	await(c, f, 4)
 }
 
-// The platform is restored from an old copy, then an operator changes another
-// section. Without repair his change gets a revision that all processes have
-// passed, and a later one takes back the change that the copy lacks.
+// The platform is restored from an old copy, then an operator changes another section.
+// Without repair, that change gets a revision that all processes refuse, and a later
+// change reverts the change that the copy lacks.
 func TestFollowerRepairsRestoredPlatform(t *testing.T) {
 	t.Parallel()
 	for name, restored := range map[string]bool{"old copy": true, "empty": false} {
@@ -273,7 +272,7 @@
 			t.Parallel()
 			c := qt.New(t)
 			s := filledStore(c)
-			old := s.copyOf()
+			old := s.snapshot()
 			if !restored {
 				old = map[ggscore.Key]ggscore.Entry{}
 			}
@@ -295,48 +294,46 @@
 	}
 }
 
-// A change is made on the restored platform before a process sees the old
-// head. Repair would overwrite it, so the process must leave the platform as
-// it is.
-func TestFollowerRepairsNoOtherHead(t *testing.T) {
+// A change is accepted on the restored platform before a process reads the old head.
+// A repair would overwrite that change, so the process must not repair the platform.
+func TestFollowerDoesNotRepairForkedHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
-	old := s.copyOf()
+	old := s.snapshot()
 	apply(c, s, edit("market/cr", marketText("v2", "asistente"), 2, "a"))
 	apply(c, s, edit("market/cr", marketText("v3", "asistente"), 3, "b"))
 	n := newNetwork()
 	n.repair = s
 	f := n.start(c, s, "a1", "a")
 	await(c, f, 4)
-	n.setCut("a", true)
+	n.setPartitioned("a", true)
 	s.restore(old)
 	apply(c, s, edit("market/wa", marketText("w1", "asistente"), 0, "other"))
-	n.setCut("a", false)
-	poll(c, "the head was not left as it is", func() bool { return f.State().Unrepaired > 0 })
+	n.setPartitioned("a", false)
+	poll(c, "the lower head was not counted as unrepaired", func() bool { return f.State().Unrepaired > 0 })
 	c.Assert(headOf(c, s).Sections["market/wa"].Change, qt.Equals, ggsdocument.ChangeID("other"))
 	c.Assert(f.Current().Revision, qt.Equals, ggscore.Revision(4))
 }
 
-// A VM is replaced while the platform is away. It must take the highest
-// revision that its peers have, and serve.
-func TestFollowerStartsWithPlatformAway(t *testing.T) {
+// A VM starts while the platform is unavailable. It must adopt the highest revision of
+// its peers.
+func TestFollowerStartsWithPlatformUnavailable(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
 	n := newNetwork()
 	first := n.start(c, s, "a1", "a")
 	await(c, first, 2)
-	s.setAway(true)
+	s.setUnavailable(true)
 	second := n.start(c, s, "b1", "b")
 	await(c, second, 2)
 	c.Assert(second.State().From, qt.Equals, "a1")
 }
 
-// A domain is cut off from the platform and from the others while a change is
-// accepted. It goes on with what it has, and pulls the change by digest once
-// the cut heals.
-func TestFollowerCutAndHeal(t *testing.T) {
+// A domain is partitioned from the platform and the other domains while a change is
+// accepted. It keeps its document, and reads the change once the partition heals.
+func TestFollowerPartitionHeals(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
@@ -344,24 +341,24 @@
 	a, b := n.start(c, s, "a1", "a"), n.start(c, s, "b1", "b")
 	await(c, a, 2)
 	await(c, b, 2)
-	n.setCut("b", true)
+	n.setPartitioned("b", true)
 	apply(c, s, edit("market/cr", marketText("v2", "asistente"), 2, "x"))
 	await(c, a, 3)
 	c.Assert(b.Current().Revision, qt.Equals, ggscore.Revision(2))
-	n.setCut("b", false)
+	n.setPartitioned("b", false)
 	await(c, b, 3)
 }
 
-// A domain loses the platform but not the other domains. A change must reach
-// it through them.
+// A domain can't reach the platform but reaches the other domains. A change must arrive
+// through these.
 func TestFollowerThroughOtherDomain(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s, lost := filledStore(c), newFaultyStore()
-	lost.setAway(true)
+	s, unreachable := filledStore(c), newFaultyStore()
+	unreachable.setUnavailable(true)
 	n := newNetwork()
 	a := n.start(c, s, "a1", "a")
-	b1, b2 := n.start(c, lost, "b1", "b"), n.start(c, lost, "b2", "b")
+	b1, b2 := n.start(c, unreachable, "b1", "b"), n.start(c, unreachable, "b2", "b")
 	for _, f := range []*ggsconfig.Follower{a, b1, b2} {
 		await(c, f, 2)
 	}
@@ -371,12 +368,13 @@
 	}
 }
 
-// Guards against a section that is read over and over because it takes longer than a call.
-func TestLongSectionOnASlowLinkIsFollowed(t *testing.T) {
+// The read of a large section takes longer than CallTimeout. If that bound applied to
+// sections, the read would time out and restart forever.
+func TestFollowerReadsSectionBeyondCallTimeout(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	n := newNetwork()
-	n.sectionTime = 1500 * time.Millisecond
+	n.sectionDelay = 1500 * time.Millisecond
 	await(c, n.start(c, filledStore(c), "a1", "a"), 2)
 }
 
@@ -407,7 +405,7 @@
 	c.Assert(newer, qt.IsTrue)
 	c.Assert(h.Equal(f.Head()), qt.IsTrue)
 
-	// A peer whose head of an earlier revision is another one gets the whole.
+	// A caller whose head belongs to another history gets the whole head.
 	fork, err := ggsdocument.Head{}.Accept(ggsdocument.Change{ID: "f", Section: "services"})
 	c.Assert(err, qt.IsNil)
 	h, newer, err = p.Head(ctx, addr, fork)
--- a/io/ggsconfig/head.go
+++ b/io/ggsconfig/head.go
@@ -14,10 +14,10 @@
 // HeadKey is the key of the document's head.
 const HeadKey ggscore.Key = "config/head"
 
-// sectionsPrefix begins the keys of sections' texts.
+// sectionsPrefix is the key prefix of the sections' texts.
 const sectionsPrefix = "config/sections"
 
-// headWire is a head as it is stored and as it crosses processes.
+// headWire is the JSON form of a head.
 type headWire struct {
 	Revision uint64        `json:"revision"`
 	Sections []sectionWire `json:"sections"`
@@ -44,8 +44,8 @@
 	return ggscore.KeyOf(sectionsPrefix, hex.EncodeToString(d[:]))
 }
 
-// EncodeHead encodes a head, as JSON compressed by gzip: each watcher reads the
-// whole of it at each change.
+// EncodeHead encodes a head as JSON compressed with gzip. Each watcher reads the complete
+// head at each change, so its size matters.
 func EncodeHead(h ggsdocument.Head) []byte {
 	w := headWire{
 		Revision: uint64(h.Revision),
@@ -69,7 +69,7 @@
 		}
 		w.Changes = append(w.Changes, x)
 	}
-	b, _ := json.Marshal(w) // a struct of texts and numbers always encodes
+	b, _ := json.Marshal(w) // a struct of strings and numbers always encodes
 	return pack(b)
 }
 
--- a/io/ggsconfig/machine_test.go
+++ b/io/ggsconfig/machine_test.go
@@ -14,39 +14,37 @@
 	"greengageslip/io/ggstoml"
 )
 
-// A verdict is what an operator was told of a change.
-type verdict int
+// An outcome is the result of a change as reported to its operator.
+type outcome int
 
 const (
-	toldUnknown verdict = iota
-	toldAccepted
-	toldRefused
+	outcomeUnknown outcome = iota
+	outcomeAccepted
+	outcomeRefused
 )
 
-// A machine is operators and followers around a faulty platform.
+// A machine is a set of operators and followers of a faulty platform.
 type machine struct {
 	store     *faultyStore
 	followers []*ggsdocument.Follower
 	next      int
-	told      map[ggsdocument.ChangeID]verdict
+	reported  map[ggsdocument.ChangeID]outcome
 	revision  map[ggsdocument.ChangeID]ggscore.Revision
 	readAt    map[ggsdocument.ChangeID]ggscore.Revision
 	unknown   []ggsconfig.Edit
-	// decoded holds the heads of the store that were decoded already.
+	// decoded caches the decoded heads of the store.
 	decoded []ggsdocument.Head
 }
 
-// Operators change sections while answers are lost, writes are delayed and
-// land late, others write in between and the platform goes away. Whatever an
-// operator is told must be true for ever: an accepted change is in the document
-// once, a refused one never. Processes get heads from the platform, from each
-// other and from old copies; none may go back.
+// Random histories of edits with lost answers, delayed writes, concurrent changes and an
+// unavailable platform. A change reported as accepted must be written exactly once, a
+// refused one never. Followers offered heads of any source must not decrease in revision.
 func TestEditorAndFollowers(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{
 			store:    newFaultyStore(),
-			told:     map[ggsdocument.ChangeID]verdict{},
+			reported: map[ggsdocument.ChangeID]outcome{},
 			revision: map[ggsdocument.ChangeID]ggscore.Revision{},
 			readAt:   map[ggsdocument.ChangeID]ggscore.Revision{},
 		}
@@ -55,20 +53,20 @@
 		}
 		m.apply(t, m.store, "services", []byte(servicesText), 0)
 		t.Repeat(map[string]func(*rapid.T){
-			"apply":        m.applyAny,
-			"applyAgain":   m.applyAgain,
-			"land":         func(*rapid.T) { m.store.land() },
-			"fromPlatform": m.fromPlatform,
-			"fromPeer":     m.fromPeer,
-			"fromOldCopy":  m.fromOldCopy,
-			"":             m.check,
+			"apply":          m.applyAny,
+			"applyAgain":     m.applyAgain,
+			"releaseDelayed": func(*rapid.T) { m.store.releaseDelayed() },
+			"fromPlatform":   m.fromPlatform,
+			"fromPeer":       m.fromPeer,
+			"fromOldCopy":    m.fromOldCopy,
+			"":               m.check,
 		})
-		m.store.land()
+		m.store.releaseDelayed()
 		m.check(t)
 	})
 }
 
-// apply makes a change and notes what the operator was told.
+// apply applies a change and records the outcome reported to the operator.
 func (m *machine) apply(
 	t *rapid.T, s ggsconfig.EditorStore, n ggscore.SectionName, text []byte, readAt ggscore.Revision,
 ) {
@@ -82,19 +80,19 @@
 	var unknown *ggsconfig.UnknownOutcomeError
 	switch {
 	case err == nil && a.Unchanged:
-		m.told[d.ID] = toldRefused // nothing was written in its name
+		m.reported[d.ID] = outcomeRefused // no revision has its ID
 	case err == nil:
-		m.told[d.ID], m.revision[d.ID] = toldAccepted, a.Revision
+		m.reported[d.ID], m.revision[d.ID] = outcomeAccepted, a.Revision
 	case errors.As(err, &unknown):
-		m.told[d.ID] = toldUnknown
+		m.reported[d.ID] = outcomeUnknown
 		m.unknown = append(m.unknown, d)
 	default:
-		m.told[d.ID] = toldRefused
+		m.reported[d.ID] = outcomeRefused
 	}
 	t.Logf("%s on %s read at %d: %+v, %v", d.ID, d.Section, d.ReadAt, a, err)
 }
 
-// applyAgain repeats a change of unknown outcome under its id.
+// applyAgain repeats a change of unknown outcome with the same ID.
 func (m *machine) applyAgain(t *rapid.T) {
 	if len(m.unknown) == 0 {
 		t.Skip("no unknown outcome")
@@ -105,7 +103,7 @@
 	m.applyEdit(t, m.store, d)
 }
 
-// applyAny makes a change that meets any fault.
+// applyAny applies a change under random faults.
 func (m *machine) applyAny(t *rapid.T) {
 	n := rapid.SampledFrom([]ggscore.SectionName{"market/cr", "market/wa", "services"}).Draw(t, "section")
 	readAt := m.lastHead(t).Revision
@@ -116,15 +114,15 @@
 	m.store.delayWrites = rapid.IntRange(0, 2).Draw(t, "delay")
 	m.store.failWrites = rapid.IntRange(0, 1).Draw(t, "fail")
 	s := &interleaved{faultyStore: m.store}
-	after := rapid.SampledFrom([]string{"nothing", "land", "other", "away"}).Draw(t, "afterLost")
+	after := rapid.SampledFrom([]string{"nothing", "releaseDelayed", "other", "unavailable"}).Draw(t, "afterLost")
 	s.afterLost = func() {
 		switch after {
-		case "land":
-			m.store.land()
+		case "releaseDelayed":
+			m.store.releaseDelayed()
 		case "other":
 			m.other(t)
-		case "away":
-			m.store.setAway(true)
+		case "unavailable":
+			m.store.setUnavailable(true)
 		}
 	}
 	if rapid.Bool().Draw(t, "race") {
@@ -133,10 +131,10 @@
 	m.apply(t, s, n, m.text(t, n), readAt)
 	m.store.beforePut = nil
 	m.store.loseAnswers, m.store.delayWrites, m.store.failWrites = 0, 0, 0
-	m.store.setAway(false)
+	m.store.setUnavailable(false)
 }
 
-// other is another operator's change, which meets no fault of its own.
+// other applies another operator's change without faults.
 func (m *machine) other(t *rapid.T) {
 	lose, delay, fail := m.store.loseAnswers, m.store.delayWrites, m.store.failWrites
 	m.store.loseAnswers, m.store.delayWrites, m.store.failWrites = 0, 0, 0
@@ -145,9 +143,9 @@
 	m.store.loseAnswers, m.store.delayWrites, m.store.failWrites = lose, delay, fail
 }
 
-// check checks what operators were told against each head ever written.
+// check compares the reported outcomes with every head ever written.
 func (m *machine) check(t *rapid.T) {
-	made := map[ggsdocument.ChangeID]ggscore.Revision{}
+	written := map[ggsdocument.ChangeID]ggscore.Revision{}
 	changed := map[ggscore.SectionName]ggscore.Revision{}
 	for i, h := range m.heads(t) {
 		if h.Revision != ggscore.Revision(i+1) {
@@ -159,23 +157,23 @@
 			t.Fatalf("change %s, read at %d, replaced %s of revision %d", id, m.readAt[id], last.Section, changed[last.Section])
 		}
 		changed[last.Section] = h.Revision
-		if r, found := made[id]; found {
-			t.Fatalf("change %s made revisions %d and %d", id, r, h.Revision)
+		if r, found := written[id]; found {
+			t.Fatalf("change %s produced revisions %d and %d", id, r, h.Revision)
 		}
-		made[id] = h.Revision
+		written[id] = h.Revision
 	}
-	for id, v := range m.told {
-		r, found := made[id]
-		if v == toldAccepted && (!found || r != m.revision[id]) {
-			t.Fatalf("change %s was told accepted at %d, but made %d", id, m.revision[id], r)
+	for id, o := range m.reported {
+		r, found := written[id]
+		if o == outcomeAccepted && (!found || r != m.revision[id]) {
+			t.Fatalf("change %s was reported accepted at revision %d, but produced %d", id, m.revision[id], r)
 		}
-		if v == toldRefused && found {
-			t.Fatalf("change %s was told refused, but made %d", id, r)
+		if o == outcomeRefused && found {
+			t.Fatalf("change %s was reported refused, but produced revision %d", id, r)
 		}
 	}
 }
 
-// heads returns each head that was ever written.
+// heads returns every head ever written, in order.
 func (m *machine) heads(t *rapid.T) []ggsdocument.Head {
 	for _, b := range m.store.heads[len(m.decoded):] {
 		h, err := ggsconfig.DecodeHead(b)
@@ -203,7 +201,7 @@
 	f, h := m.follower(t), m.lastHead(t)
 	m.offer(t, f, h)
 	if f.Head().Revision != h.Revision {
-		t.Fatalf("revision %d is in force after the platform's %d was offered", f.Head().Revision, h.Revision)
+		t.Fatalf("revision %d is in force after revision %d of the platform was offered", f.Head().Revision, h.Revision)
 	}
 }
 
@@ -218,7 +216,7 @@
 	return m.heads(t)[len(m.store.heads)-1]
 }
 
-// offer offers a head and checks that the follower doesn't go back.
+// offer offers a head and checks that the follower's revision doesn't decrease.
 func (m *machine) offer(t *rapid.T, f *ggsdocument.Follower, h ggsdocument.Head) {
 	before := f.Head().Revision
 	_, err := f.Offer(h)
@@ -234,14 +232,14 @@
 	}
 	after := f.Head().Revision
 	if after < before || after != max(before, h.Revision) {
-		t.Fatalf("went from revision %d to %d when %d was offered", before, after, h.Revision)
+		t.Fatalf("follower changed from revision %d to %d when %d was offered", before, after, h.Revision)
 	}
 	if d := f.Current(); d != nil && d.Revision != after {
-		t.Fatalf("document of revision %d under head %d", d.Revision, after)
+		t.Fatalf("document has revision %d, its head %d", d.Revision, after)
 	}
 }
 
-// text returns one of a few texts, some of which don't fit the others.
+// text returns one of a few texts. Some texts of different sections are invalid together.
 func (m *machine) text(t *rapid.T, n ggscore.SectionName) []byte {
 	if n == "services" {
 		more := "\n[[services]]\nname = \"resumen\"\nbaseModel = \"base-8b\"\nslots = 1\nadapterSlots = 1\n"
--- a/io/ggsconfig/main_test.go
+++ b/io/ggsconfig/main_test.go
@@ -7,8 +7,8 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain gives generated histories a seed, so that every run has the same
-// verdict; -rapid.seed gives another one.
+// TestMain fixes the seed of property tests, so that every run generates the same cases.
+// The flag -rapid.seed overrides the seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
--- a/io/ggsconfig/pack.go
+++ b/io/ggsconfig/pack.go
@@ -8,21 +8,21 @@
 	"greengageslip/core/ggsdocument"
 )
 
-// A packedText is a section's text, compressed. Adapters repeat the same keys
-// and base models, so that a text shrinks to about a tenth, in the memory of
-// the processes that serve it to others as well as between them.
+// A packedText is a text compressed with gzip. Sections repeat the same keys and base
+// models for each adapter, so compression reduces them to about a tenth. Processes keep
+// the sections that they serve to peers in this form.
 type packedText []byte
 
 func pack(text []byte) packedText {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
-	_, _ = w.Write(text) // a buffer takes all
+	_, _ = w.Write(text) // writes to a buffer don't fail
 	_ = w.Close()
 	return b.Bytes()
 }
 
-// unpack returns the text. It reads no more than a section may hold: a broken
-// peer could otherwise make this process fill its memory.
+// unpack decompresses a text. It reads at most MaxSectionBytes+1 bytes, so that an answer
+// of a faulty peer can't exhaust this process's memory.
 func unpack(p packedText) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(p))
 	if err != nil {
--- a/io/ggsconfig/pack_test.go
+++ b/io/ggsconfig/pack_test.go
@@ -19,8 +19,8 @@
 	c.Assert(bytes.Equal(back, text), qt.IsTrue)
 
 	for name, p := range map[string]packedText{
-		"no gzip":   []byte("text"),
-		"cut":       pack(text)[:50],
+		"not gzip":  []byte("text"),
+		"truncated": pack(text)[:50],
 		"too large": pack(append(text, 'a')),
 		"empty":     nil,
 	} {
--- a/io/ggsconfig/pause.go
+++ b/io/ggsconfig/pause.go
@@ -7,29 +7,29 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-const maxPause = 500 * time.Millisecond
+const maxBackoff = 500 * time.Millisecond
 
-// A pauser makes the growing, jittered pauses between tries.
-type pauser struct{ backOff *backoff.ExponentialBackOff }
+// A retryBackoff waits between attempts, with exponential backoff and jitter.
+type retryBackoff struct{ backOff *backoff.ExponentialBackOff }
 
-func newPauser(first time.Duration) *pauser {
+func newRetryBackoff(first time.Duration) *retryBackoff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = first
-	b.MaxInterval = max(maxPause, first)
+	b.MaxInterval = max(maxBackoff, first)
 	b.Multiplier = 2
 	b.RandomizationFactor = 0.5
 	b.Reset()
-	return &pauser{backOff: b}
+	return &retryBackoff{backOff: b}
 }
 
-// pause waits and reports whether the context lasted.
-func (p *pauser) pause(ctx context.Context) bool {
-	return wait(ctx, p.backOff.NextBackOff())
+// waitNext waits for the next backoff and reports false if the context ended first.
+func (b *retryBackoff) waitNext(ctx context.Context) bool {
+	return wait(ctx, b.backOff.NextBackOff())
 }
 
-func (p *pauser) reset() { p.backOff.Reset() }
+func (b *retryBackoff) reset() { b.backOff.Reset() }
 
-// wait waits and reports whether the context lasted.
+// wait waits for d and reports false if the context ended first.
 func wait(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/io/ggsconfig/peer.go
+++ b/io/ggsconfig/peer.go
@@ -12,7 +12,7 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// ServiceName is the name that a Service is registered under.
+// ServiceName is the net/rpc name under which a Service is registered.
 const ServiceName = "Config"
 
 // The methods of a Service.
@@ -21,20 +21,21 @@
 	methodSection = ServiceName + ".Section"
 )
 
-// A PeerConfig asks other processes for the document. Their failures are
-// *PeerError.
+// A PeerConfig reads the document from other processes. Its failures are *PeerError.
 type PeerConfig interface {
-	// Head returns the peer's head if it is later than the caller's, else false.
+	// Head returns the peer's head and true if its revision is higher than have's,
+	// else false.
 	Head(ctx context.Context, addr netip.AddrPort, have ggsdocument.Head) (ggsdocument.Head, bool, error)
 	// Section returns the text of a section of the peer's head.
 	Section(ctx context.Context, addr netip.AddrPort, d ggscore.Digest) ([]byte, error)
 }
 
-// HeadArgs asks for a head. It is exported since net/rpc asks for it.
+// HeadArgs is the argument of Service.Head: the revision of the caller's head. net/rpc
+// requires exported argument and reply types.
 type HeadArgs struct{ Have uint64 }
 
-// HeadReply answers HeadArgs with what changed since; it is empty unless Newer
-// is set.
+// HeadReply is the reply of Service.Head: the changes since HeadArgs.Have. It is empty
+// unless Newer is set.
 type HeadReply struct {
 	Newer    bool
 	Revision uint64
@@ -42,7 +43,7 @@
 	Sum      [32]byte
 }
 
-// SectionWire is a section's state as it crosses processes.
+// SectionWire is a section's state on the wire.
 type SectionWire struct {
 	Name     string
 	Digest   [32]byte
@@ -51,16 +52,16 @@
 	Change   string
 }
 
-// SectionArgs asks for a section's text.
+// SectionArgs is the argument of Service.Section: the digest of a section's text.
 type SectionArgs struct{ Digest [32]byte }
 
-// SectionReply answers SectionArgs. Packed is the text, compressed by gzip.
+// SectionReply is the reply of Service.Section. Packed is the text compressed with gzip.
 type SectionReply struct {
 	Found  bool
 	Packed []byte
 }
 
-// A HeadServer has a head and its sections; a Follower is one.
+// A HeadServer provides a head and its compressed sections. A Follower implements it.
 type HeadServer interface {
 	Head() ggsdocument.Head
 	PackedSection(d ggscore.Digest) []byte
@@ -69,10 +70,10 @@
 // A Service serves the document to other processes.
 type Service struct{ server HeadServer }
 
-// NewService returns a Service of what a server has.
+// NewService returns a Service for a server's head and sections.
 func NewService(s HeadServer) *Service { return &Service{server: s} }
 
-// Head answers with the head if it is newer than the caller's.
+// Head replies with the changes since the caller's head if the server's head is newer.
 func (s *Service) Head(a *HeadArgs, r *HeadReply) error {
 	h := s.server.Head()
 	if uint64(h.Revision) > a.Have {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// Section answers with a section's text.
+// Section replies with a section's compressed text.
 func (s *Service) Section(a *SectionArgs, r *SectionReply) error {
 	if t := s.server.PackedSection(a.Digest); t != nil {
 		*r = SectionReply{Found: true, Packed: t}
@@ -89,10 +90,10 @@
 	return nil
 }
 
-// sectionSilence is how long a peer that is asked for a section may send nothing.
-const sectionSilence = time.Second
+// sectionIdleTimeout is the longest time without received bytes during a call of Section.
+const sectionIdleTimeout = time.Second
 
-// Peers asks other processes over net/rpc.
+// Peers reads the document from other processes over net/rpc.
 type Peers struct{ pool *ggsrpc.Pool }
 
 var _ PeerConfig = (*Peers)(nil)
@@ -104,10 +105,10 @@
 func (p *Peers) Head(
 	ctx context.Context, addr netip.AddrPort, have ggsdocument.Head,
 ) (ggsdocument.Head, bool, error) {
-	h, newer, err := p.since(ctx, addr, have)
-	var fork *ggsdocument.DeltaError
-	if errors.As(err, &fork) {
-		h, newer, err = p.since(ctx, addr, ggsdocument.Head{})
+	h, newer, err := p.headSince(ctx, addr, have)
+	var mismatch *ggsdocument.DeltaError
+	if errors.As(err, &mismatch) {
+		h, newer, err = p.headSince(ctx, addr, ggsdocument.Head{})
 	}
 	if err != nil {
 		return ggsdocument.Head{}, false, &PeerError{Addr: addr, Cause: err}
@@ -118,7 +119,7 @@
 // Section implements PeerConfig.
 func (p *Peers) Section(ctx context.Context, addr netip.AddrPort, d ggscore.Digest) ([]byte, error) {
 	var r SectionReply
-	if err := p.pool.CallLong(ctx, sectionSilence, addr, methodSection, &SectionArgs{Digest: d}, &r); err != nil {
+	if err := p.pool.CallLong(ctx, sectionIdleTimeout, addr, methodSection, &SectionArgs{Digest: d}, &r); err != nil {
 		return nil, &PeerError{Addr: addr, Cause: err}
 	}
 	if !r.Found {
@@ -131,8 +132,8 @@
 	return t, nil
 }
 
-// since asks for what changed since a head and returns the later one.
-func (p *Peers) since(
+// headSince reads the changes since head have and returns the resulting head.
+func (p *Peers) headSince(
 	ctx context.Context, addr netip.AddrPort, have ggsdocument.Head,
 ) (ggsdocument.Head, bool, error) {
 	var r HeadReply
--- a/io/ggsconfig/poll.go
+++ b/io/ggsconfig/poll.go
@@ -16,35 +16,37 @@
 )
 
 const (
-	// startPeers bounds the peers that a process asks when it has no document.
+	// startPeers is the maximum number of peers polled per round by a process without a
+	// document.
 	startPeers = 16
-	// startCalls bounds the calls to them at once.
-	startCalls = 4
-	// startPart is the part of the poll interval at which it asks them.
-	startPart = 5
-	// farPolls is the share of the rounds, one in so many, in which a VM that
-	// doesn't watch polls another VM besides a watcher of its domain.
-	farPolls = 4
-	// nearTries bounds the watchers that are tried in a round.
-	nearTries = 2
+	// startConcurrency is the maximum number of concurrent calls in such a round.
+	startConcurrency = 4
+	// startIntervalDivisor divides the poll interval of a process without a document.
+	startIntervalDivisor = 5
+	// occasionalRounds is the period, in rounds, at which a VM that doesn't watch polls
+	// another VM in addition to a watcher of its domain.
+	occasionalRounds = 4
+	// regularAttempts is the maximum number of watchers called in a round until one
+	// answers.
+	regularAttempts = 2
 )
 
-// An offeredHead is a head as a peer has it.
+// An offeredHead is a head received from a peer.
 type offeredHead struct {
 	head ggsdocument.Head
 	from Member
 }
 
-// poll asks peers for newer heads. A VM that doesn't watch polls the watchers
-// of its domain, and now and then any other VM; a watcher polls other domains,
-// which carries a change into a domain that is cut off from the platform.
+// poll reads newer heads from peers until the context ends. A VM that doesn't watch polls
+// the watchers of its domain, and any other VM at a lower rate. A watcher polls VMs of
+// other domains, so that a change reaches a domain without access to the platform.
 func (f *Follower) poll(ctx context.Context) {
 	for round := 0; ctx.Err() == nil; round++ {
 		pause := f.options.PollInterval
 		if f.Current() == nil {
-			// Nothing can be served yet, so it asks more often.
-			f.askAll(ctx)
-			pause /= startPart
+			// Without a document this process can't serve, so it polls more often.
+			f.pollMany(ctx)
+			pause /= startIntervalDivisor
 		} else {
 			f.pollOnce(ctx, round)
 		}
@@ -52,25 +54,26 @@
 	}
 }
 
-// pollOnce polls a watcher of the domain, and another VM if this is its round.
+// pollOnce polls a watcher of the domain and, every occasionalRounds rounds or if there
+// is no such watcher, another VM.
 func (f *Follower) pollOnce(ctx context.Context, round int) {
-	near, far := f.peers()
-	for _, m := range someOf(near, nearTries) {
-		if f.ask(ctx, m) {
+	regular, occasional := f.peers()
+	for _, m := range randomMembers(regular, regularAttempts) {
+		if f.pollPeer(ctx, m) {
 			break
 		}
 	}
-	if len(near) > 0 && round%farPolls != 0 {
+	if len(regular) > 0 && round%occasionalRounds != 0 {
 		return
 	}
-	for _, m := range someOf(far, 1) {
-		f.ask(ctx, m)
+	for _, m := range randomMembers(occasional, 1) {
+		f.pollPeer(ctx, m)
 	}
 }
 
-// ask asks one peer and follows its head if it is newer. It reports whether the
-// peer answered.
-func (f *Follower) ask(ctx context.Context, m Member) bool {
+// pollPeer reads a peer's head and follows it if it is newer. It reports whether the peer
+// answered.
+func (f *Follower) pollPeer(ctx context.Context, m Member) bool {
 	h, newer, err := f.peerHead(ctx, m)
 	if err == nil && newer {
 		f.followPeer(ctx, offeredHead{head: h, from: m})
@@ -78,14 +81,14 @@
 	return err == nil
 }
 
-// askAll asks many peers and follows the highest head, or the next one where
-// that can't be pulled.
-func (f *Follower) askAll(ctx context.Context) {
-	l := someOf(f.others(), startPeers)
+// pollMany reads the heads of up to startPeers peers. It follows the highest head, or the
+// next lower one if the sections of a head can't be read.
+func (f *Follower) pollMany(ctx context.Context) {
+	l := randomMembers(f.others(), startPeers)
 	var mu sync.Mutex
 	var heads []offeredHead
 	var g errgroup.Group
-	g.SetLimit(startCalls)
+	g.SetLimit(startConcurrency)
 	for _, m := range l {
 		g.Go(func() error {
 			h, newer, err := f.peerHead(ctx, m)
@@ -123,7 +126,7 @@
 	return f.options.Peers.Head(ctx, m.Addr, f.Head())
 }
 
-// others returns the members but this VM.
+// others returns all members except this VM.
 func (f *Follower) others() []Member {
 	l := slices.Clone(f.options.Members.Members())
 	if f.options.PeersOnly {
@@ -132,27 +135,27 @@
 	return slices.DeleteFunc(l, func(m Member) bool { return m.VM == f.options.Self })
 }
 
-// peers returns the VMs to poll in each round and those to poll now and then. A
-// watcher has none of the first: it has the head from the platform as early as
-// the other watchers of its domain. Of the second it takes other domains: the
-// platform may be out of its reach but not of theirs.
-func (f *Follower) peers() (near, far []Member) {
+// peers returns the VMs to poll in every round and those to poll occasionally. For a
+// watcher, regular is empty: it receives a head from the platform as early as the other
+// watchers of its domain. Its occasional peers are in other domains, which may reach the
+// platform when its own domain doesn't.
+func (f *Follower) peers() (regular, occasional []Member) {
 	w := f.watchers()
 	watcher := !f.options.PeersOnly && slices.Contains(w, f.options.Self)
 	for _, m := range f.others() {
 		own := m.Domain == f.options.Domain
 		switch {
 		case !watcher && own && slices.Contains(w, m.VM):
-			near = append(near, m)
+			regular = append(regular, m)
 		case !watcher || !own:
-			far = append(far, m)
+			occasional = append(occasional, m)
 		}
 	}
-	return near, far
+	return regular, occasional
 }
 
-// someOf returns some members at random.
-func someOf(l []Member, n int) []Member {
+// randomMembers returns up to n randomly chosen members. It shuffles l.
+func randomMembers(l []Member, n int) []Member {
 	rand.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
 	return l[:min(len(l), n)]
 }
@@ -164,8 +167,8 @@
 	return errors.As(err, &lower) || errors.As(err, &forked)
 }
 
-// jittered returns a duration within a quarter of d, so that the processes'
-// calls spread after a common start.
+// jittered returns a random duration between 0.75 d and 1.25 d, so that the calls of
+// processes that started together spread out.
 func jittered(d time.Duration) time.Duration {
 	return d - d/4 + rand.N(d/2+1)
 }
--- a/io/ggsconfig/repair.go
+++ b/io/ggsconfig/repair.go
@@ -11,15 +11,17 @@
 	"greengageslip/core/ggsdocument"
 )
 
-// repair writes the head in force back to a platform that was restored from an
-// older copy. The entry holds the lower head that it shows.
+// repair writes the head in force back to a platform that was restored from an older
+// copy. Entry n holds the platform's lower head.
 //
-// It guards against changes that are lost without a word: the next changes
-// would be made on the older document and get revisions that the processes have
-// passed; these would refuse them, until one passes theirs and takes back all
-// that the copy lacks. The head is written only where it is known to continue
-// the lower one, so that no change made since the restore is overwritten, and
-// by compare-and-swap on what was seen, so that one watcher writes it.
+// Without the repair, accepted changes would be lost silently. New changes would be based
+// on the older document and get revisions up to the one in force, so every process would
+// refuse them. The first change with a higher revision would then be adopted and revert
+// all changes that the copy lacks.
+//
+// The head is written only if it extends the platform's lower head, so that no change
+// accepted since the restore is overwritten. The write is a compare-and-swap on the
+// entry that was read, so only one watcher's write succeeds.
 func (f *Follower) repair(ctx context.Context, n ggscore.Entry) error {
 	lower, err := DecodeHead(n.Value)
 	if err != nil || f.options.Repair == nil {
@@ -49,8 +51,8 @@
 	return ignoreConflict(err)
 }
 
-// countUnrepaired notes that operators have to look: the platform shows a head
-// that is lower than the one in force but no earlier state of it.
+// countUnrepaired counts and logs a head of the platform that is lower than the head in
+// force but isn't an earlier state of it. An operator has to resolve this.
 func (f *Follower) countUnrepaired(own, lower ggsdocument.Head) {
 	f.mu.Lock()
 	f.state.Unrepaired++
@@ -58,8 +60,8 @@
 	_ = f.options.Logger.Log("event", "headNotRepaired", "revision", uint64(own.Revision), "shown", uint64(lower.Revision))
 }
 
-// repairSection writes a section's text. It is written also where it is there,
-// as writeText says.
+// repairSection writes a section's text, even if the store already has it. writeText
+// states the reason.
 func (f *Follower) repairSection(ctx context.Context, d ggscore.Digest) error {
 	t, err := unpack(f.PackedSection(d))
 	if err != nil {
@@ -77,7 +79,7 @@
 	return errors.Wrap(err, "repairing the head")
 }
 
-// repairIfLower repairs the platform where a head was refused as lower.
+// repairIfLower repairs the platform if its head was refused as lower.
 func (f *Follower) repairIfLower(ctx context.Context, n ggscore.Entry, err error) error {
 	var lower *ggsdocument.LowerHeadError
 	if !errors.As(err, &lower) {
@@ -86,7 +88,7 @@
 	return f.repair(ctx, n)
 }
 
-// ignoreConflict drops a conflict: another watcher was faster.
+// ignoreConflict returns nil for a conflict: another watcher repaired the head first.
 func ignoreConflict(err error) error {
 	var c *ggscore.ConflictError
 	if errors.As(err, &c) {
--- a/io/ggsconfig/store.go
+++ b/io/ggsconfig/store.go
@@ -8,8 +8,8 @@
 	ggscore "greengageslip/core"
 )
 
-// A DryRunStore reads a store and writes nothing: writes succeed where the
-// store would take them now.
+// A DryRunStore reads a store and writes nothing. A write succeeds if the store would
+// accept it now.
 type DryRunStore struct{ reader ggscore.Reader }
 
 var _ EditorStore = (*DryRunStore)(nil)
@@ -33,8 +33,7 @@
 	return s.reader.List(ctx, prefix)
 }
 
-// Put implements ggscore.Writer. The revision that it returns is a pretended
-// one.
+// Put implements ggscore.Writer. It writes nothing and returns a made-up revision.
 func (s *DryRunStore) Put(
 	ctx context.Context, k ggscore.Key, _ []byte, prev ggscore.StoreRevision, _ ggscore.LeaseID,
 ) (ggscore.StoreRevision, error) {
@@ -54,7 +53,7 @@
 	return n.Revision + 1, nil
 }
 
-// A LoggedStore logs each call of a store.
+// A LoggedStore logs each call to a store.
 type LoggedStore struct {
 	store  EditorStore
 	logger log.Logger
--- a/io/ggsconfig/store_test.go
+++ b/io/ggsconfig/store_test.go
@@ -11,29 +11,29 @@
 	ggscore "greengageslip/core"
 )
 
-// causeError is the cause of a fault that a test provoked.
+// causeError is the cause of an injected fault.
 type causeError struct{}
 
-func (*causeError) Error() string { return "provoked" }
+func (*causeError) Error() string { return "injected fault" }
 
-// A faultyStore is the platform's service in memory, with the faults that a
-// test asks for. Faults of writes meet writes of the head only.
+// A faultyStore is an in-memory platform service with fault injection. Write faults
+// apply to writes of the head only.
 type faultyStore struct {
 	mu       sync.Mutex
 	revision ggscore.StoreRevision
 	entries  map[ggscore.Key]ggscore.Entry
 	changed  chan struct{}
 	delayed  []func()
-	// heads holds each head that was ever written.
+	// heads holds every head ever written, in order.
 	heads [][]byte
 
-	away bool
-	// loseAnswers, delayWrites and failWrites count the next writes that are
-	// met by the fault.
+	unavailable bool
+	// loseAnswers, delayWrites and failWrites are the numbers of next writes that get
+	// the fault.
 	loseAnswers int
 	delayWrites int
 	failWrites  int
-	// delayDeletes holds deletions back until they are let land.
+	// delayDeletes delays deletions until releaseDelayed.
 	delayDeletes bool
 	// beforePut runs before the next write of the head, without the lock.
 	beforePut func()
@@ -56,7 +56,7 @@
 func (s *faultyStore) Get(_ context.Context, k ggscore.Key) (ggscore.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.unavailable {
 		return ggscore.Entry{}, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 	}
 	e := s.entries[k]
@@ -86,7 +86,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.unavailable {
 		return 0, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 	}
 	if isHead && s.failWrites > 0 {
@@ -119,9 +119,9 @@
 				l = append(l, e)
 			}
 		}
-		r, changed, away := s.revision, s.changed, s.away
+		r, changed, unavailable := s.revision, s.changed, s.unavailable
 		s.mu.Unlock()
-		if away {
+		if unavailable {
 			return nil, 0, &ggscore.StoreUnavailableError{Cause: &causeError{}}
 		}
 		if over || len(l) > 0 {
@@ -137,8 +137,8 @@
 	}
 }
 
-// copyOf returns the entries, for a restore later.
-func (s *faultyStore) copyOf() map[ggscore.Key]ggscore.Entry {
+// snapshot returns a copy of the entries, for a later restore.
+func (s *faultyStore) snapshot() map[ggscore.Key]ggscore.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := map[ggscore.Key]ggscore.Entry{}
@@ -148,8 +148,8 @@
 	return m
 }
 
-// land lets the delayed writes take effect.
-func (s *faultyStore) land() {
+// releaseDelayed applies the delayed writes and deletions.
+func (s *faultyStore) releaseDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, f := range s.delayed {
@@ -158,7 +158,7 @@
 	s.delayed = nil
 }
 
-// put is called with the lock held.
+// put writes an entry by compare-and-swap. The caller holds s.mu.
 func (s *faultyStore) put(k ggscore.Key, v []byte, prev ggscore.StoreRevision) (ggscore.StoreRevision, error) {
 	if have := s.entries[k].Revision; have != prev {
 		return 0, &ggscore.ConflictError{Key: k, Want: prev, Have: have}
@@ -168,11 +168,11 @@
 	if k == "config/head" {
 		s.heads = append(s.heads, v)
 	}
-	s.wake()
+	s.notifyWatchers()
 	return s.revision, nil
 }
 
-// remove is called with the lock held.
+// remove deletes an entry by compare-and-swap. The caller holds s.mu.
 func (s *faultyStore) remove(k ggscore.Key, prev ggscore.StoreRevision) error {
 	if have := s.entries[k].Revision; have != prev || prev == 0 {
 		return &ggscore.ConflictError{Key: k, Want: prev, Have: have}
@@ -192,17 +192,17 @@
 		h.Revision = s.revision
 		m["config/head"] = h
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *faultyStore) setAway(away bool) {
+func (s *faultyStore) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
-	s.wake()
+	s.unavailable = unavailable
+	s.notifyWatchers()
 }
 
-// takeBeforePut returns what is to happen before this write of the head.
+// takeBeforePut returns and clears beforePut if the write is one of the head.
 func (s *faultyStore) takeBeforePut(head bool) func() {
 	if !head {
 		return nil
@@ -214,13 +214,13 @@
 	return f
 }
 
-// wake is called with the lock held.
-func (s *faultyStore) wake() {
+// notifyWatchers ends the waits of all watches. The caller holds s.mu.
+func (s *faultyStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// The texts of a small valid document.
+// servicesText and marketText are the sections of a small valid document.
 
 const servicesText = `[[services]]
 name = "asistente"
--- a/io/ggsconfig/text.go
+++ b/io/ggsconfig/text.go
@@ -9,32 +9,33 @@
 	"greengageslip/core/ggsdocument"
 )
 
-// writeText writes a section's text, also where it is there already: its key is
-// its digest, so whoever wrote it before wrote the same text.
+// writeText writes a section's text, even if the store already has it. The key is the
+// text's digest, so an existing entry holds the same text.
 //
-// Writing it again guards against its deletion. A text that no head needs is
-// deleted by the editor whose change dropped it; another editor may be about
-// to use the same text again, and would leave a head whose section is missing.
-// An editor writes the text between reading the head and swapping it, and a
-// deleter reads the text's revision, then swaps the head, then deletes at that
-// revision. If the deleter's swap falls between the other's reading and
-// swapping, that swap fails and the text is written anew; if it falls before,
-// the text was written after its revision was read, or the head that was read
-// shows the deleter's swap; in both cases the deletion at the earlier revision
-// fails or is followed by the write.
+// The rewrite guards against a concurrent deletion. An editor whose change leaves a text
+// unused deletes that text (the deleter). Another editor may be about to use the same
+// text again (the writer), and its head would refer to a deleted section.
+//
+// The writer reads the head, writes the text, then swaps the head. The deleter reads the
+// text's store revision, swaps the head, then deletes the text at that store revision.
+// If the deleter's swap falls between the writer's read and swap of the head, the
+// writer's swap fails and its next attempt writes the text again. If the deleter's swap
+// comes before the writer's read of the head, the writer's text is written after the
+// deleter read the store revision. The deletion then either fails because the store
+// revision has changed, or precedes the write.
 func writeText(ctx context.Context, s EditorStore, d ggscore.Digest, text []byte) error {
 	_, err := s.Put(ctx, SectionKey(d), text, 0, 0)
 	var exists *ggscore.ConflictError
 	if errors.As(err, &exists) {
 		_, err = s.Put(ctx, SectionKey(d), text, exists.Have, 0)
 	}
-	return errors.Wrap(err, "writing a section")
+	return errors.Wrap(err, "writing a section's text")
 }
 
 func readText(ctx context.Context, s ggscore.Reader, d ggscore.Digest) ([]byte, error) {
 	n, err := s.Get(ctx, SectionKey(d))
 	if err != nil {
-		return nil, errors.Wrap(err, "reading a section")
+		return nil, errors.Wrap(err, "reading a section's text")
 	}
 	if n.Revision == 0 {
 		return nil, &MissingSectionError{Digest: d}
@@ -45,9 +46,9 @@
 	return n.Value, nil
 }
 
-// readDropped reads the entries of texts that the next head drops. What can't
-// be read stays.
-func (e *Editor) readDropped(ctx context.Context, l []ggscore.Digest) []ggscore.Entry {
+// readUnused reads the entries of texts that the next head doesn't use. A text that
+// can't be read is skipped and stays in the store.
+func (e *Editor) readUnused(ctx context.Context, l []ggscore.Digest) []ggscore.Entry {
 	entries := make([]ggscore.Entry, 0, len(l))
 	for _, d := range l {
 		n, err := e.store.Get(ctx, SectionKey(d))
@@ -59,9 +60,9 @@
 	return entries
 }
 
-// deleteDropped deletes the texts that the head dropped, at the revisions that
-// were read before it. A failure leaves a text behind, which does no harm.
-func (e *Editor) deleteDropped(ctx context.Context, l []ggscore.Entry) {
+// deleteUnused deletes texts that the head doesn't use, at the store revisions that were
+// read before the head was swapped. A failure leaves an unused text, which is harmless.
+func (e *Editor) deleteUnused(ctx context.Context, l []ggscore.Entry) {
 	for _, n := range l {
 		_ = e.store.Delete(ctx, n.Key, n.Revision)
 	}
--- a/io/ggsconfig/text_test.go
+++ b/io/ggsconfig/text_test.go
@@ -11,7 +11,7 @@
 	"greengageslip/io/ggsconfig"
 )
 
-// changeOther makes n changes of market/wa.
+// changeOther applies n changes to market/wa.
 func changeOther(c *qt.C, s *faultyStore, n int) {
 	c.Helper()
 	for range n {
@@ -21,36 +21,36 @@
 	}
 }
 
-// texts counts the sections' texts in the store.
-func texts(c *qt.C, s *faultyStore) int {
+// textCount returns the number of section texts in the store.
+func textCount(c *qt.C, s *faultyStore) int {
 	l, err := s.List(context.Background(), "config/sections/")
 	c.Assert(err, qt.IsNil)
 	return len(l)
 }
 
-// Thousands of changes a day each leave a text behind. Unless old ones go, the
-// platform's service fills up.
-func TestApplyDropsTexts(t *testing.T) {
+// Thousands of changes a day each leave a replaced text. Without deletion of unused
+// texts, the platform's service runs out of space.
+func TestApplyDeletesUnusedTexts(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
 	changeOther(c, s, 3*ggsdocument.HistoryLength)
-	// Those in use, and those that the history's changes replaced.
-	c.Assert(texts(c, s), qt.Equals, 3+ggsdocument.HistoryLength)
+	// The three texts in use, and those replaced by changes in the history.
+	c.Assert(textCount(c, s), qt.Equals, 3+ggsdocument.HistoryLength)
 	_, err := newEditor(s).Read(context.Background())
 	c.Assert(err, qt.IsNil)
 }
 
-// An operator goes back to a text that was replaced 64 changes ago, while
-// another's change drops that text. The document would be left without it.
-func TestApplyReusesDroppedText(t *testing.T) {
+// An operator restores a text that was replaced 64 changes ago, while another editor's
+// change deletes that text as unused. The document must not lose the section.
+func TestApplyReusesUnusedText(t *testing.T) {
 	t.Parallel()
 	old := marketText("v1x", "asistente")
 	for name, race := range map[string]func(c *qt.C, s *faultyStore){
-		"dropped before the head is swapped": func(c *qt.C, s *faultyStore) {
+		"deleted before the head is swapped": func(c *qt.C, s *faultyStore) {
 			s.beforePut = func() { changeOther(c, s, 1) }
 		},
-		"deletion lands late": func(c *qt.C, s *faultyStore) {
+		"deletion delayed": func(c *qt.C, s *faultyStore) {
 			s.delayDeletes = true
 			changeOther(c, s, 1)
 		},
@@ -64,7 +64,7 @@
 			before := headOf(c, s)
 			race(c, s)
 			apply(c, s, edit("market/cr", old, before.Revision, "b"))
-			s.land()
+			s.releaseDelayed()
 			n, err := newEditor(s).Read(context.Background())
 			c.Assert(err, qt.IsNil)
 			c.Assert(string(n.Texts["market/cr"]), qt.Equals, string(old))
@@ -73,14 +73,14 @@
 	}
 }
 
-// A dry run must not delete what the change would drop.
-func TestDryRunDropsNothing(t *testing.T) {
+// A dry run must not delete texts that the change would leave unused.
+func TestDryRunDeletesNothing(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := filledStore(c)
 	changeOther(c, s, ggsdocument.HistoryLength+1)
-	before := texts(c, s)
+	before := textCount(c, s)
 	r := headOf(c, s).Revision
 	apply(c, ggsconfig.NewDryRunStore(s), edit("market/cr", marketText("v2", "asistente"), r, "a"))
-	c.Assert(texts(c, s), qt.Equals, before)
+	c.Assert(textCount(c, s), qt.Equals, before)
 }
--- a/io/ggsconfig/watch.go
+++ b/io/ggsconfig/watch.go
@@ -8,35 +8,35 @@
 	"greengageslip/core/ggsdocument"
 )
 
-// platformName names the platform as a source.
+// platformName is the name of the platform in FollowerState.From and in log lines.
 const platformName = "platform"
 
 // watch watches the platform while this VM is one of its domain's watchers.
 func (f *Follower) watch(ctx context.Context) {
-	p := newPauser(f.options.PollInterval / 2)
+	b := newRetryBackoff(f.options.PollInterval / 2)
 	for ctx.Err() == nil {
 		if !f.isWatcher() {
 			f.setWatching(false, nil)
 			wait(ctx, jittered(f.options.PollInterval))
 			continue
 		}
-		err := f.watchOnce(ctx, p)
+		err := f.watchOnce(ctx, b)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			f.setWatching(false, err)
-			p.pause(ctx)
+			b.waitNext(ctx)
 		}
 	}
 }
 
-// watchOnce reads the head and then waits for changes until none came in a
-// whole wait, a call fails or this VM is no longer a watcher. The head is thus
-// read again after each quiet wait: a service that was restored from an older
-// copy may have counted past the watch's revision by then, and the watch alone
-// would show nothing.
-func (f *Follower) watchOnce(ctx context.Context, p *pauser) error {
+// watchOnce reads the head, then watches for changes until a watch call returns no
+// change, a call fails or this VM is no longer a watcher. The caller then calls watchOnce
+// again, so the head is read again after each watch call without a change. A service that
+// was restored from an older copy may have exceeded the watch's store revision by then,
+// and the watch alone wouldn't detect the restore.
+func (f *Follower) watchOnce(ctx context.Context, b *retryBackoff) error {
 	n, err := f.getHead(ctx)
 	if err != nil {
 		return err
@@ -44,7 +44,7 @@
 	if err = f.followEntry(ctx, n); err != nil {
 		return err
 	}
-	p.reset()
+	b.reset()
 	f.setWatching(true, nil)
 	after := n.Revision
 	for f.isWatcher() {
@@ -52,9 +52,9 @@
 		if err != nil {
 			return err
 		}
-		// A service that was restored from an older copy counts from an earlier
-		// revision. A watch from the later one would miss all changes until the
-		// service has caught up, so the watch begins anew.
+		// A service that was restored from an older copy continues at a lower store
+		// revision. A watch from the higher one would miss all changes up to that
+		// revision, so the watch starts again from the head.
 		if r < after {
 			return &StoreWentBackError{Seen: after, Have: r}
 		}
@@ -71,9 +71,9 @@
 	return nil
 }
 
-// followEntry takes the head from its entry; a missing one is the head of an
-// empty document. A head that is refused is no failure of the platform: the
-// refusal is counted and logged, and the watch goes on.
+// followEntry decodes and follows the head in an entry. A missing entry is the head of an
+// empty document. A refused head isn't a failure of the platform: the refusal is counted
+// and logged, and the watch continues.
 func (f *Follower) followEntry(ctx context.Context, n ggscore.Entry) error {
 	if n.Key != HeadKey {
 		return nil
@@ -97,7 +97,7 @@
 	return f.options.Store.Get(ctx, HeadKey)
 }
 
-// isWatcher reports whether this VM is to watch the platform now.
+// isWatcher reports whether this VM is currently a watcher of its domain.
 func (f *Follower) isWatcher() bool {
 	if f.options.Store == nil || f.options.PeersOnly {
 		return false
@@ -105,19 +105,20 @@
 	return slices.Contains(f.watchers(), f.options.Self)
 }
 
-// setWatching notes for dumps how the watch stands.
+// setWatching records the state of the watch and logs changes of the platform's
+// availability.
 func (f *Follower) setWatching(watching bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	away := err != nil
-	if away != f.state.PlatformAway {
+	unavailable := err != nil
+	if unavailable != f.state.PlatformAway {
 		event := "platformReached"
-		if away {
+		if unavailable {
 			event = "platformLost"
 		}
 		_ = f.options.Logger.Log("event", event, "err", err)
 	}
-	f.state.Watching, f.state.PlatformAway = watching, away
+	f.state.Watching, f.state.PlatformAway = watching, unavailable
 }
 
 func (f *Follower) waitForChange(
