--- a/io/ggstoml/bench_test.go
+++ b/io/ggstoml/bench_test.go
@@ -12,12 +12,12 @@
 	"greengageslip/io/ggstoml"
 )
 
-// sectionAdapters is the number of adapters in a market's section: about as
-// many as a megabyte takes.
+// sectionAdapters is the number of adapters in a market's section. Their text is
+// about one megabyte.
 const sectionAdapters = 5000
 
-// marketOf returns the text of a market with so many adapters.
-func marketOf(m, adapters int) []byte {
+// largeMarket returns the text of market m with a number of adapters.
+func largeMarket(m, adapters int) []byte {
 	var b strings.Builder
 	for i := range adapters {
 		fmt.Fprintf(&b, "[[adapters]]\nname = \"market-%d-adapter-%05d\"\nbaseModel = \"base-%d\"\n"+
@@ -27,8 +27,8 @@
 	return []byte(b.String())
 }
 
-// BenchmarkParseAdapters parses documents of several sizes and reports what a
-// parsed adapter holds in memory (bytes/adapter) and takes to parse.
+// BenchmarkParseAdapters parses documents of several sizes and reports, per adapter, the
+// memory (bytes/adapter), the text size (textBytes/adapter) and the time (ns/adapter).
 func BenchmarkParseAdapters(b *testing.B) {
 	for _, n := range []int{3_000, 50_000, 100_000, 200_000} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) { benchmarkParse(b, n) })
@@ -39,19 +39,19 @@
 	texts := map[ggscore.SectionName][]byte{}
 	size := 0
 	for m := 0; m*sectionAdapters < n; m++ {
-		t := marketOf(m, min(sectionAdapters, n-m*sectionAdapters))
+		t := largeMarket(m, min(sectionAdapters, n-m*sectionAdapters))
 		texts[ggscore.SectionName("market/m"+strconv.Itoa(m))] = t
 		size += len(t)
 	}
 	for b.Loop() {
 		b.StopTimer()
-		before := heap()
+		before := heapBytes()
 		b.StartTimer()
 		l := parseAll(b, texts)
 		b.StopTimer()
-		held := heap() - before
+		inMemory := heapBytes() - before
 		runtime.KeepAlive(l)
-		b.ReportMetric(float64(held)/float64(n), "bytes/adapter")
+		b.ReportMetric(float64(inMemory)/float64(n), "bytes/adapter")
 		b.StartTimer()
 	}
 	b.ReportMetric(float64(size)/float64(n), "textBytes/adapter")
@@ -70,8 +70,8 @@
 	return l
 }
 
-// heap returns the bytes that are in use after a collection.
-func heap() uint64 {
+// heapBytes returns the bytes of heap objects that remain after garbage collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/io/ggstoml/decode.go
+++ b/io/ggstoml/decode.go
@@ -8,8 +8,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// decodeStrict decodes a text and refuses unknown keys. Its failures are
-// *DecodeError.
+// decodeStrict decodes a TOML text into a value and rejects unknown keys. Its failures
+// are *DecodeError.
 func decodeStrict(source string, text []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
--- a/io/ggstoml/doc.go
+++ b/io/ggstoml/doc.go
@@ -1,6 +1,6 @@
-// Package ggstoml reads the TOML of the operators' document and of the
-// processes' settings, strictly: an unknown key is a failure, and failures
-// name file or section, key and line.
+// Package ggstoml decodes the TOML of the operators' document and of the processes'
+// settings. Decoding is strict: an unknown key is an error. Errors contain the file or
+// section, the key and the line.
 //
 // # Usage
 //
@@ -11,7 +11,9 @@
 //	err := ggstoml.ReadSettings("gateway.toml", &w)
 //	var d *ggstoml.DecodeError // d.Source, d.Key, d.Line
 //
-// Keys are in camel case, durations are text such as "250ms", and addresses
-// are text such as "127.0.0.1:7001". Wire types stay in this package and are
-// mapped by hand to the domain's types, which carry no tags.
+// Keys are in camel case, durations are text such as "250ms", and addresses are text
+// such as "127.0.0.1:7001". The struct types with TOML tags are private to this package.
+// Explicit code converts them to the types of core, which have no tags.
+//
+// The package has no locks.
 package ggstoml
--- a/io/ggstoml/duration.go
+++ b/io/ggstoml/duration.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A Duration is a time.Duration that is written as text, such as "250ms".
+// A Duration is a time.Duration decoded from text such as "250ms".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/io/ggstoml/errors.go
+++ b/io/ggstoml/errors.go
@@ -5,9 +5,8 @@
 	"strconv"
 )
 
-// A DecodeError says that a TOML text can't be decoded, or that one of its
-// values is out of range. Line and Column count from one; zero means that they
-// are not known.
+// A DecodeError reports that a TOML text can't be decoded, or that one of its values is
+// not allowed. Line and Column count from one; zero means unknown.
 type DecodeError struct {
 	// Source is the file's path or the section's name.
 	Source string
@@ -32,33 +31,31 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// A SyntaxError says that a text is not TOML, or that a value has the wrong
-// type.
+// A SyntaxError reports that a text isn't valid TOML, or that a value has the wrong type.
 type SyntaxError struct{ Detail string }
 
 // Error implements error.
 func (e *SyntaxError) Error() string { return e.Detail }
 
-// An UnknownKeyError says that a key has no meaning there.
+// An UnknownKeyError reports a key that isn't defined in its table.
 type UnknownKeyError struct{}
 
 // Error implements error.
 func (e *UnknownKeyError) Error() string { return "unknown key" }
 
-// A NotAValueError says that a key is a table, which can't be set.
+// A NotAValueError reports that a key is a table, which Set can't replace.
 type NotAValueError struct{}
 
 // Error implements error.
 func (e *NotAValueError) Error() string { return "is a table, not a value" }
 
-// A NoSuchTableError says that the table which a key is to be set in isn't
-// there.
+// A NoSuchTableError reports that the table of a key to set doesn't exist.
 type NoSuchTableError struct{}
 
 // Error implements error.
 func (e *NoSuchTableError) Error() string { return "no such table" }
 
-// A BadDurationError says that a text is no duration.
+// A BadDurationError reports that a text isn't a duration.
 type BadDurationError struct{ Text string }
 
 // Error implements error.
@@ -66,7 +63,7 @@
 	return fmt.Sprintf("bad duration %q: want a text such as \"250ms\" or \"5s\"", e.Text)
 }
 
-// A BadChoiceError says that a text is none of the allowed ones.
+// A BadChoiceError reports that a text isn't one of the allowed values.
 type BadChoiceError struct {
 	Text string
 	Want string
@@ -75,8 +72,8 @@
 // Error implements error.
 func (e *BadChoiceError) Error() string { return fmt.Sprintf("bad value %q: want %s", e.Text, e.Want) }
 
-// A ValueError says that a setting's value is not allowed. A Check method
-// returns it; ReadSettings adds file and line.
+// A ValueError reports that a setting's value isn't allowed. Implementations of Checker
+// return it, and DecodeSettings adds the source and the line.
 type ValueError struct {
 	Key  string
 	Want string
@@ -85,7 +82,7 @@
 // Error implements error.
 func (e *ValueError) Error() string { return "want " + e.Want }
 
-// A TooLargeError says that a text is larger than allowed.
+// A TooLargeError reports that a text is larger than allowed.
 type TooLargeError struct {
 	Bytes int
 	Limit int
@@ -93,10 +90,10 @@
 
 // Error implements error.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("%d bytes, at most %d are allowed", e.Bytes, e.Limit)
+	return fmt.Sprintf("text of %d bytes exceeds the limit of %d bytes", e.Bytes, e.Limit)
 }
 
-// A ReadError says that a file can't be read.
+// A ReadError reports that a file can't be read.
 type ReadError struct {
 	Source string
 	Cause  error
--- a/io/ggstoml/locate.go
+++ b/io/ggstoml/locate.go
@@ -8,30 +8,33 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// A located is a key or table in a TOML text.
-type located struct {
+// A location is the position of a key or table in a TOML text.
+type location struct {
 	path string
 	line int
-	// start and end are the offsets of a key's value; end is zero for tables.
+	// start and end are the byte offsets of a key's value. end is zero for a table.
 	start int
 	end   int
 }
 
-// A locator walks a text and collects the paths of its keys. Elements of
-// arrays of tables stand in paths by index, as services[0].name.
+// A locator parses a text and collects the locations of its keys and tables. Paths contain
+// elements of arrays of tables by index, such as services[0].name.
 type locator struct {
-	parser  unstable.Parser
-	table   string
-	indexes map[string]int
-	found   []located
-	names   map[string]string
+	parser unstable.Parser
+	// table is the path of the current table.
+	table string
+	// indexes holds the number of elements of each array of tables, by path.
+	indexes   map[string]int
+	locations []location
+	// names holds the value of the key name or service of each table, quoted and in
+	// brackets, by the table's path.
+	names map[string]string
 }
 
-// locate returns the line of a key in a TOML text, counted from one. Elements
-// of arrays of tables stand in the key by index or by the value of their key
-// name or service, as adapters[3].current or adapters["deposits-es"].current.
-// Where the key isn't set, it returns the line of the table that lacks it,
-// and zero where that is missing as well.
+// locate returns the line of a key in a TOML text, counted from one. The key contains
+// elements of arrays of tables by index, as in adapters[3].current, or by the value of
+// their key name or service, as in adapters["deposits-es"].current. If the key isn't set,
+// locate returns the line of its innermost enclosing table, or zero if there is none.
 func locate(text []byte, key string) int {
 	l := newLocator(text)
 	for want := key; want != ""; want = parentOf(want) {
@@ -46,38 +49,38 @@
 	l := &locator{indexes: map[string]int{}, names: map[string]string{}}
 	l.parser.Reset(text)
 	for l.parser.NextExpression() {
-		l.expression(l.parser.Expression())
+		l.addExpression(l.parser.Expression())
 	}
 	return l
 }
 
-// expression collects one line's key or table.
-func (l *locator) expression(n *unstable.Node) {
+// addExpression collects the key or table of one expression.
+func (l *locator) addExpression(n *unstable.Node) {
 	switch n.Kind {
 	case unstable.Table:
-		l.table = l.absolute(n)
+		l.table = l.tablePath(n)
 		l.add(l.table, n)
 	case unstable.ArrayTable:
-		p := l.absolute(n)
+		p := l.tablePath(n)
 		i := l.indexes[p]
 		l.indexes[p] = i + 1
 		l.table = p + "[" + strconv.Itoa(i) + "]"
 		l.add(l.table, n)
 	case unstable.KeyValue:
-		p := join(l.table, l.relative(n))
+		p := join(l.table, l.keyPath(n))
 		l.add(p, n)
-		f := &l.found[len(l.found)-1]
-		f.start, f.end = l.valueOf(n)
+		f := &l.locations[len(l.locations)-1]
+		f.start, f.end = l.valueRange(n)
 		if n.Value().Kind == unstable.String {
-			l.name(p, string(n.Value().Data))
+			l.recordName(p, string(n.Value().Data))
 		}
 	default:
 	}
 }
 
-// absolute returns the path of a table. The arrays of tables that it stands in
-// are at their latest element.
-func (l *locator) absolute(n *unstable.Node) string {
+// tablePath returns the path of a table. For each enclosing array of tables, the path
+// contains the index of the array's latest element.
+func (l *locator) tablePath(n *unstable.Node) string {
 	p := ""
 	for i := n.Key(); i.Next(); {
 		if c := l.indexes[p]; c > 0 {
@@ -94,21 +97,21 @@
 		return
 	}
 	line := l.parser.Shape(k.Node().Raw).Start.Line
-	l.found = append(l.found, located{path: path, line: line})
+	l.locations = append(l.locations, location{path: path, line: line})
 }
 
-// find returns what stands at a path.
-func (l *locator) find(want string) (located, bool) {
-	for _, f := range l.found {
-		if f.path == want || l.named(f.path) == want {
+// find returns the location of a key or table, with path elements by index or by name.
+func (l *locator) find(want string) (location, bool) {
+	for _, f := range l.locations {
+		if f.path == want || l.pathByName(f.path) == want {
 			return f, true
 		}
 	}
-	return located{}, false
+	return location{}, false
 }
 
-// name notes the name of the element that a path stands in.
-func (l *locator) name(path, value string) {
+// recordName records the name of a table if path is its key name or service.
+func (l *locator) recordName(path, value string) {
 	t, k := path, ""
 	if i := strings.LastIndexByte(path, '.'); i >= 0 {
 		t, k = path[:i], path[i+1:]
@@ -118,8 +121,8 @@
 	}
 }
 
-// named returns a path with names in place of indexes.
-func (l *locator) named(path string) string {
+// pathByName returns a path with names in place of indexes, for elements with a name.
+func (l *locator) pathByName(path string) string {
 	s, rest := "", path
 	at := 0
 	for {
@@ -136,8 +139,8 @@
 	}
 }
 
-// relative returns the dotted key of a line.
-func (l *locator) relative(n *unstable.Node) string {
+// keyPath returns the dotted key of a key-value expression.
+func (l *locator) keyPath(n *unstable.Node) string {
 	p := ""
 	for i := n.Key(); i.Next(); {
 		p = join(p, string(i.Node().Data))
@@ -145,8 +148,8 @@
 	return p
 }
 
-// valueOf returns the offsets of a key's value.
-func (l *locator) valueOf(n *unstable.Node) (start, end int) {
+// valueRange returns the byte offsets of a key's value.
+func (l *locator) valueRange(n *unstable.Node) (start, end int) {
 	text := l.parser.Data()
 	for k := n.Key(); k.Next(); {
 		start = endOfRaw(k.Node())
@@ -155,12 +158,13 @@
 	for text[start] == ' ' || text[start] == '\t' {
 		start++
 	}
-	return start, l.endOf(n.Value(), start)
+	return start, l.endOffset(n.Value(), start)
 }
 
-// endOf returns the offset after a value that begins at an offset or later.
-// Arrays and inline tables have no range of their own.
-func (l *locator) endOf(v *unstable.Node, from int) int {
+// endOffset returns the offset after a value that begins at offset from or later. The
+// parser gives no range for arrays and inline tables, so endOffset searches their closing
+// bracket after their last element.
+func (l *locator) endOffset(v *unstable.Node, from int) int {
 	if v.Kind != unstable.Array && v.Kind != unstable.InlineTable {
 		return endOfRaw(v)
 	}
@@ -174,9 +178,9 @@
 		switch c := i.Node(); c.Kind {
 		case unstable.Comment:
 		case unstable.KeyValue:
-			end = l.endOf(c.Value(), end)
+			end = l.endOffset(c.Value(), end)
 		default:
-			end = l.endOf(c, end)
+			end = l.endOffset(c, end)
 		}
 	}
 	return end + bytes.IndexByte(text[end:], closing) + 1
@@ -191,7 +195,7 @@
 	return table + "." + key
 }
 
-// parentOf returns the path of the table that a key stands in.
+// parentOf returns the path of the table or array that contains a path, or "" at the top.
 func parentOf(path string) string {
 	if i := strings.LastIndexByte(path, '.'); i >= 0 && !strings.HasSuffix(path, "]") {
 		return path[:i]
--- a/io/ggstoml/section.go
+++ b/io/ggstoml/section.go
@@ -11,7 +11,7 @@
 	"greengageslip/core/ggsdocument"
 )
 
-// The texts of priorities and of kinds of services.
+// The texts of priorities and service kinds.
 const (
 	textUrgent      = "urgent"
 	textInteractive = "interactive"
@@ -79,7 +79,7 @@
 	MaxBodyBytes              int      `toml:"maxBodyBytes"`
 }
 
-// A priorityWire is a priority as text.
+// A priorityWire is a priority decoded from text.
 type priorityWire ggscore.Priority
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// A kindWire is a service's kind as text; a missing one is model.
+// A kindWire is a service kind decoded from text. The zero value is the kind model.
 type kindWire ggscore.ServiceKind
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -117,7 +117,7 @@
 
 var _ ggsdocument.SectionParser = Codec{}
 
-// ParseSection parses and checks a section's text. Its failures are
+// ParseSection parses and validates a section's text. Its failures are
 // *ggsdocument.SectionError with key and line.
 func (c Codec) ParseSection(n ggscore.SectionName, text []byte) (*ggsdocument.Section, error) {
 	if err := ggsdocument.CheckSectionName(n); err != nil {
@@ -135,8 +135,8 @@
 	return s, WithLine(err, n, text)
 }
 
-// WithLine adds the line to a *ggsdocument.SectionError of the section, whose
-// text is given. Other errors are returned as they are.
+// WithLine adds the line to a *ggsdocument.SectionError of section n, whose text is given.
+// It returns other errors unchanged.
 func WithLine(err error, n ggscore.SectionName, text []byte) error {
 	var e *ggsdocument.SectionError
 	if !errors.As(err, &e) || e.Line > 0 || e.Section != n {
@@ -147,7 +147,7 @@
 	return &w
 }
 
-// parseSection decodes and checks a text; its failures may lack the line.
+// parseSection decodes and validates a text. Its failures may lack the line.
 func parseSection(n ggscore.SectionName, text []byte) (*ggsdocument.Section, error) {
 	switch n {
 	case ggsdocument.SectionServices:
@@ -201,7 +201,7 @@
 	return s
 }
 
-// priority returns the priority; a missing one is normal.
+// priority returns the priority, or PriorityNormal if none is set.
 func (w *useWire) priority() ggscore.Priority {
 	if w.Priority == nil {
 		return ggscore.PriorityNormal
@@ -263,8 +263,8 @@
 	}
 }
 
-// An interner keeps one copy of texts that stand in many adapters: a base
-// model or a list of versions recurs in tens of thousands of them.
+// An interner deduplicates texts and lists of versions. The same base model or list of
+// versions recurs in tens of thousands of adapters.
 type interner struct {
 	lists map[string][]ggscore.Version
 }
@@ -273,10 +273,10 @@
 	return &interner{lists: map[string][]ggscore.Version{}}
 }
 
-// text returns the process's one copy of a text.
+// text returns the canonical copy of a text in this process.
 func (in *interner) text(s string) string { return unique.Make(s).Value() }
 
-// versions returns one copy of a list of versions in this section.
+// versions returns the canonical copy of a list of versions in this section.
 func (in *interner) versions(l []string) []ggscore.Version {
 	k := strings.Join(l, "\x00")
 	if v, found := in.lists[k]; found {
--- a/io/ggstoml/section_test.go
+++ b/io/ggstoml/section_test.go
@@ -99,9 +99,9 @@
 	c.Assert(*p.Policy, qt.Equals, want)
 }
 
-// An operator mistypes a value in a section of thousands of lines. Unless the
-// failure names key and line, he can't find it.
-func TestParseSectionNamesKeyAndLine(t *testing.T) {
+// A section can have thousands of lines. Without the key and line in the error, an
+// operator can't find an invalid value.
+func TestParseSectionErrorHasKeyAndLine(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		section ggscore.SectionName
@@ -117,10 +117,10 @@
 		"bad priority":      {"market/cr", strings.Replace(marketText, "interactive", "soon", 1), `market/cr:13: uses.priority: bad value "soon".*`},
 		"dangling version":  {"market/cr", strings.Replace(marketText, `current = "v2"`, `current = "v3"`, 1), `market/cr:9: adapters\["deposits-es"\].current: version "v3" is not among.*`},
 		"missing key":       {"market/cr", strings.Replace(marketText, `baseModel = "base-8b"`, ``, 1), `market/cr:5: adapters\["deposits-es"\].baseModel: must be set`},
-		"twice":             {"services", servicesText + "\n[[services]]\nname = \"asistente\"\n", `services:25: services\[2\].name: duplicate name "asistente"`},
-		"nested":            {"services", strings.Replace(servicesText, `"POST"`, `"SEND"`, 1), `services:20: services\["custodia"\].operations\["release"\].method: "SEND" is out of range.*`},
+		"duplicate name":    {"services", servicesText + "\n[[services]]\nname = \"asistente\"\n", `services:25: services\[2\].name: duplicate name "asistente"`},
+		"nested key":        {"services", strings.Replace(servicesText, `"POST"`, `"SEND"`, 1), `services:20: services\["custodia"\].operations\["release"\].method: "SEND" is out of range.*`},
 		"version in name":   {"market/cr", strings.Replace(marketText, `"deposits-es"`, `"deposits@es"`, 1), `market/cr:6: adapters\[0\].name: bad name.*`},
-		"section's name":    {"markets", "", `markets: unknown section "markets".*`},
+		"unknown section":   {"markets", "", `markets: unknown section "markets".*`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/io/ggstoml/set.go
+++ b/io/ggstoml/set.go
@@ -8,10 +8,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Set returns a TOML text with the value of one key replaced; all else stays as
-// it is, comments too. The key is a path as DecodeError names it. A value that
-// is no TOML value is taken for a string. A key that isn't set is added to its
-// table, which must be there; else Set returns a *DecodeError.
+// Set returns a TOML text with the value of one key replaced. The rest of the text stays
+// the same, including comments. The key is a path as in DecodeError.Key. A value that
+// isn't a TOML value is set as a string. A key that isn't set is added to its table. If
+// that table doesn't exist or the key is a table, Set returns a *DecodeError.
 func Set(source string, text []byte, key, value string) ([]byte, error) {
 	var all map[string]any
 	if err := decodeStrict(source, text, &all); err != nil {
@@ -50,7 +50,7 @@
 	return splice(text, at, at, line), nil
 }
 
-// literalOf returns a value as TOML.
+// literalOf returns value if it is a single TOML value, else value as a TOML string.
 func literalOf(value string) string {
 	var w struct {
 		Value any `toml:"value"`
@@ -62,7 +62,7 @@
 	return value
 }
 
-// offsetAfterLine returns the offset of the line after a line.
+// offsetAfterLine returns the offset of the first byte after a line, counted from one.
 func offsetAfterLine(text []byte, line int) int {
 	at := 0
 	for range line {
--- a/io/ggstoml/settings.go
+++ b/io/ggstoml/settings.go
@@ -6,15 +6,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A Checker is a settings struct that knows the ranges of its values. Check
-// returns a *ValueError whose Key is the value's path, such as
-// "peers[0].address".
+// A Checker is a settings struct that validates its values. Check returns a *ValueError
+// whose Key is the path of the invalid value, such as "peers[0].address".
 type Checker interface {
 	Check() error
 }
 
-// ReadSettings reads a file of settings into a struct with toml tags, and
-// checks it if it is a Checker. Its failures are *ReadError and *DecodeError.
+// ReadSettings reads a settings file into a struct with toml tags, and calls Check if the
+// struct is a Checker. Its failures are *ReadError and *DecodeError, and errors of Check
+// that aren't a *ValueError.
 func ReadSettings(path string, into any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -23,7 +23,8 @@
 	return DecodeSettings(path, text, into)
 }
 
-// DecodeSettings is ReadSettings for a text that was read already.
+// DecodeSettings is like ReadSettings, for a text in memory. source is the name of the
+// text in errors.
 func DecodeSettings(source string, text []byte, into any) error {
 	if err := decodeStrict(source, text, into); err != nil {
 		return err
--- a/io/ggstoml/settings_test.go
+++ b/io/ggstoml/settings_test.go
@@ -39,7 +39,7 @@
 		text string
 		want string
 	}{
-		"good":         {"listen = \"127.0.0.1:7001\"\nwait = \"5s\"\n", ""},
+		"valid":        {"listen = \"127.0.0.1:7001\"\nwait = \"5s\"\n", ""},
 		"unknown key":  {"listen = \"127.0.0.1:7001\"\nlisten2 = 1\n", `.*s.toml:2: listen2: unknown key`},
 		"bad address":  {"wait = \"5s\"\nlisten = \"localhost:7001\"\n", `.*s.toml:2: listen: .*localhost.*`},
 		"out of range": {"[[peers]]\ncount = 1\n[[peers]]\ncount = 0\n", `.*s.toml:4: peers\[1\].count: want at least 1`},
