--- a/io/ggsclaims/codec.go
+++ b/io/ggsclaims/codec.go
@@ -9,17 +9,17 @@
 	"greengageslip/core/ggsclaim"
 )
 
-// codecVersion stands first in a shard's value.
+// codecVersion is the first byte of a shard's value.
 const codecVersion = 1
 
-// maxClaims and maxTextBytes bound what a value may make the decoder allocate.
+// maxClaims and maxTextBytes limit the memory that the decoder allocates for a corrupt value.
 const (
 	maxClaims    = 1 << 16
 	maxTextBytes = 1 << 20
 )
 
-// encodeShard writes a shard: the version, the number of claims, and each
-// claim's key, body, identifier, state, time in Unix milliseconds and answer.
+// encodeShard encodes a shard: the version, the number of claims, and for each claim its
+// key, body hash, identifier, state, time in Unix milliseconds and result.
 func encodeShard(s ggsclaim.Shard) []byte {
 	b := []byte{codecVersion}
 	b = binary.AppendUvarint(b, uint64(len(s.Claims)))
@@ -50,8 +50,9 @@
 	return append(b, p...)
 }
 
-// decodeShard reads a shard. An empty value is an empty shard; any other that
-// can't be read whole is a *BadShardError: claims are never guessed.
+// decodeShard decodes a shard. An empty value is an empty shard. Any other value that
+// can't be decoded completely is a *BadShardError, because a missing claim would allow a
+// second dispatch.
 func decodeShard(value []byte) (ggsclaim.Shard, error) {
 	if len(value) == 0 {
 		return ggsclaim.NewShard(nil), nil
@@ -142,5 +143,5 @@
 	return n
 }
 
-// maxStatus bounds an HTTP status.
+// maxStatus is the highest HTTP status that the decoder accepts.
 const maxStatus = 999
--- a/io/ggsclaims/committer.go
+++ b/io/ggsclaims/committer.go
@@ -14,7 +14,8 @@
 
 const claimsPrefix = "claims"
 
-// Stats counts what a Committer did since it started.
+// Stats holds counters since the Committer's start, and its current Pending operations
+// and cached Shards.
 type Stats struct {
 	Reads     uint64
 	Writes    uint64
@@ -28,7 +29,7 @@
 	Shards    int
 }
 
-// A Committer claims keys for one process. It is safe for concurrent use.
+// A Committer claims idempotency keys for one process. It is safe for concurrent use.
 type Committer struct {
 	store ggscore.Store
 	clock func() time.Time
@@ -36,15 +37,17 @@
 	opts  Options
 	wake  chan struct{}
 
-	// mu guards all below.
-	mu        sync.Mutex
-	shards    map[ggsclaim.Slot]*shard
-	ready     []*shard
-	answers   map[ggsclaim.OpID]chan ggsclaim.Decision
-	flushes   []chan struct{}
-	lastOp    ggsclaim.OpID
-	awayUntil time.Time
-	stats     Stats
+	// mu guards the fields below.
+	mu      sync.Mutex
+	shards  map[ggsclaim.Slot]*shard
+	ready   []*shard
+	answers map[ggsclaim.OpID]chan ggsclaim.Decision
+	flushes []chan struct{}
+	lastOp  ggsclaim.OpID
+	// unavailableUntil is the end of the pause after a failed call. Until then, claims
+	// are answered without a call.
+	unavailableUntil time.Time
+	stats            Stats
 }
 
 var _ ggscore.Claimer = (*Committer)(nil)
@@ -53,12 +56,12 @@
 	key    ggscore.Key
 	slot   ggsclaim.Slot
 	writer *ggsclaim.Writer
-	// queued says that it stands in ready or that a worker serves it.
+	// queued is set while the shard is in ready or a worker serves it.
 	queued bool
 }
 
-// New returns a Committer. The clock gives wall time; ids gives identifiers
-// that are unique for ever.
+// New returns a Committer. clock returns the wall time, and ids returns globally unique
+// identifiers.
 func New(s ggscore.Store, clock func() time.Time, ids func() ggsclaim.ClaimID, o Options) *Committer {
 	return &Committer{
 		store:   s,
@@ -71,18 +74,18 @@
 	}
 }
 
-// Begin claims a key for one dispatch and waits until the claim is known to
-// stand. When ctx ends first, the claim counts as not granted and is released
-// once the platform's service allows. A failure is a *ggscore.Failure.
+// Begin claims a key for one dispatch and waits until the claim is recorded. If ctx ends
+// first, the claim counts as not granted and is released as soon as the platform's
+// service is available. A failure is a *ggscore.Failure.
 func (c *Committer) Begin(ctx context.Context, r ggscore.ClaimRequest) (ggscore.ClaimDecision, error) {
 	key, err := ggsclaim.ParseKey(r.Market, r.Key, r.Issued)
 	if err != nil {
-		return ggscore.ClaimDecision{}, badKey(err)
+		return ggscore.ClaimDecision{}, badKeyFailure(err)
 	}
 	now := c.clock()
 	if key.Issued.After(now.Add(c.opts.Limits.Margin)) {
 		err := &ggsclaim.FutureKeyError{Issued: key.Issued, Now: now}
-		return ggscore.ClaimDecision{}, futureKey(err, r.FirstSend)
+		return ggscore.ClaimDecision{}, futureKeyFailure(err, r.FirstSend)
 	}
 	if c.opts.Limits.Expired(now, key.Issued) {
 		return ggscore.ClaimDecision{Answer: ggscore.ClaimExpired}, nil
@@ -90,7 +93,7 @@
 	body := ggsclaim.HashBody(r.Body)
 	sh, id, answer := c.begin(now, key, body)
 	if answer == nil {
-		return claimDecision(c.recall(key, body), r.FirstSend)
+		return claimDecision(c.decideFromCache(key, body), r.FirstSend)
 	}
 	select {
 	case d := <-answer:
@@ -100,9 +103,9 @@
 	}
 }
 
-// Finish records a claim's result. OutcomeNotRun releases the key: it is
-// given only where it is proved that the request did not run. A failure is a
-// *ggsclaim.BadClaimIDError.
+// Finish queues a claim's result for recording and doesn't wait. OutcomeNotRun releases
+// the key, so it must be passed only if it is proved that the request didn't run. A
+// failure wraps a *ggsclaim.BadClaimIDError.
 func (c *Committer) Finish(_ context.Context, id ggscore.ClaimID, r ggscore.ClaimResult) error {
 	g, err := ggsclaim.ParseGrant(id)
 	if err != nil {
@@ -110,8 +113,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// An outcome that finds no room is left out: its claim stands and counts
-	// as unknown later, which is true.
+	// An outcome beyond the limit is dropped. The claim stays recorded without an
+	// outcome and later counts as unknown, which is correct.
 	if c.stats.Pending >= 2*c.opts.MaxPending {
 		return nil
 	}
@@ -123,7 +126,7 @@
 	return nil
 }
 
-// Flush waits until all operations are recorded. A failure is a *FlushError.
+// Flush waits until all pending operations are recorded. A failure is a *FlushError.
 func (c *Committer) Flush(ctx context.Context) error {
 	c.mu.Lock()
 	if c.stats.Pending == 0 {
@@ -142,19 +145,19 @@
 	}
 }
 
-// Run serves until ctx ends. It returns nil.
+// Run serves the shards, retries outcomes and sweeps until ctx ends. It returns nil.
 func (c *Committer) Run(ctx context.Context) error {
 	var g sync.WaitGroup
 	for range c.opts.Workers {
 		g.Go(func() { c.work(ctx) })
 	}
-	g.Go(func() { c.linger(ctx) })
-	g.Go(func() { c.sweepOften(ctx) })
+	g.Go(func() { c.runRetries(ctx) })
+	g.Go(func() { c.runSweeps(ctx) })
 	g.Wait()
 	return nil
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (c *Committer) Stats() Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,7 +166,7 @@
 	return s
 }
 
-func (c *Committer) away() ggsclaim.Decision {
+func (c *Committer) unavailable() ggsclaim.Decision {
 	return ggsclaim.Decision{Kind: ggsclaim.DecisionUnavailable, RetryAfter: c.opts.RetryAfter}
 }
 
@@ -173,7 +176,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Begun++
-	if now.Before(c.awayUntil) || c.stats.Pending >= c.opts.MaxPending {
+	if now.Before(c.unavailableUntil) || c.stats.Pending >= c.opts.MaxPending {
 		c.stats.Away++
 		return nil, 0, nil
 	}
@@ -198,22 +201,25 @@
 	delete(c.answers, id)
 	before := sh.writer.Len()
 	sh.writer.Cancel(id)
-	c.count(before, sh)
-	return c.away()
+	c.updatePending(before, sh)
+	return c.unavailable()
 }
 
-// recall answers a claim while the platform's service is away.
-func (c *Committer) recall(k ggsclaim.Key, b ggsclaim.BodyHash) ggsclaim.Decision {
+// decideFromCache answers a claim without a call, while the platform's service is
+// unavailable.
+func (c *Committer) decideFromCache(k ggsclaim.Key, b ggsclaim.BodyHash) ggsclaim.Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if sh, ok := c.shards[k.Slot()]; ok {
 		return sh.writer.DecideFromCache(k, b, c.opts.RetryAfter)
 	}
-	return c.away()
+	return c.unavailable()
 }
 
-// count keeps the number of pending operations and wakes flushes at zero.
-func (c *Committer) count(before int, sh *shard) {
+// updatePending updates the number of pending operations after calls of a shard's writer.
+// The parameter before is the writer's number before these calls. When no operation is
+// pending, it ends the waiting flushes. The caller holds c.mu.
+func (c *Committer) updatePending(before int, sh *shard) {
 	c.stats.Pending += sh.writer.Len() - before
 	if c.stats.Pending > 0 {
 		return
@@ -224,6 +230,7 @@
 	c.flushes = nil
 }
 
+// deliver sends a shard's decisions to the waiting callers. The caller holds c.mu.
 func (c *Committer) deliver(sh *shard) {
 	for _, s := range sh.writer.Settled() {
 		switch s.Decision.Kind {
@@ -240,6 +247,7 @@
 	}
 }
 
+// queue makes a shard ready for a worker. The caller holds c.mu.
 func (c *Committer) queue(sh *shard) {
 	if sh.queued {
 		return
--- a/io/ggsclaims/committer_test.go
+++ b/io/ggsclaims/committer_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bench is a stand-in of the platform's service with a clock of the test.
+// A bench is a fake platform service with a clock that the test advances.
 type bench struct {
 	c        *qt.C
 	clock    *ggsfakebench.Clock
@@ -40,7 +40,7 @@
 	return b
 }
 
-// process starts a Committer that ends with the test.
+// process starts a Committer that stops at the end of the test.
 func (b *bench) process() *Committer {
 	client := ggsplatform.NewClient(b.addr)
 	m := New(client, b.clock.Now, func() ggsclaim.ClaimID {
@@ -72,9 +72,9 @@
 	return d
 }
 
-// A landlord is paid twice: the order's repeats reach three gateways at once,
-// while the platform loses answers and applies writes late.
-func TestRepeatsRunOnce(t *testing.T) {
+// Guards against a double payment: repeats of a payment order reach three gateways
+// concurrently, while the platform loses answers and applies writes late.
+func TestConcurrentRepeatsAreGrantedOnce(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
 	const keys, repeats = 60, 3
@@ -100,9 +100,9 @@
 	}
 }
 
-// A repeat of a release order is told that it did not run, or runs again. It
-// gets the first one's answer from any process, or its outcome.
-func TestRepeatGetsTheOutcome(t *testing.T) {
+// Guards against a repeat that runs again or is answered as not run. A repeat on any
+// process gets the recorded answer of the first dispatch, or its outcome.
+func TestRepeatGetsRecordedOutcome(t *testing.T) {
 	t.Parallel()
 	whole := ggscore.ClaimResult{
 		Outcome: ggscore.OutcomeDone, Status: 200, ContentType: "application/json", Body: []byte(`{"paid":true}`), Whole: true,
@@ -118,7 +118,7 @@
 			Answer: ggscore.ClaimReplay,
 			Result: ggscore.ClaimResult{Outcome: ggscore.OutcomeDone, Status: 200, ContentType: "application/json"},
 		}},
-		"unknown": {ggscore.ClaimResult{}, ggscore.ClaimDecision{Answer: ggscore.ClaimReplay}},
+		"unknown outcome": {ggscore.ClaimResult{}, ggscore.ClaimDecision{Answer: ggscore.ClaimReplay}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -138,8 +138,8 @@
 	}
 }
 
-// An order that was refused for want of a runner can't be sent again: its key
-// is taken for good, though nothing ran.
+// Guards against a key that stays claimed although nothing ran: an order refused for lack
+// of a runner could then never be sent again.
 func TestReleasedKeyIsGrantedAgain(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
@@ -150,16 +150,16 @@
 	b.c.Assert(b.begin(m, request(1)).Answer, qt.Equals, ggscore.ClaimGranted)
 }
 
-// A tenant waits for an answer while the platform is away, or is told "not
-// run" of an order whose first sending ran.
-func TestPlatformAwayIsAnsweredAtOnce(t *testing.T) {
+// Guards against callers that wait while the platform is unavailable, and against the
+// outcome "not run" for a request that may have run before.
+func TestUnavailablePlatformIsAnsweredAtOnce(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		firstSend bool
 		want      ggscore.Outcome
 	}{
-		"first sending": {true, ggscore.OutcomeNotRun},
-		"may be repeat": {false, ggscore.OutcomeUnknown},
+		"first send":      {true, ggscore.OutcomeNotRun},
+		"may be a repeat": {false, ggscore.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -184,10 +184,9 @@
 	}
 }
 
-// A landlord's repeat is told "not run" during an outage, though the process
-// that it reaches knows better. It replays a recorded answer, and says unknown
-// of a key that it has seen claimed.
-func TestOutageRecallsWhatIsKnown(t *testing.T) {
+// Guards against the outcome "not run" during an outage for a key that this process has
+// seen claimed. It replays a recorded answer, or reports an unknown outcome.
+func TestOutageIsAnsweredFromCache(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
 	m := b.process()
@@ -208,9 +207,9 @@
 	}
 }
 
-// A deposit is released a second time, long after the first: its key was
-// forgotten. Keys are refused before they are forgotten.
-func TestKeysExpireBeforeTheyAreForgotten(t *testing.T) {
+// Guards against a second dispatch after a claim was deleted. Keys must expire, and be
+// refused, before the sweep deletes their epoch.
+func TestKeysExpireBeforeTheyAreDeleted(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
 	m := b.process()
@@ -234,16 +233,16 @@
 	b.c.Assert(m.Stats().Shards, qt.Equals, 0)
 }
 
-// A key whose time can't be told, or is to come, would be looked for in the
-// wrong place.
+// A key without an issue time, or with one in the future, can't be assigned to its epoch,
+// so its claim could be read from the wrong shard.
 func TestBadKeys(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		key  ggscore.IdempotencyKey
 		want ggscore.Outcome
 	}{
-		"no time": {"release-1", ggscore.OutcomeNotRun},
-		"future":  {"1800000900.release-1", ggscore.OutcomeUnknown},
+		"no issue time":        {"release-1", ggscore.OutcomeNotRun},
+		"issued in the future": {"1800000900.release-1", ggscore.OutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -257,9 +256,9 @@
 	}
 }
 
-// All releases are refused for one bad value in the platform's service: it was
-// taken for an outage, or for a shard without claims.
-func TestBadShardStopsItsOwnKeysOnly(t *testing.T) {
+// Guards against a corrupt shard that is treated as an outage, which would refuse all
+// keys, or as an empty shard, which would grant claimed keys again.
+func TestBadShardRefusesItsOwnKeysOnly(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
 	m := b.process()
@@ -299,8 +298,8 @@
 	})
 }
 
-// BenchmarkBegin claims keys of one minute from many callers of some processes;
-// calls/op says how many calls of the platform's service a claim takes.
+// BenchmarkBegin claims keys of one minute from concurrent callers of several processes.
+// writes/op and reads/op are the calls of the platform's service per claim.
 func BenchmarkBegin(b *testing.B) {
 	for _, tc := range []struct{ processes, callers int }{{1, 1}, {1, 16}, {1, 256}, {3, 16}, {9, 16}, {9, 64}} {
 		b.Run(fmt.Sprintf("processes=%d/callers=%d", tc.processes, tc.callers), func(b *testing.B) {
--- a/io/ggsclaims/doc.go
+++ b/io/ggsclaims/doc.go
@@ -1,5 +1,6 @@
-// Package ggsclaims keeps the claims of non-idempotent requests in the
-// platform's key-value service, by the decisions of ggsclaim.
+// Package ggsclaims records the claims of non-idempotent requests in the platform's
+// key-value service, so that a request with an idempotency key is dispatched at most
+// once. It performs the I/O for the state machines of ggsclaim.
 //
 // # Usage
 //
@@ -11,12 +12,13 @@
 //		err = c.Finish(ctx, d.ID, ggscore.ClaimResult{Outcome: ggscore.OutcomeDone})
 //	}
 //
-// Begin waits for the claim's write; Finish doesn't wait: outcomes are
-// gathered with the next write of their shard, and Flush waits for them at a
-// planned stop. A process that dies before leaves a claim without outcome,
-// which later counts as unknown.
+// Begin waits until the claim is written. Finish doesn't wait: outcomes are batched into a
+// later write of their shard, and Flush waits for these writes at a planned stop. If a
+// process crashes before that write, its claim has no outcome and later counts as unknown.
 //
-// A fixed pool of workers serves the shards, one I/O a shard at a time, so that
-// all that arrives while a write is in flight goes into the next one. The lock
-// of the Committer is the only one and is never held during I/O.
+// # Concurrency
+//
+// A fixed pool of workers serves the shards. Each shard has at most one I/O in flight, so
+// all operations that arrive during a write are batched into the next one. The
+// Committer's mutex is the only lock and is never held during I/O.
 package ggsclaims
--- a/io/ggsclaims/errors.go
+++ b/io/ggsclaims/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// A BadShardError says that a shard's value can't be read.
+// A BadShardError reports that a stored value can't be decoded. Detail is the invalid part.
 type BadShardError struct {
 	Bytes  int
 	Detail string
@@ -10,10 +10,10 @@
 
 // Error implements error.
 func (e *BadShardError) Error() string {
-	return fmt.Sprintf("bad claim shard of %d bytes: %s", e.Bytes, e.Detail)
+	return fmt.Sprintf("can't decode claims value of %d bytes: invalid %s", e.Bytes, e.Detail)
 }
 
-// A FlushError says that outcomes were still unrecorded when a flush ended.
+// A FlushError reports that operations were still pending when the context of Flush ended.
 type FlushError struct {
 	Pending int
 	Cause   error
@@ -21,7 +21,7 @@
 
 // Error implements error.
 func (e *FlushError) Error() string {
-	return fmt.Sprintf("%d claim operations not recorded: %v", e.Pending, e.Cause)
+	return fmt.Sprintf("flush claims: %d operations not recorded: %v", e.Pending, e.Cause)
 }
 
 // Unwrap returns the cause.
--- a/io/ggsclaims/mapping.go
+++ b/io/ggsclaims/mapping.go
@@ -5,15 +5,15 @@
 	"greengageslip/core/ggsclaim"
 )
 
-// badKey answers a key without issue time. It can't be claimed, whenever it is
-// sent, so that it was never run.
-func badKey(err error) *ggscore.Failure {
+// badKeyFailure is the failure for a key without an issue time. Such a key can never be
+// claimed, so its request has never run.
+func badKeyFailure(err error) *ggscore.Failure {
 	return &ggscore.Failure{Kind: ggscore.FailureBadRequest, Outcome: ggscore.OutcomeNotRun, Detail: err.Error()}
 }
 
-// futureKey answers a key issued after now. A process whose clock is ahead of
-// ours may have taken it before.
-func futureKey(err error, firstSend bool) *ggscore.Failure {
+// futureKeyFailure is the failure for a key issued after the present time. A process whose
+// clock is ahead may have accepted the key before.
+func futureKeyFailure(err error, firstSend bool) *ggscore.Failure {
 	o := ggscore.OutcomeUnknown
 	if firstSend {
 		o = ggscore.OutcomeNotRun
--- a/io/ggsclaims/options.go
+++ b/io/ggsclaims/options.go
@@ -6,26 +6,27 @@
 	"greengageslip/core/ggsclaim"
 )
 
-// Options set a Committer's limits.
+// Options holds a Committer's limits.
 type Options struct {
 	Limits ggsclaim.Limits
-	// Workers is the number of shards served at once.
+	// Workers is the number of shards served concurrently.
 	Workers int
-	// CallTimeout bounds a call of the platform's service. A write that takes
-	// longer is ambiguous.
+	// CallTimeout bounds each call of the platform's service. A write that times out is
+	// ambiguous.
 	CallTimeout time.Duration
-	// RetryAfter is how long the platform's service is taken to be away after
-	// a call failed; meanwhile claims are refused without a call.
+	// RetryAfter is the time after a failed call during which the platform's service
+	// counts as unavailable. Claims are answered without a call during that time.
 	RetryAfter time.Duration
-	// Linger is how long an outcome waits for others of its shard.
+	// Linger is the longest delay of an outcome for batching with others of its shard.
 	Linger time.Duration
-	// SweepEvery is how often forgotten epochs are looked for.
+	// SweepEvery is the mean interval between sweeps of expired epochs.
 	SweepEvery time.Duration
-	// MaxPending bounds the operations that wait.
+	// MaxPending is the number of pending operations at which new claims are refused. At
+	// twice that number, outcomes are dropped.
 	MaxPending int
 }
 
-// DefaultOptions returns the options for a retention of keys.
+// DefaultOptions returns the default options for a retention period of keys.
 func DefaultOptions(retention time.Duration) Options {
 	return Options{
 		Limits:      ggsclaim.DefaultLimits(retention),
--- a/io/ggsclaims/sweep.go
+++ b/io/ggsclaims/sweep.go
@@ -12,21 +12,21 @@
 	"greengageslip/core/ggsclaim"
 )
 
-// sweptKey holds the first epoch that is not deleted yet.
+// sweptKey is the key of the first epoch that isn't deleted yet.
 const sweptKey ggscore.Key = "claimsSwept"
 
-// idleEpochs is how long a shard without work is remembered.
-const idleEpochs = 3
+// idleShardEpochs is how long an idle shard stays cached, in epochs.
+const idleShardEpochs = 3
 
-// maxSweepEpochs bounds the epochs that one sweep deletes.
+// maxSweepEpochs is the maximum number of epochs that one sweep deletes.
 const maxSweepEpochs = 60
 
-// Sweep deletes the forgotten epochs of keys whole and forgets shards that
-// have no work. Sweeps of several processes at once do no harm: an epoch is
-// deleted only when no process grants keys of it any more.
+// Sweep deletes all shards of expired epochs from the store and evicts idle shards from
+// the cache. Concurrent sweeps of several processes are safe: an epoch is deleted only
+// after all processes refuse its keys.
 func (c *Committer) Sweep(ctx context.Context) error {
 	now := c.clock()
-	c.forgetIdle(now)
+	c.evictIdle(now)
 	e, err := c.store.Get(ctx, sweptKey)
 	if err != nil {
 		return errors.Wrap(err, "sweep claims")
@@ -66,8 +66,9 @@
 	return nil
 }
 
-func (c *Committer) forgetIdle(now time.Time) {
-	oldest := now.UnixMilli()/ggsclaim.EpochLength.Milliseconds() - idleEpochs
+// evictIdle removes cached shards of old epochs that have no pending operations.
+func (c *Committer) evictIdle(now time.Time) {
+	oldest := now.UnixMilli()/ggsclaim.EpochLength.Milliseconds() - idleShardEpochs
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for s, sh := range c.shards {
@@ -77,15 +78,15 @@
 	}
 }
 
-// sweepOften sweeps with jitter, so that processes that started together don't
-// ask together.
-func (c *Committer) sweepOften(ctx context.Context) {
+// runSweeps sweeps at jittered intervals until ctx ends. The jitter spreads the sweeps of
+// processes that started at the same time.
+func (c *Committer) runSweeps(ctx context.Context) {
 	t := time.NewTimer(jitter(c.opts.SweepEvery))
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			// A sweep that failed is done again by the next one.
+			// The next sweep repeats a failed one.
 			_ = c.Sweep(ctx)
 			t.Reset(jitter(c.opts.SweepEvery))
 		case <-ctx.Done():
@@ -98,7 +99,7 @@
 	return d/2 + rand.N(d)
 }
 
-// oldestEpoch returns the epoch before all that can hold keys.
+// oldestEpoch returns an epoch that is no later than any epoch that may have claims.
 func oldestEpoch(now time.Time, l ggsclaim.Limits) int64 {
 	age := time.Duration(l.MaxEpochs()) * ggsclaim.EpochLength
 	return now.Add(-age).UnixMilli() / ggsclaim.EpochLength.Milliseconds()
--- a/io/ggsclaims/work.go
+++ b/io/ggsclaims/work.go
@@ -10,13 +10,13 @@
 	"greengageslip/core/ggsclaim"
 )
 
-// busyPart is the part of RetryAfter that is waited after a call over the rate.
-const busyPart = 10
+// busyPauseDivisor divides RetryAfter for the pause after a rate-limited call.
+const busyPauseDivisor = 10
 
 // work serves ready shards until ctx ends.
 func (c *Committer) work(ctx context.Context) {
 	for {
-		sh := c.take()
+		sh := c.takeReady()
 		if sh != nil {
 			c.serve(ctx, sh)
 			continue
@@ -29,7 +29,8 @@
 	}
 }
 
-func (c *Committer) take() *shard {
+// takeReady removes and returns the first ready shard, or nil if there is none.
+func (c *Committer) takeReady() *shard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.ready) == 0 {
@@ -40,8 +41,7 @@
 	return sh
 }
 
-// serve does I/O for a shard until it wants none or the platform's service is
-// away.
+// serve performs a shard's I/O until its writer is idle, a call fails or ctx ends.
 func (c *Committer) serve(ctx context.Context, sh *shard) {
 	for {
 		step, more := c.next(ctx, sh)
@@ -60,6 +60,8 @@
 	}
 }
 
+// next returns the shard's next step, and false if there is none or ctx has ended. In that
+// case the shard is no longer queued.
 func (c *Committer) next(ctx context.Context, sh *shard) (ggsclaim.Step, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,7 +72,7 @@
 	before := sh.writer.Len()
 	step := sh.writer.Next(c.clock())
 	c.deliver(sh)
-	c.count(before, sh)
+	c.updatePending(before, sh)
 	if step.Kind == ggsclaim.StepIdle {
 		sh.queued = false
 		return step, false
@@ -90,7 +92,7 @@
 	defer c.mu.Unlock()
 	c.stats.Reads++
 	if err != nil {
-		c.goneAway(sh, err)
+		c.handleFailure(sh, err)
 		return false
 	}
 	sh.writer.ReadDone(s, e.Revision)
@@ -106,40 +108,42 @@
 	defer c.mu.Unlock()
 	c.stats.Writes++
 	if hadNoEffect(err) {
-		c.goneAway(sh, err)
+		c.handleFailure(sh, err)
 		return false
 	}
 	before := sh.writer.Len()
 	sh.writer.WriteDone(c.clock(), c.writeResult(err), r)
 	c.deliver(sh)
-	c.count(before, sh)
+	c.updatePending(before, sh)
 	return true
 }
 
-// goneAway answers a shard's claims and leaves its outcomes for later.
-func (c *Committer) goneAway(sh *shard, err error) {
-	until := c.clock().Add(c.pause(err))
-	if until.After(c.awayUntil) {
-		c.awayUntil = until
+// handleFailure answers a shard's pending claims after a call without effect and keeps its
+// outcomes for a retry. The caller holds c.mu.
+func (c *Committer) handleFailure(sh *shard, err error) {
+	until := c.clock().Add(c.pauseAfter(err))
+	if until.After(c.unavailableUntil) {
+		c.unavailableUntil = until
 	}
 	before := sh.writer.Len()
 	sh.writer.Unavailable(c.opts.RetryAfter)
 	sh.queued = false
 	c.deliver(sh)
-	c.count(before, sh)
+	c.updatePending(before, sh)
 }
 
-// pause returns for how long the platform's service is spared. A value that
-// can't be read is no outage: it would stop the claims of all other shards.
-// Nor is a call over the rate: the others need some of them refused, not all.
-func (c *Committer) pause(err error) time.Duration {
+// pauseAfter returns how long the process makes no calls for new claims after a call failed
+// with err. A value that can't be decoded isn't an outage, and a pause would stop the
+// claims of all other shards. A rate-limited call isn't an outage either: only a part of
+// the calls has to be refused, so the pause is short.
+func (c *Committer) pauseAfter(err error) time.Duration {
 	var bad *BadShardError
 	var busy *ggscore.StoreBusyError
 	switch {
 	case errors.As(err, &bad):
 		return 0
 	case errors.As(err, &busy):
-		return c.opts.RetryAfter / busyPart
+		return c.opts.RetryAfter / busyPauseDivisor
 	default:
 		return c.opts.RetryAfter
 	}
@@ -154,36 +158,38 @@
 		c.stats.Conflicts++
 		return ggsclaim.WriteConflict
 	}
-	// Any failure that is not known to have had no effect is ambiguous, also
-	// a call that ran out of time.
+	// Any other failure is ambiguous, including a time-out, because the write may have
+	// taken effect.
 	c.stats.Ambiguous++
 	return ggsclaim.WriteAmbiguous
 }
 
-// linger queues shards with outcomes that had their wait for company.
-func (c *Committer) linger(ctx context.Context) {
+// runRetries queues shards with pending outcomes every Linger until ctx ends.
+func (c *Committer) runRetries(ctx context.Context) {
 	t := time.NewTicker(c.opts.Linger)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			c.retry()
+			c.retryPending()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Committer) retry() {
+// retryPending queues all shards with pending operations unless calls are paused.
+func (c *Committer) retryPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.stats.Pending > 0 && !c.clock().Before(c.awayUntil) {
+	if c.stats.Pending > 0 && !c.clock().Before(c.unavailableUntil) {
 		c.queueAll()
 	}
 }
 
+// hadNoEffect reports whether a failed write certainly had no effect.
 func hadNoEffect(err error) bool {
-	var away *ggscore.StoreUnavailableError
+	var unavailable *ggscore.StoreUnavailableError
 	var busy *ggscore.StoreBusyError
-	return errors.As(err, &away) || errors.As(err, &busy)
+	return errors.As(err, &unavailable) || errors.As(err, &busy)
 }
