--- a/io/ggsowners/codec.go
+++ b/io/ggsowners/codec.go
@@ -41,8 +41,9 @@
 	return json.Marshal(w)
 }
 
-// decodeRecord reads a record. One that can't be read is an error and never an
-// empty record: it would be taken over without its pins.
+// decodeRecord decodes a group's record. A missing entry is an empty record. A record that
+// can't be decoded is an error: a dispatcher that treated it as empty would take the group
+// over without its pins.
 func decodeRecord(e ggscore.Entry) (ggsowner.Record, error) {
 	if e.Revision == 0 {
 		return ggsowner.Record{}, nil
--- a/io/ggsowners/doc.go
+++ b/io/ggsowners/doc.go
@@ -1,30 +1,33 @@
-// Package ggsowners keeps the ownership of a failure domain's endpoints in the
-// platform's key-value service, by the decisions of ggsowner.
+// Package ggsowners maintains the ownership of a failure domain's endpoints in the
+// platform's key-value service. Each dispatcher renews a lease and takes over groups of
+// endpoints by compare-and-swap. The package performs the I/O for the state machines of
+// ggsowner.
 //
 // # Usage
 //
 //	o := ggsowners.New(store, clock, self, options, logger)
-//	o.SetEndpoints(ids)        // of the own domain
-//	o.SetCandidates(holders)   // live dispatchers of the own domain
-//	o.SetVMs(now, vms)         // the platform's list
-//	o.Subscribe(func() { … })  // modes or pins may have changed
+//	o.SetEndpoints(ids)          // endpoints of this domain
+//	o.SetCandidates(holders)     // live dispatchers of this domain
+//	o.SetVMs(now, vms)           // the platform's list of VMs
+//	o.Subscribe(func() { ... })  // called after changes of modes or pins
 //	go o.Run(ctx)
-//	o.Observe(report)          // each report of a runner
+//	o.Observe(report)            // for each report of a runner
 //	fence, err := o.Check(now, endpoint, adapter, ggscore.OrderLoad)
 //
-// A planned stop calls Release, finishes what is in progress, then calls Leave.
+// A planned stop calls Release, finishes the requests in progress, then calls Leave.
 //
 // # Keys
 //
-// owners/DOMAIN/GROUP holds a group's record and dispatchers/DOMAIN/VM stands
-// under a VM's lease: it is there while the lease is in force.
+// The key owners/DOMAIN/GROUP holds a group's record. The key dispatchers/DOMAIN/VM is
+// attached to the lease of a VM's dispatcher, so the key exists while the lease is held.
 //
 // # Calls of the platform's service
 //
-// A dispatcher renews one lease every RenewEvery. It reads the records of the
-// groups that would fall to it, and their owners' lease keys, every PollEvery.
-// It writes a record when adapters on its runners change.
+// A dispatcher renews its lease every RenewEvery. Every PollEvery it reads the records of
+// the groups that it is a candidate for, and the lease keys of their owners. It writes a
+// group's record when the adapters on the group's runners change.
 //
-// The lock of Owners is the only one; it is never held during I/O or while
-// subscribers run.
+// # Locks
+//
+// Owners.mu is the only lock. It is never held during I/O or while subscribers run.
 package ggsowners
--- a/io/ggsowners/errors.go
+++ b/io/ggsowners/errors.go
@@ -6,40 +6,44 @@
 	ggscore "greengageslip/core"
 )
 
-// An UnknownEndpointError says that an endpoint is not of this domain.
+// An UnknownEndpointError reports an endpoint that isn't among those of SetEndpoints.
 type UnknownEndpointError struct{ Endpoint ggscore.EndpointID }
 
 // Error implements error.
 func (e *UnknownEndpointError) Error() string {
-	return fmt.Sprintf("endpoint %s is not known", e.Endpoint)
+	return fmt.Sprintf("ownership check: endpoint %s is not listed in this failure domain", e.Endpoint)
 }
 
-// A BadRecordError says that a group's record can't be read.
+// A BadRecordError reports that a group's record can't be decoded.
 type BadRecordError struct {
 	Key   ggscore.Key
 	Cause error
 }
 
 // Error implements error.
-func (e *BadRecordError) Error() string { return fmt.Sprintf("bad record %s: %v", e.Key, e.Cause) }
+func (e *BadRecordError) Error() string {
+	return fmt.Sprintf("can't decode ownership record %s: %v", e.Key, e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *BadRecordError) Unwrap() error { return e.Cause }
 
-// A LeaseKeyError says that a lease was granted but its key could not be put.
+// A LeaseKeyError reports that a lease was granted but its key couldn't be written.
 type LeaseKeyError struct {
 	Key   ggscore.Key
 	Cause error
 }
 
 // Error implements error.
-func (e *LeaseKeyError) Error() string { return fmt.Sprintf("lease key %s: %v", e.Key, e.Cause) }
+func (e *LeaseKeyError) Error() string {
+	return fmt.Sprintf("can't write lease key %s: %v", e.Key, e.Cause)
+}
 
 // Unwrap returns the cause.
 func (e *LeaseKeyError) Unwrap() error { return e.Cause }
 
-// A ReleaseError says that groups were not given up in time. Others take them
-// over once the lease has lapsed.
+// A ReleaseError reports that groups weren't released in time. Other dispatchers take
+// them over after the lease has expired.
 type ReleaseError struct {
 	Groups int
 	Cause  error
--- a/io/ggsowners/options.go
+++ b/io/ggsowners/options.go
@@ -7,30 +7,33 @@
 	"greengageslip/core/ggsowner"
 )
 
-// Options set how ownership is kept.
+// Options holds the settings of Owners.
 type Options struct {
 	Domain ggscore.Domain
-	// Groups is the number of groups of the domain. All its dispatchers have
-	// to agree on it: it changes only while none of them runs.
+	// Groups is the number of groups in the domain. All dispatchers of the domain must use
+	// the same number, so it may change only while none of them runs.
 	Groups int
 	Limits ggsowner.Limits
-	// RenewEvery is the time between renewals, PollEvery that between looks at
-	// records of others. Both are jittered.
-	RenewEvery  time.Duration
-	PollEvery   time.Duration
+	// RenewEvery is the mean interval between renewals of the lease. Intervals are
+	// jittered.
+	RenewEvery time.Duration
+	// PollEvery is the mean interval between reads of the groups' records. Intervals are
+	// jittered.
+	PollEvery time.Duration
+	// CallTimeout bounds each operation on the platform's service.
 	CallTimeout time.Duration
-	// AbsentFor is how long the platform's list must lack a VM before its pins
-	// go: the list lags.
+	// AbsentFor is how long a VM must be missing from the platform's list before its pins
+	// are removed. The list is updated with a delay.
 	AbsentFor time.Duration
-	// LoadingFor is how long an adapter that was ordered stays protected
-	// though no report names it yet.
+	// LoadingFor is how long an adapter stays protected after its load was ordered,
+	// while no report contains it.
 	LoadingFor time.Duration
-	// Busy reports whether any of the endpoints has a run in progress of this
-	// process, counted from before Check was called for it.
+	// Busy reports whether this process has a run in progress on any of the endpoints. A
+	// run counts from before its call of Check.
 	Busy func([]ggscore.EndpointID) bool
 }
 
-// DefaultOptions returns the options for a domain of few endpoints.
+// DefaultOptions returns the options for a domain with few endpoints.
 func DefaultOptions(d ggscore.Domain) Options {
 	return Options{
 		Domain:      d,
--- a/io/ggsowners/owners.go
+++ b/io/ggsowners/owners.go
@@ -13,7 +13,7 @@
 	"greengageslip/core/ggsowner"
 )
 
-// Owners keeps the ownership of one dispatcher. It is safe for concurrent use.
+// Owners maintains one dispatcher's ownership of groups. It is safe for concurrent use.
 type Owners struct {
 	store ggscore.Store
 	clock func() time.Time
@@ -22,16 +22,19 @@
 	log   log.Logger
 	wake  chan struct{}
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu         sync.Mutex
 	lease      ggsowner.Lease
 	groups     []*group
 	endpoints  map[ggscore.EndpointID]*endpoint
 	candidates []ggsowner.Holder
-	absent     map[ggscore.VMID]time.Time
-	listed     map[ggscore.VMID]bool
-	notify     []func()
-	left       bool
+	// absent holds the time since when a VM is missing from the platform's list, and listed
+	// the VMs that were ever in that list.
+	absent      map[ggscore.VMID]time.Time
+	listed      map[ggscore.VMID]bool
+	subscribers []func()
+	// left is set once Leave has given up the lease.
+	left bool
 }
 
 var _ ggscore.OwnerGuard = (*Owners)(nil)
@@ -39,18 +42,19 @@
 type group struct {
 	key   ggscore.Key
 	state *ggsowner.Group
-	// last is what subscribers were told of.
-	last GroupStatus
+	// reported is the status of the last notification of subscribers.
+	reported GroupStatus
 }
 
-// endpoint is what an endpoint holds, or may soon.
+// An endpoint holds the adapters that are resident or loading on an endpoint. resident is
+// nil before the first report. loading holds the times of load orders.
 type endpoint struct {
 	group    int
 	resident map[ggscore.AdapterRef]bool
 	loading  map[ggscore.AdapterRef]time.Time
 }
 
-// A GroupStatus says what a dispatcher knows of a group.
+// A GroupStatus is a dispatcher's view of a group.
 type GroupStatus struct {
 	Group    int
 	Mode     ggscore.OwnerMode
@@ -60,8 +64,8 @@
 	Pins     int
 }
 
-// New returns the ownership of one dispatcher, which owns nothing yet. The
-// clock's times carry monotonic readings.
+// New returns the Owners of one dispatcher, which owns no group yet. The times of the clock
+// must have monotonic readings.
 func New(s ggscore.Store, clock func() time.Time, self ggsowner.Holder, o Options, l log.Logger) *Owners {
 	w := &Owners{
 		store:     s,
@@ -82,8 +86,8 @@
 	return w
 }
 
-// Check implements ggscore.OwnerGuard. It is called right before the order is
-// written, in the goroutine that writes it, with the time of then.
+// Check implements ggscore.OwnerGuard. It must be called right before the order is sent, in
+// the goroutine that sends it, with the current time.
 func (o *Owners) Check(
 	now time.Time, id ggscore.EndpointID, a ggscore.AdapterRef, k ggscore.OrderKind,
 ) (ggscore.FencingToken, error) {
@@ -98,8 +102,8 @@
 	if err != nil {
 		return 0, err
 	}
-	// What is being loaded is protected while the load takes its time, so that
-	// it may be used as soon as it is there.
+	// An adapter is protected from the load order on, so that it can be used as soon as
+	// it is loaded.
 	if k == ggscore.OrderLoad {
 		e.loading[a] = now
 		o.protect(e.group, now)
@@ -107,7 +111,7 @@
 	return f, nil
 }
 
-// Mode says what may be done with an endpoint now.
+// Mode returns what this dispatcher may do with an endpoint now.
 func (o *Owners) Mode(now time.Time, id ggscore.EndpointID) ggscore.OwnerMode {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -118,8 +122,9 @@
 	return o.groups[e.group].state.Mode(now, &o.lease)
 }
 
-// Observe takes a runner's report: what it holds is protected, what it no
-// longer holds is not.
+// Observe updates an endpoint from its runner's report. Resident and loading adapters of the
+// report become protected. Adapters that the report lacks lose their protection, unless
+// their load was ordered within LoadingFor.
 func (o *Owners) Observe(r ggscore.RunnerReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -155,15 +160,15 @@
 	return o.groups[e.group].state.Record().PinnedOn(id, o.self)
 }
 
-// SetCandidates names the live dispatchers of the domain that aren't leaving.
-// Another life of an earlier holder shows that the earlier one has stopped.
+// SetCandidates sets the live dispatchers of the domain that aren't leaving. A later
+// incarnation of an earlier holder proves that the earlier one has stopped.
 func (o *Owners) SetCandidates(hs []ggsowner.Holder) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.candidates = slices.Clone(hs)
 }
 
-// SetEndpoints names the endpoints of the domain.
+// SetEndpoints sets the endpoints of the domain.
 func (o *Owners) SetEndpoints(ids []ggscore.EndpointID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -184,8 +189,8 @@
 	}
 }
 
-// SetVMs takes the platform's list. A holder whose VM was listed and is
-// missing for long has stopped.
+// SetVMs sets the platform's list of VMs. A holder counts as stopped if its VM was listed
+// and then is missing for AbsentFor.
 func (o *Owners) SetVMs(now time.Time, vms []ggscore.VM) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -204,7 +209,7 @@
 	}
 }
 
-// Status returns what is known of each group.
+// Status returns the status of each group.
 func (o *Owners) Status(now time.Time) []GroupStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -215,16 +220,16 @@
 	return all
 }
 
-// Subscribe has f called after modes or pins may have changed. f may call any
-// method of o.
+// Subscribe registers f to be called after a change of a group's status, such as its mode
+// or pins. f may call any method of o.
 func (o *Owners) Subscribe(f func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.notify = append(o.notify, f)
+	o.subscribers = append(o.subscribers, f)
 }
 
-// protect tells a group what its endpoints hold. An endpoint that has not
-// reported yet keeps what the record says.
+// protect updates the adapters that an owned group's record should protect. An endpoint
+// without a report keeps those of the record. The caller holds o.mu.
 func (o *Owners) protect(g int, now time.Time) {
 	s := o.groups[g].state
 	if !s.Owned() {
@@ -248,11 +253,12 @@
 		}
 	}
 	if s.Protect(want) {
-		o.poke()
+		o.wakeGroups()
 	}
 }
 
-func (o *Owners) poke() {
+// wakeGroups makes runGroups serve the involved groups now.
+func (o *Owners) wakeGroups() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
@@ -267,9 +273,10 @@
 	}
 }
 
-// stopped reports whether an earlier holder has ended for certain: a later
-// life of it is seen, or its VM is missing from the platform's list for long.
-func (o *Owners) stopped(h ggsowner.Holder, now time.Time) bool {
+// hasStopped reports whether an earlier holder has certainly stopped: a later incarnation is
+// a candidate, or its VM is missing from the platform's list for AbsentFor. The caller
+// holds o.mu.
+func (o *Owners) hasStopped(h ggsowner.Holder, now time.Time) bool {
 	for _, l := range o.candidates {
 		if l.VM == h.VM && ggsmember.Supersedes(l.Incarnation, h.Incarnation) {
 			return true
@@ -279,10 +286,10 @@
 	return ok && now.Sub(at) >= o.opts.AbsentFor
 }
 
-// noteStopped tells a group which of the holders of its pins have ended.
-func (o *Owners) noteStopped(s *ggsowner.Group, now time.Time) {
+// markStopped marks the holders of a group's pins that have stopped. The caller holds o.mu.
+func (o *Owners) markStopped(s *ggsowner.Group, now time.Time) {
 	for _, p := range s.Record().Pins {
-		if o.stopped(p.Holder, now) {
+		if o.hasStopped(p.Holder, now) {
 			s.MarkStopped(p.Holder)
 		}
 	}
--- a/io/ggsowners/owners_test.go
+++ b/io/ggsowners/owners_test.go
@@ -21,15 +21,15 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	runner = ggscore.EndpointID("runner-1")
-	lifeA  = "01900000-0000-7000-8000-000000000001"
-	lifeB  = "01900000-0000-7000-8000-000000000002"
-	lifeC  = "01900000-0000-7000-8000-000000000003"
+	runner       = ggscore.EndpointID("runner-1")
+	incarnationA = "01900000-0000-7000-8000-000000000001"
+	incarnationB = "01900000-0000-7000-8000-000000000002"
+	incarnationC = "01900000-0000-7000-8000-000000000003"
 )
 
 func adapter(name string) ggscore.AdapterRef { return ggscore.AdapterRef{Name: name, Version: "v1"} }
 
-// bench is a stand-in of the platform's service with a clock of the test.
+// A bench is a fake platform service with a clock that the test advances.
 type bench struct {
 	c        *qt.C
 	ctx      context.Context //nolint:containedctx // The test's own.
@@ -48,13 +48,13 @@
 	return b
 }
 
-// dispatcher returns one with a lease, which the test drives step by step.
-func (b *bench) dispatcher(vm ggscore.VMID, life string) *Owners {
+// dispatcher returns a dispatcher's Owners with a lease. The test calls its steps.
+func (b *bench) dispatcher(vm ggscore.VMID, incarnation string) *Owners {
 	client := ggsplatform.NewClient(b.addr)
 	b.c.Cleanup(client.Close)
 	opts := DefaultOptions("cr-central-a")
 	opts.Busy = func([]ggscore.EndpointID) bool { return b.busy.Load() }
-	h := ggsowner.Holder{VM: vm, Incarnation: life}
+	h := ggsowner.Holder{VM: vm, Incarnation: incarnation}
 	o := New(client, b.clock.Now, h, opts, log.NewNopLogger())
 	o.SetEndpoints([]ggscore.EndpointID{runner})
 	b.all = append(b.all, h)
@@ -68,9 +68,9 @@
 	return err
 }
 
-// owner returns a dispatcher that owns the runner and has an adapter in use.
+// owner returns a dispatcher that owns the runner and uses an adapter on it.
 func (b *bench) owner() *Owners {
-	o := b.dispatcher("vm-a", lifeA)
+	o := b.dispatcher("vm-a", incarnationA)
 	o.Poll(b.ctx)
 	b.c.Assert(b.check(o, "deposits", ggscore.OrderLoad), qt.IsNil)
 	o.serveAll(b.ctx)
@@ -78,10 +78,10 @@
 	return o
 }
 
-// An agency's answers stop when its domain's dispatcher is cut off from the
-// platform, though the runner is well. It goes on with the adapters that the
-// record protects and gives no orders, as long as nobody took over.
-func TestCutOffOwnerServesWhatIsProtected(t *testing.T) {
+// Guards against an outage of a domain whose dispatcher can't reach the platform. Until
+// another dispatcher takes over, the owner must serve the adapters that the record protects
+// and give no other orders.
+func TestPartitionedOwnerServesProtectedAdapters(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
 	o := b.owner()
@@ -100,23 +100,23 @@
 	b.c.Assert(o.Mode(b.clock.Now(), runner), qt.Equals, ggscore.ModeFull)
 }
 
-// A renter's answer breaks off when a frozen dispatcher wakes: the next owner
-// evicted its adapter, or it evicts the next owner's. The lease lapses first,
-// the next owner pins, and pins go when the first has stopped for certain.
-func TestTakeoverAfterLapse(t *testing.T) {
+// Guards against an owner that evicts adapters which a paused earlier owner still uses, or
+// the reverse. The lease expires before the takeover, the next owner pins the adapters, and
+// the pins are removed once the earlier owner has certainly stopped.
+func TestTakeoverAfterLeaseExpiry(t *testing.T) {
 	t.Parallel()
 	for name, stop := range map[string]func(*bench, *Owners, *Owners){
-		"it woke and is idle": func(b *bench, old, _ *Owners) {
+		"earlier owner resumed and is idle": func(b *bench, old, _ *Owners) {
 			b.busy.Store(true)
 			old.Poll(b.ctx)
 			b.c.Assert(b.check(old, "deposits", ggscore.OrderDispatch), qt.ErrorMatches, "not the owner.*")
 			b.busy.Store(false)
 			old.Poll(b.ctx)
 		},
-		"it was restarted": func(b *bench, _, next *Owners) {
-			next.SetCandidates([]ggsowner.Holder{{VM: "vm-a", Incarnation: lifeC}, next.self})
+		"earlier owner was restarted": func(b *bench, _, next *Owners) {
+			next.SetCandidates([]ggsowner.Holder{{VM: "vm-a", Incarnation: incarnationC}, next.self})
 		},
-		"its VM is gone": func(b *bench, _, next *Owners) {
+		"VM of the earlier owner is gone": func(b *bench, _, next *Owners) {
 			next.SetVMs(b.clock.Now(), []ggscore.VM{{ID: "vm-a"}, {ID: "vm-b"}})
 			next.SetVMs(b.clock.Now(), []ggscore.VM{{ID: "vm-b"}})
 			next.Poll(b.ctx)
@@ -130,7 +130,7 @@
 			t.Parallel()
 			b := newBench(t)
 			old := b.owner()
-			next := b.dispatcher("vm-b", lifeB)
+			next := b.dispatcher("vm-b", incarnationB)
 			next.Poll(b.ctx)
 			b.c.Assert(next.Mode(b.clock.Now(), runner), qt.Equals, ggscore.ModeNone)
 			b.clock.Advance(8 * time.Second)
@@ -151,13 +151,13 @@
 	}
 }
 
-// A tenant's lookups wait for seconds at a planned stop. The released group is
-// taken over at once, with what still runs pinned.
+// Guards against a planned stop that delays requests for seconds. A released group must be
+// taken over at once, with the adapters of runs in progress pinned.
 func TestPlannedStopHandsOverAtOnce(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
 	old := b.owner()
-	next := b.dispatcher("vm-b", lifeB)
+	next := b.dispatcher("vm-b", incarnationB)
 	b.busy.Store(true)
 	ctx, cancel := context.WithCancel(b.ctx)
 	done := make(chan struct{})
@@ -177,8 +177,8 @@
 	b.c.Assert(next.Pins(runner), qt.HasLen, 0)
 }
 
-// A planned stop of a domain's last dispatcher hangs: it waits for another to
-// take over, and there is none.
+// Guards against a planned stop of a domain's last dispatcher that waits for a takeover
+// forever.
 func TestLastDispatcherLeaves(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
@@ -193,18 +193,18 @@
 	b.c.Assert(o.Leave(b.ctx), qt.IsNil)
 	cancel()
 	<-done
-	next := b.dispatcher("vm-b", lifeB)
+	next := b.dispatcher("vm-b", incarnationB)
 	next.Poll(b.ctx)
 	b.c.Assert(next.Mode(b.clock.Now(), runner), qt.Equals, ggscore.ModeFull)
 	b.c.Assert(next.Pins(runner), qt.HasLen, 0)
 }
 
-// An owner's answers from the platform are lost; it must neither believe in a
-// protection that isn't recorded nor lose the runner.
+// The answers to an owner's writes are lost. It must not rely on a protection that may not
+// be recorded, and must not lose the runner.
 func TestLostAnswersAreReadBack(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
-	o := b.dispatcher("vm-a", lifeA)
+	o := b.dispatcher("vm-a", incarnationA)
 	b.platform.SetFaults(ggsfakeplatform.Faults{LoseWriteAnswers: 1, LosePrefix: "owners/"})
 	o.Poll(b.ctx)
 	b.c.Assert(o.Mode(b.clock.Now(), runner), qt.Equals, ggscore.ModeNone)
@@ -218,12 +218,12 @@
 	b.c.Assert(b.check(o, "rules", ggscore.OrderDispatch), qt.IsNil)
 }
 
-// A record that can't be read must not be taken for an empty one: its pins
-// would be lost with it.
+// A record that can't be decoded must not be treated as empty, because its pins would be
+// lost.
 func TestBadRecordIsNotTakenOver(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
-	o := b.dispatcher("vm-a", lifeA)
+	o := b.dispatcher("vm-a", incarnationA)
 	_, err := o.store.Put(b.ctx, "owners/cr-central-a/0", []byte(`{"protected":{"r":["@"]}}`), 0, 0)
 	b.c.Assert(err, qt.IsNil)
 	o.Poll(b.ctx)
--- a/io/ggsowners/run.go
+++ b/io/ggsowners/run.go
@@ -13,12 +13,12 @@
 	"greengageslip/core/ggsowner"
 )
 
-// noticeEvery is how often the passing of a lease's end is looked for. Check
-// doesn't depend on it.
-const noticeEvery = 500 * time.Millisecond
+// statusInterval is the interval at which runGroups checks for a changed status, such as the
+// mode after the lease's end. Check doesn't depend on it.
+const statusInterval = 500 * time.Millisecond
 
-// Leave ends the pins of what this process ran and revokes its lease. It is
-// called after all in progress has ended, before Run's context ends.
+// Leave waits until this process's pins are removed, then revokes its lease. It must be
+// called after all requests in progress have ended and before Run's context ends.
 func (o *Owners) Leave(ctx context.Context) error {
 	err := o.await(ctx, func(g *ggsowner.Group) bool { return g.Released() && !g.HasPins() })
 	o.mu.Lock()
@@ -32,19 +32,19 @@
 	return errors.Wrap(err, "leave")
 }
 
-// Release gives all groups up: from now on there is no new work and no order.
-// It returns once this is recorded, so that others take over at once.
+// Release releases all groups: from then on, Check refuses all orders. Release returns after
+// the records are written, so that other dispatchers can take over at once.
 func (o *Owners) Release(ctx context.Context) error {
 	o.mu.Lock()
 	for _, g := range o.groups {
 		g.state.Release()
 	}
 	o.mu.Unlock()
-	o.poke()
+	o.wakeGroups()
 	return errors.Wrap(o.await(ctx, (*ggsowner.Group).Released), "release")
 }
 
-// Run keeps the lease and the groups until ctx ends. It returns nil.
+// Run renews the lease and serves the groups until ctx ends. It returns nil.
 func (o *Owners) Run(ctx context.Context) error {
 	var g sync.WaitGroup
 	g.Go(func() { o.runLease(ctx) })
@@ -53,34 +53,36 @@
 	return nil
 }
 
-// await polls until all groups that this process has a part in are done.
+// await polls until done holds for all groups in which this process is the owner or has
+// pins. It returns a *ReleaseError if ctx ends first.
 func (o *Owners) await(ctx context.Context, done func(*ggsowner.Group) bool) error {
 	t := time.NewTicker(o.opts.PollEvery / 8)
 	defer t.Stop()
 	for {
-		left := o.count(done)
-		if left == 0 {
+		n := o.remaining(done)
+		if n == 0 {
 			return nil
 		}
-		o.poke()
+		o.wakeGroups()
 		select {
 		case <-t.C:
 		case <-ctx.Done():
-			return &ReleaseError{Groups: left, Cause: ctx.Err()}
+			return &ReleaseError{Groups: n, Cause: ctx.Err()}
 		}
 	}
 }
 
-func (o *Owners) count(done func(*ggsowner.Group) bool) int {
+// remaining returns the number of involved groups for which done doesn't hold.
+func (o *Owners) remaining(done func(*ggsowner.Group) bool) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	left := 0
+	n := 0
 	for _, g := range o.groups {
 		if g.state.Involved() && !done(g.state) {
-			left++
+			n++
 		}
 	}
-	return left
+	return n
 }
 
 func (o *Owners) runLease(ctx context.Context) {
@@ -97,7 +99,7 @@
 			_ = level.Warn(o.log).Log("event", "leaseNotRenewed", "vm", o.self.VM, "err", err)
 			wait /= 3
 		}
-		o.tell()
+		o.notifySubscribers()
 		t.Reset(wait)
 	}
 }
@@ -105,8 +107,8 @@
 func (o *Owners) runGroups(ctx context.Context) {
 	poll := time.NewTimer(0)
 	defer poll.Stop()
-	notice := time.NewTicker(noticeEvery)
-	defer notice.Stop()
+	status := time.NewTicker(statusInterval)
+	defer status.Stop()
 	for {
 		select {
 		case <-poll.C:
@@ -114,39 +116,40 @@
 			poll.Reset(jitter(o.opts.PollEvery))
 		case <-o.wake:
 			o.serveAll(ctx)
-		case <-notice.C:
+		case <-status.C:
 		case <-ctx.Done():
 			return
 		}
-		o.tell()
+		o.notifySubscribers()
 	}
 }
 
-// tell calls the subscribers where a group's status changed.
-func (o *Owners) tell() {
+// notifySubscribers logs changes of the groups' status, and calls the subscribers if there
+// is a change.
+func (o *Owners) notifySubscribers() {
 	o.mu.Lock()
 	now := o.clock()
 	changed := false
 	for i, g := range o.groups {
 		s := o.status(i, now)
-		if s != g.last {
+		if s != g.reported {
 			changed = true
 			_ = level.Info(o.log).Log("event", "ownershipChanged", "group", g.key, "mode", s.Mode,
 				"owner", s.Owner.VM, "fence", s.Fence, "released", s.Released, "pins", s.Pins)
 		}
-		g.last = s
+		g.reported = s
 	}
-	notify := o.notify
+	subscribers := o.subscribers
 	o.mu.Unlock()
 	if !changed {
 		return
 	}
-	for _, f := range notify {
+	for _, f := range subscribers {
 		f()
 	}
 }
 
-// Renew renews the lease, or asks for one. Run calls it in time.
+// Renew renews the lease, or requests one if none is held. Run calls it periodically.
 func (o *Owners) Renew(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
 	defer cancel()
@@ -156,28 +159,28 @@
 	if left {
 		return nil
 	}
-	// The lease counts from before the call: the platform can't have counted
-	// from earlier, however late the answer comes.
+	// The lease's time to live counts from before the call, because the platform starts to
+	// count no earlier, however late the answer arrives.
 	sent := o.clock()
 	if id == 0 {
 		return o.grant(ctx, sent)
 	}
 	err := o.store.Renew(ctx, id)
-	var lapsed *ggscore.LeaseExpiredError
+	var expired *ggscore.LeaseExpiredError
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
 	case o.lease.ID() != id:
 	case err == nil:
 		o.lease.Renewed(sent)
-	case errors.As(err, &lapsed):
+	case errors.As(err, &expired):
 		o.lease.Lost()
 	}
 	return errors.Wrap(err, "renew lease")
 }
 
-// grant gets a lease and puts the key that shows it. The lease counts only
-// once the key is known to stand, since others take a missing key for a lapse.
+// grant requests a lease and writes the lease key. The lease counts as held only after the
+// key is written, because other dispatchers treat a missing key as an expired lease.
 func (o *Owners) grant(ctx context.Context, sent time.Time) error {
 	id, err := o.store.Grant(ctx, o.opts.Limits.TTL)
 	if err != nil {
@@ -196,7 +199,7 @@
 	if !o.left {
 		o.lease.Granted(id, sent)
 	}
-	o.poke()
+	o.wakeGroups()
 	return nil
 }
 
--- a/io/ggsowners/serve.go
+++ b/io/ggsowners/serve.go
@@ -10,8 +10,8 @@
 	"greengageslip/core/ggsowner"
 )
 
-// Poll looks at the groups that this dispatcher has a part in or that would
-// fall to it, and takes over what it may. Run calls it in time.
+// Poll reads the records of the groups in which this dispatcher is involved or may be the
+// next owner, and takes groups over if allowed. Run calls it periodically.
 func (o *Owners) Poll(ctx context.Context) {
 	for _, g := range o.groups {
 		if o.prepare(g) {
@@ -20,9 +20,9 @@
 	}
 }
 
-// prepare asks for a fresh look where one is of use. A held lease that the
-// record names proves the ownership without a read. The first two candidates
-// look: one of them takes over, whoever the owner is.
+// prepare reports whether to serve a group, and invalidates its record if a new read is
+// needed. A held lease that the record names proves the ownership without a read. The first
+// two candidates serve the group, because one of them takes over whoever the owner is.
 func (o *Owners) prepare(g *group) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -37,14 +37,16 @@
 	return true
 }
 
-// wanted reports whether the group falls to this dispatcher when its owner
-// ends: it is the first candidate but for the owner, or a later life of it.
-func (o *Owners) wanted(g *group) bool {
+// isCandidate reports whether this dispatcher takes the group over when its owner stops. It
+// then is the first candidate apart from the owner, or runs on the owner's VM. The caller
+// holds o.mu.
+func (o *Owners) isCandidate(g *group) bool {
 	owner := g.state.Record().Owner.VM
 	first, ok := ggsowner.PreferredCandidate(g.key, o.candidates, owner)
 	return owner == o.self.VM || (ok && first.VM == o.self.VM)
 }
 
+// serveAll serves all groups in which this dispatcher is involved.
 func (o *Owners) serveAll(ctx context.Context) {
 	for _, g := range o.groups {
 		o.mu.Lock()
@@ -56,30 +58,30 @@
 	}
 }
 
-// serve does a group's I/O until it wants none or a call fails.
+// serve performs a group's I/O until the group is idle, a call fails or ctx ends.
 func (o *Owners) serve(ctx context.Context, g *group) {
 	for ctx.Err() == nil {
-		o.noteIdle(g)
+		o.updateIdle(g)
 		o.mu.Lock()
 		now := o.clock()
-		o.noteStopped(g.state, now)
-		g.state.SetCandidate(o.wanted(g))
+		o.markStopped(g.state, now)
+		g.state.SetCandidate(o.isCandidate(g))
 		step := g.state.Next(now, &o.lease)
 		o.mu.Unlock()
 		if step.Kind == ggsowner.StepIdle {
 			return
 		}
-		if err := o.do(ctx, g, step); err != nil {
+		if err := o.perform(ctx, g, step); err != nil {
 			_ = level.Warn(o.log).Log("event", "ownershipCallFailed", "group", g.key, "err", err)
 			return
 		}
 	}
 }
 
-// noteIdle asks whether runs are left in a group that takes no new ones. That
-// no new ones are taken is seen first, and each run counts from before its
-// Check: none can slip in between.
-func (o *Owners) noteIdle(g *group) {
+// updateIdle sets whether a group that accepts no new runs has no run in progress. It reads
+// the mode before it calls Busy, and Busy counts a run from before the run's Check. A run
+// that starts in between is therefore refused by Check or counted by Busy.
+func (o *Owners) updateIdle(g *group) {
 	o.mu.Lock()
 	now := o.clock()
 	closed := g.state.Mode(now, &o.lease) == ggscore.ModeNone && g.state.Involved()
@@ -99,7 +101,7 @@
 	o.mu.Unlock()
 }
 
-func (o *Owners) do(ctx context.Context, g *group, step ggsowner.Step) error {
+func (o *Owners) perform(ctx context.Context, g *group, step ggsowner.Step) error {
 	ctx, cancel := context.WithTimeout(ctx, o.opts.CallTimeout)
 	defer cancel()
 	switch step.Kind {
@@ -164,14 +166,15 @@
 	case hadNoEffect(err):
 		g.state.IOFailed()
 	default:
-		// Whatever isn't known to have had no effect may still have one.
+		// Any other failed write may still take effect.
 		g.state.WriteDone(ggsowner.WriteAmbiguous, 0)
 	}
 	return err
 }
 
+// hadNoEffect reports whether a failed write certainly had no effect.
 func hadNoEffect(err error) bool {
-	var away *ggscore.StoreUnavailableError
+	var unavailable *ggscore.StoreUnavailableError
 	var busy *ggscore.StoreBusyError
-	return errors.As(err, &away) || errors.As(err, &busy)
+	return errors.As(err, &unavailable) || errors.As(err, &busy)
 }
