--- a/io/ggsplatform/bench_test.go
+++ b/io/ggsplatform/bench_test.go
@@ -16,8 +16,8 @@
 	"greengageslip/io/ggsplatform"
 )
 
-// benchLink returns a client that reaches an unlimited stand-in directly, and
-// one that reaches it over a link, which counts the bytes.
+// benchLink returns a client that is connected to an unlimited fake platform directly, and a
+// client that is connected over a link, which counts the bytes.
 func benchLink(c *qt.C) (direct, linked *ggsplatform.Client, l *ggsfakelink.Link) {
 	s := ggsfakebench.Serve(c, ggsfakebench.NewPlatform(nil).Handler())
 	direct = ggsplatform.NewClient(ggsfakebench.AddrOf(c, s))
@@ -37,8 +37,8 @@
 	return direct, linked, l
 }
 
-// BenchmarkCalls measures a call's time and allocations, client and stand-in
-// together, and its bytes on the wire above TCP.
+// BenchmarkCalls measures the time and allocations of a call, including those of the fake
+// platform, and the bytes above TCP.
 func BenchmarkCalls(b *testing.B) {
 	ctx := context.Background()
 	for name, prepare := range map[string]func(*qt.C, *ggsplatform.Client) func() error{
@@ -97,5 +97,5 @@
 	}
 }
 
-// linkCalls is the number of calls whose bytes are counted.
+// linkCalls is the number of calls over the link.
 const linkCalls = 100
--- a/io/ggsplatform/call.go
+++ b/io/ggsplatform/call.go
@@ -14,54 +14,57 @@
 	"greengageslip/io/ggsconn"
 )
 
-// A call is one call of the service.
+// A call holds the parameters of one HTTP request to the platform's service.
 type call struct {
 	method string
 	path   string
 	query  url.Values
-	// in is the body's wire form, nil for none.
+	// in is the value of the JSON body, nil for no body.
 	in any
-	// write says that the call changes something.
+	// write is set if the call may change the store.
 	write bool
+	// wait is added to the timeout of the first byte.
 	wait  time.Duration
 	key   ggscore.Key
 	prev  ggscore.StoreRevision
 	lease ggscore.LeaseID
 }
 
-// maxAnswerBytes bounds an answer: a list of large values is the longest.
+// maxAnswerBytes is the maximum size of an answer. A list of large values is the largest
+// answer.
 const maxAnswerBytes = 256 << 20
 
-// do makes the call once and decodes its answer into out, if out isn't nil.
+// do sends the request once, without retries, and decodes the answer into out unless out is
+// nil.
 func (c *Client) do(ctx context.Context, cl call, out any) error {
-	ctx, dog := ggsconn.NewWatchdog(ctx, c.settings.CallTimeout+cl.wait, c.settings.CallTimeout)
-	defer dog.Stop()
-	ctx, flight := ggsconn.Track(ctx)
+	ctx, watchdog := ggsconn.NewWatchdog(ctx, c.settings.CallTimeout+cl.wait, c.settings.CallTimeout)
+	defer watchdog.Stop()
+	ctx, tracker := ggsconn.Track(ctx)
 	req, err := c.request(ctx, cl)
 	if err != nil {
-		return errors.Wrap(err, "make platform request")
+		return errors.Wrap(err, "build request to platform service")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		err = dog.Explain(err)
-		if flight.NothingWritten() {
+		err = watchdog.Explain(err)
+		if tracker.NothingWritten() {
 			return &ggscore.StoreUnavailableError{Cause: err}
 		}
-		return cl.lost(err)
+		return cl.lostAnswer(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := readAll(dog.Reader(resp.Body))
+	body, err := readAll(watchdog.Reader(resp.Body))
 	if resp.StatusCode != http.StatusOK {
-		return cl.refused(resp.StatusCode, body)
+		return cl.statusError(resp.StatusCode, body)
 	}
 	if err != nil {
-		return cl.lost(dog.Explain(err))
+		return cl.lostAnswer(watchdog.Explain(err))
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return cl.lost(err)
+		return cl.lostAnswer(err)
 	}
 	return nil
 }
@@ -87,20 +90,20 @@
 	return req, nil
 }
 
-// lost returns the error for a call whose answer didn't arrive whole.
-func (cl call) lost(cause error) error {
+// lostAnswer returns the error for a call whose answer wasn't received completely.
+func (cl call) lostAnswer(cause error) error {
 	if cl.write {
 		return &ggscore.AmbiguousWriteError{Key: cl.key, Cause: cause}
 	}
 	return &ggscore.StoreUnavailableError{Cause: cause}
 }
 
-// refused returns the error for an answer with another status than 200. Only
-// statuses that the service sends before any effect are definite; gateways on
-// the way may send others after one.
-func (cl call) refused(status int, body []byte) error {
+// statusError returns the error for an answer with a status other than 200. Only statuses
+// that the service sends before any effect are definite. Intermediate gateways may send
+// other statuses after the call took effect, so these are ambiguous for a write.
+func (cl call) statusError(status int, body []byte) error {
 	var w errorWire
-	// A body that can't be read leaves the details empty; the status decides.
+	// A body that can't be decoded leaves the details empty. The status decides the type.
 	_ = json.Unmarshal(body, &w)
 	switch status {
 	case http.StatusServiceUnavailable:
@@ -114,7 +117,7 @@
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusMethodNotAllowed, http.StatusRequestEntityTooLarge:
 		return &RefusedError{Status: status, Detail: w.Error.Detail}
 	}
-	return cl.lost(&StatusError{Status: status})
+	return cl.lostAnswer(&StatusError{Status: status})
 }
 
 func readAll(r io.Reader) ([]byte, error) {
--- a/io/ggsplatform/client.go
+++ b/io/ggsplatform/client.go
@@ -12,15 +12,15 @@
 	"greengageslip/io/ggsconn"
 )
 
-// Settings bound a client's calls, beside their contexts. All are to be
-// positive.
+// Settings holds the limits of a client's calls, in addition to the calls' contexts. All
+// values must be positive.
 type Settings struct {
-	// CallTimeout bounds the wait for the first byte of each answer, and for each further
-	// one; for Watch the wait is added to the first.
+	// CallTimeout bounds the time to the first byte of an answer, and the time between
+	// received bytes. For Watch, the requested wait is added to the first of these.
 	CallTimeout time.Duration
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
-	// MaxConns bounds the connections, and with them the calls at once.
+	// MaxConns is the maximum number of connections, and so of concurrent calls.
 	MaxConns int
 }
 
@@ -36,7 +36,7 @@
 	_ ggscore.VMLister = (*Client)(nil)
 )
 
-// DefaultSettings returns the bounds that NewClient uses.
+// DefaultSettings returns the settings that NewClient uses.
 func DefaultSettings() Settings {
 	return Settings{
 		CallTimeout: 3 * time.Second,
@@ -45,13 +45,12 @@
 	}
 }
 
-// NewClient returns a client of the service at the address, with the default
-// bounds.
+// NewClient returns a client of the service at an address, with the default settings.
 func NewClient(addr netip.AddrPort) *Client {
 	return NewClientWithSettings(addr, DefaultSettings())
 }
 
-// NewClientWithSettings returns a client of the service at the address.
+// NewClientWithSettings returns a client of the service at an address.
 func NewClientWithSettings(addr netip.AddrPort, s Settings) *Client {
 	o := ggsconn.DefaultOptions()
 	o.DialTimeout = s.DialTimeout
@@ -159,7 +158,7 @@
 	return entriesOf(w.Entries), ggscore.StoreRevision(w.Revision), nil
 }
 
-// The paths of the service.
+// The HTTP paths of the service.
 const (
 	pathKV     = "/v1/kv"
 	pathList   = "/v1/list"
--- a/io/ggsplatform/client_test.go
+++ b/io/ggsplatform/client_test.go
@@ -20,7 +20,7 @@
 	"greengageslip/io/ggsplatform"
 )
 
-// A bench is a stand-in and a client of it.
+// A bench is a fake platform and a client of it.
 type bench struct {
 	clock    *ggsfakebench.Clock
 	platform *ggsfakeplatform.Platform
@@ -28,12 +28,12 @@
 	client   *ggsplatform.Client
 }
 
-func newBench(c *qt.C, change func(*ggsfakeplatform.Options)) *bench {
+func newBench(c *qt.C, configure func(*ggsfakeplatform.Options)) *bench {
 	k := ggsfakebench.NewClock()
 	o := ggsfakeplatform.DefaultOptions()
 	o.Now = k.Now
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
 	p := ggsfakeplatform.New(o)
 	s := ggsfakebench.Serve(c, p.Handler())
@@ -76,7 +76,7 @@
 	c.Assert(es, qt.HasLen, 0)
 }
 
-func TestLeaseLapses(t *testing.T) {
+func TestLeaseExpires(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBench(c, nil)
@@ -97,11 +97,11 @@
 	e, err = b.client.Get(ctx, "owner/r1")
 	c.Assert(err, qt.IsNil)
 	c.Assert(e.Revision, qt.Equals, ggscore.StoreRevision(0))
-	var lapsed *ggscore.LeaseExpiredError
-	c.Assert(b.client.Renew(ctx, l), qt.ErrorAs, &lapsed)
-	c.Assert(lapsed.Lease, qt.Equals, l)
+	var expired *ggscore.LeaseExpiredError
+	c.Assert(b.client.Renew(ctx, l), qt.ErrorAs, &expired)
+	c.Assert(expired.Lease, qt.Equals, l)
 	_, err = b.client.Put(ctx, "owner/r2", nil, 0, l)
-	c.Assert(err, qt.ErrorAs, &lapsed)
+	c.Assert(err, qt.ErrorAs, &expired)
 }
 
 func TestRevokeDeletesKeys(t *testing.T) {
@@ -154,9 +154,8 @@
 	c.Assert(upTo, qt.Equals, r3)
 }
 
-// An operator's write takes effect, but the answer is lost with the
-// connection. Were the write reported as failed, the operator would repeat it
-// over a colleague's later edit.
+// A write takes effect, but its answer is lost with the connection. If the client reported
+// a failure, an operator would repeat the write over another operator's later change.
 func TestLostAnswerIsAmbiguous(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -175,9 +174,8 @@
 	c.Assert(string(e.Value), qt.Equals, "new")
 }
 
-// A write's answer is lost and a read straight after shows no effect; the
-// write then takes effect late. Whoever trusts the first read-back claims a
-// key twice.
+// A write's answer is lost, a read right after it shows no effect, and the write takes
+// effect later. A caller that relies on that read would claim a key twice.
 func TestDelayedWriteTakesEffectLate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -197,39 +195,39 @@
 	c.Assert(string(e.Value), qt.Equals, "late")
 }
 
-// The platform is down: each call fails at once and definitely, so that a
-// claim can be refused as not run.
-func TestAwayIsDefinite(t *testing.T) {
+// While the platform is down, each call fails at once and without effect, so that a claim
+// can be refused as not run.
+func TestUnavailableIsDefinite(t *testing.T) {
 	t.Parallel()
-	for name, cut := range map[string]func(*bench){
-		"answers 503":  func(b *bench) { b.platform.SetFaults(ggsfakeplatform.Faults{Outage: true}) },
-		"refuses dial": func(b *bench) { b.server.CloseClientConnections(); b.server.Close() },
+	for name, stop := range map[string]func(*bench){
+		"answers 503":         func(b *bench) { b.platform.SetFaults(ggsfakeplatform.Faults{Outage: true}) },
+		"refuses connections": func(b *bench) { b.server.CloseClientConnections(); b.server.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
 			b := newBench(c, nil)
 			ctx := ggsfakebench.Context(c)
-			cut(b)
-			var away *ggscore.StoreUnavailableError
+			stop(b)
+			var unavailable *ggscore.StoreUnavailableError
 			_, err := b.client.Put(ctx, "k", nil, 0, 0)
-			c.Assert(err, qt.ErrorAs, &away)
+			c.Assert(err, qt.ErrorAs, &unavailable)
 			_, err = b.client.Get(ctx, "k")
-			c.Assert(err, qt.ErrorAs, &away)
+			c.Assert(err, qt.ErrorAs, &unavailable)
 			_, _, err = b.client.Watch(ctx, "k", 0, time.Second)
-			c.Assert(err, qt.ErrorAs, &away)
+			c.Assert(err, qt.ErrorAs, &unavailable)
 		})
 	}
 }
 
-// The platform takes a write and never answers, until its caller leaves. The
-// write may yet take effect, so it is ambiguous.
+// The platform accepts a write and doesn't answer before the caller cancels. The write may
+// still take effect, so the error must be ambiguous.
 func TestUnansweredWriteIsAmbiguous(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBench(c, nil)
 	b.platform.SetFaults(ggsfakeplatform.Faults{Hang: true})
-	ctx, leave := context.WithCancel(ggsfakebench.Context(c))
+	ctx, cancel := context.WithCancel(ggsfakebench.Context(c))
 	ended := make(chan error, 2)
 	go func() {
 		_, err := b.client.Put(ctx, "k", nil, 0, 0)
@@ -240,16 +238,16 @@
 	for b.platform.Calls().Writes == 0 {
 		c.Assert(ctx.Err(), qt.IsNil)
 	}
-	leave()
+	cancel()
 	err := <-ended
 	var ambiguous *ggscore.AmbiguousWriteError
 	c.Assert(err, qt.ErrorAs, &ambiguous)
 	c.Assert(err, qt.ErrorIs, context.Canceled)
-	var away *ggscore.StoreUnavailableError
-	c.Assert(<-ended, qt.ErrorAs, &away)
+	var unavailable *ggscore.StoreUnavailableError
+	c.Assert(<-ended, qt.ErrorAs, &unavailable)
 }
 
-func TestRates(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBench(c, func(o *ggsfakeplatform.Options) { o.WritesPerSecond = 4 })
@@ -278,7 +276,7 @@
 	c.Assert(refused.Status, qt.Equals, http.StatusRequestEntityTooLarge)
 }
 
-func TestListOfVMsLags(t *testing.T) {
+func TestListOfVMsIsDelayed(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBench(c, func(o *ggsfakeplatform.Options) { o.VMLag = 5 * time.Second })
@@ -298,8 +296,9 @@
 	c.Assert(vs[0], qt.Equals, v)
 }
 
-// Guards against readings that start over for ever because an answer needs more than the time of a call.
-func TestLongAnswerOnASlowLinkArrives(t *testing.T) {
+// An answer takes longer than CallTimeout on a slow link. If that bound applied to the whole
+// answer, the call would time out and be repeated forever.
+func TestLongAnswerOnSlowLink(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBench(c, nil)
@@ -316,12 +315,12 @@
 	go func() { done <- k.Serve(ctx, l) }()
 	s := ggsplatform.DefaultSettings()
 	s.CallTimeout = 300 * time.Millisecond
-	thin := ggsplatform.NewClientWithSettings(netip.MustParseAddrPort(l.Addr().String()), s)
+	slow := ggsplatform.NewClientWithSettings(netip.MustParseAddrPort(l.Addr().String()), s)
 
-	e, err := thin.Get(ctx, "a")
+	e, err := slow.Get(ctx, "a")
 	c.Assert(err, qt.IsNil)
 	c.Assert(e.Value, qt.HasLen, len(value))
-	thin.Close()
+	slow.Close()
 	cancel()
 	c.Assert(<-done, qt.IsNil)
 }
--- a/io/ggsplatform/doc.go
+++ b/io/ggsplatform/doc.go
@@ -1,5 +1,5 @@
-// Package ggsplatform is the client of the platform's key-value service and
-// list of VMs, over HTTP and JSON.
+// Package ggsplatform is a client of the platform's key-value service and list of VMs, with
+// JSON over HTTP.
 //
 // # Usage
 //
@@ -8,17 +8,18 @@
 //	s := ggsplatform.NewMetered(c, expvar.NewMap("platform"))
 //	rev, err := s.Put(ctx, "section/market/cr", text, prev, 0)
 //
-// A call is made once: the client retries nothing, since only its caller knows
-// whether a repeat is safe. Failures are told apart by type:
+// The client sends each request once and never retries, because only the caller knows
+// whether a repetition is safe. The error type tells whether a call had an effect:
 //
-//   - *ggscore.StoreAwayError: a read failed, or a write can't have had any
-//     effect (no byte of it was sent, or the service answered 503);
-//   - *ggscore.StoreBusyError: refused for its rate, no effect;
-//   - *ggscore.ConflictError: the key's revision was another, no effect;
-//   - *ggscore.LeaseLapsedError: the lease isn't known (any more), no effect;
-//   - *RefusedError: the service refused the call as wrong, no effect;
-//   - *ggscore.AmbiguousWriteError: a write whose answer was lost. For calls
-//     on leases its key is empty.
+//   - *ggscore.StoreUnavailableError: a read failed, or a write had no effect (no byte
+//     of the write was sent, or the service answered with status 503);
+//   - *ggscore.StoreBusyError: the call exceeded a rate limit and had no effect;
+//   - *ggscore.ConflictError: the key had a different revision, no effect;
+//   - *ggscore.LeaseExpiredError: the lease expired or never existed, no effect;
+//   - *RefusedError: the service rejected the call as invalid, no effect;
+//   - *ggscore.AmbiguousWriteError: a write whose answer was lost and which may have
+//     taken effect. Its key is empty for calls on leases.
 //
-// Metered, Limited and ReadOnly wrap any store and are stores themselves.
+// Metered, Limited and ReadOnly are stores that wrap another store. The package has no
+// locks of its own.
 package ggsplatform
--- a/io/ggsplatform/errors.go
+++ b/io/ggsplatform/errors.go
@@ -6,8 +6,8 @@
 	ggscore "greengageslip/core"
 )
 
-// A RefusedError says that the service refused a call as wrong. The call had
-// no effect and will have none if repeated.
+// A RefusedError reports that the service rejected a call as invalid. The call had no
+// effect, and a repetition would have none.
 type RefusedError struct {
 	Status int
 	Detail string
@@ -15,11 +15,11 @@
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("platform service refused with status %d: %s", e.Status, e.Detail)
+	return fmt.Sprintf("platform service rejected the call with status %d: %s", e.Status, e.Detail)
 }
 
-// A StatusError says that the service answered with a status that says nothing
-// about the call's effect.
+// A StatusError reports an answer with an error status. The status alone doesn't
+// determine whether the call had an effect.
 type StatusError struct{ Status int }
 
 // Error implements error.
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("platform service answered with status %d", e.Status)
 }
 
-// An OversizeError says that an answer was longer than the client reads.
+// An OversizeError reports that an answer exceeds the client's limit.
 type OversizeError struct{ LimitBytes int64 }
 
 // Error implements error.
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("answer of platform service exceeds %d bytes", e.LimitBytes)
 }
 
-// A BadListError says that the list of VMs has an entry that can't be read.
+// A BadListError reports an entry of the list of VMs that can't be decoded.
 type BadListError struct {
 	VM     ggscore.VMID
 	Field  string
@@ -45,13 +45,13 @@
 
 // Error implements error.
 func (e *BadListError) Error() string {
-	return fmt.Sprintf("list of VMs: %s has bad %s %q", e.VM, e.Field, e.Value)
+	return fmt.Sprintf("can't decode list of VMs: VM %s has invalid %s %q", e.VM, e.Field, e.Value)
 }
 
 // Unwrap returns the cause, if there is one.
 func (e *BadListError) Unwrap() error { return e.Detail }
 
-// A ReadOnlyError says that a store that takes no writes was asked for one.
+// A ReadOnlyError reports a write to a read-only store. Key is empty for calls on leases.
 type ReadOnlyError struct{ Key ggscore.Key }
 
 // Error implements error.
--- a/io/ggsplatform/limited.go
+++ b/io/ggsplatform/limited.go
@@ -9,9 +9,10 @@
 	ggscore "greengageslip/core"
 )
 
-// A Limited keeps the calls of a store below this process's share of the
-// platform's rates. A watch counts as a read. Calls wait under their context;
-// one that can't be made in time is refused with a StoreBusyError.
+// A Limited limits the rates of calls to a store to this process's share of the platform's
+// rate limits. A watch counts as a read. A call waits for the limiter until its context's
+// deadline. A call that couldn't proceed before the deadline fails at once with a
+// *ggscore.StoreBusyError.
 type Limited struct {
 	store  ggscore.Store
 	reads  *rate.Limiter
@@ -20,15 +21,15 @@
 
 var _ ggscore.Store = (*Limited)(nil)
 
-// NewLimited returns a store that makes no more calls than the rates allow.
-// Half a second's calls may come at once.
+// NewLimited returns a store that limits the calls of s to the rates. The calls of half a
+// second are allowed as a burst.
 func NewLimited(s ggscore.Store, readsPerSecond, writesPerSecond float64) *Limited {
 	return &Limited{store: s, reads: newLimiter(readsPerSecond), writes: newLimiter(writesPerSecond)}
 }
 
 // Delete implements ggscore.Writer.
 func (l *Limited) Delete(ctx context.Context, k ggscore.Key, prev ggscore.StoreRevision) error {
-	if err := take(ctx, l.writes); err != nil {
+	if err := acquire(ctx, l.writes); err != nil {
 		return err
 	}
 	return l.store.Delete(ctx, k, prev)
@@ -36,7 +37,7 @@
 
 // Get implements ggscore.Reader.
 func (l *Limited) Get(ctx context.Context, k ggscore.Key) (ggscore.Entry, error) {
-	if err := take(ctx, l.reads); err != nil {
+	if err := acquire(ctx, l.reads); err != nil {
 		return ggscore.Entry{}, err
 	}
 	return l.store.Get(ctx, k)
@@ -44,7 +45,7 @@
 
 // Grant implements ggscore.Leaser.
 func (l *Limited) Grant(ctx context.Context, ttl time.Duration) (ggscore.LeaseID, error) {
-	if err := take(ctx, l.writes); err != nil {
+	if err := acquire(ctx, l.writes); err != nil {
 		return 0, err
 	}
 	return l.store.Grant(ctx, ttl)
@@ -52,7 +53,7 @@
 
 // List implements ggscore.Reader.
 func (l *Limited) List(ctx context.Context, prefix ggscore.Key) ([]ggscore.Entry, error) {
-	if err := take(ctx, l.reads); err != nil {
+	if err := acquire(ctx, l.reads); err != nil {
 		return nil, err
 	}
 	return l.store.List(ctx, prefix)
@@ -62,7 +63,7 @@
 func (l *Limited) Put(
 	ctx context.Context, k ggscore.Key, value []byte, prev ggscore.StoreRevision, id ggscore.LeaseID,
 ) (ggscore.StoreRevision, error) {
-	if err := take(ctx, l.writes); err != nil {
+	if err := acquire(ctx, l.writes); err != nil {
 		return 0, err
 	}
 	return l.store.Put(ctx, k, value, prev, id)
@@ -70,7 +71,7 @@
 
 // Renew implements ggscore.Leaser.
 func (l *Limited) Renew(ctx context.Context, id ggscore.LeaseID) error {
-	if err := take(ctx, l.writes); err != nil {
+	if err := acquire(ctx, l.writes); err != nil {
 		return err
 	}
 	return l.store.Renew(ctx, id)
@@ -78,7 +79,7 @@
 
 // Revoke implements ggscore.Leaser.
 func (l *Limited) Revoke(ctx context.Context, id ggscore.LeaseID) error {
-	if err := take(ctx, l.writes); err != nil {
+	if err := acquire(ctx, l.writes); err != nil {
 		return err
 	}
 	return l.store.Revoke(ctx, id)
@@ -88,21 +89,21 @@
 func (l *Limited) Watch(
 	ctx context.Context, prefix ggscore.Key, after ggscore.StoreRevision, wait time.Duration,
 ) ([]ggscore.Entry, ggscore.StoreRevision, error) {
-	if err := take(ctx, l.reads); err != nil {
+	if err := acquire(ctx, l.reads); err != nil {
 		return nil, 0, err
 	}
 	return l.store.Watch(ctx, prefix, after, wait)
 }
 
-// burstShare is the part of a second's rate that may come at once.
-const burstShare = 2
+// burstDivisor divides the rate per second for the burst size.
+const burstDivisor = 2
 
 func newLimiter(perSecond float64) *rate.Limiter {
-	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/burstShare)))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/burstDivisor)))
 }
 
-// take waits for its turn. Nothing was sent where it fails.
-func take(ctx context.Context, l *rate.Limiter) error {
+// acquire waits until the limiter permits a call. After an error, the call wasn't sent.
+func acquire(ctx context.Context, l *rate.Limiter) error {
 	err := l.Wait(ctx)
 	if err == nil {
 		return nil
--- a/io/ggsplatform/metered.go
+++ b/io/ggsplatform/metered.go
@@ -8,14 +8,13 @@
 	ggscore "greengageslip/core"
 )
 
-// A Metered counts the calls of a store by what they count as at the
-// platform.
+// A Metered counts the calls to a store by the category of the platform's rate limits.
 type Metered struct {
 	store  ggscore.Store
 	counts *expvar.Map
 }
 
-// A MeteredLister counts the calls of a list of VMs.
+// A MeteredLister counts the reads of the list of VMs.
 type MeteredLister struct {
 	lister ggscore.VMLister
 	counts *expvar.Map
@@ -26,14 +25,14 @@
 	_ ggscore.VMLister = (*MeteredLister)(nil)
 )
 
-// NewMetered returns a store that counts its calls in the map, under reads,
-// writes, watches and errors. A conflict counts as an error as well.
+// NewMetered returns a store that counts its calls in the map, under the names reads,
+// writes, watches and errors. A conflict counts as an error.
 func NewMetered(s ggscore.Store, counts *expvar.Map) *Metered {
 	return &Metered{store: s, counts: counts}
 }
 
-// NewMeteredLister returns a lister that counts its calls in the map, under
-// reads and errors.
+// NewMeteredLister returns a lister that counts its calls in the map, under the names reads
+// and errors.
 func NewMeteredLister(l ggscore.VMLister, counts *expvar.Map) *MeteredLister {
 	return &MeteredLister{lister: l, counts: counts}
 }
--- a/io/ggsplatform/readonly.go
+++ b/io/ggsplatform/readonly.go
@@ -7,7 +7,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A ReadOnly refuses all that changes a store, with a ReadOnlyError.
+// A ReadOnly is a store whose writes and lease calls fail with a *ReadOnlyError.
 type ReadOnly struct {
 	ggscore.Reader
 	ggscore.Watcher
@@ -15,7 +15,7 @@
 
 var _ ggscore.Store = (*ReadOnly)(nil)
 
-// NewReadOnly returns a store that only reads.
+// NewReadOnly returns a ReadOnly over a store.
 func NewReadOnly(s ggscore.Store) *ReadOnly {
 	return &ReadOnly{Reader: s, Watcher: s}
 }
--- a/io/ggsplatform/wire.go
+++ b/io/ggsplatform/wire.go
@@ -64,7 +64,7 @@
 	VMs []vmWire `json:"vms"`
 }
 
-// The words of the list of VMs.
+// The roles and states in the list of VMs.
 const (
 	roleEntry    = "entry"
 	roleEndpoint = "endpoint"
--- a/io/ggsplatform/wrap_test.go
+++ b/io/ggsplatform/wrap_test.go
@@ -42,10 +42,10 @@
 	c.Assert(counts.String(), qt.Equals, `{"errors": 1, "reads": 3, "watches": 1, "writes": 6}`)
 }
 
-// A process that starts with many sections to read must not use up the rate of
-// all others: calls beyond its share wait, and those that can't be made in
-// time are refused without having been sent.
-func TestLimitedRefusesInTime(t *testing.T) {
+// A process that reads many sections at its start must not use up the platform's rate limit.
+// Calls beyond its share wait, and calls that can't proceed before their deadline fail
+// without being sent.
+func TestLimitedFailsWithoutSending(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := newBench(c, nil)
@@ -72,9 +72,9 @@
 	c.Assert(s.Revoke(ctx, 1), qt.ErrorAs, &busy)
 	c.Assert(b.platform.Calls(), qt.Equals, ggsfakeplatform.Calls{Reads: 1, Writes: 1})
 
-	gone, cancel := context.WithCancel(ctx)
+	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
-	_, err = s.Get(gone, "k")
+	_, err = s.Get(cancelled, "k")
 	c.Assert(err, qt.ErrorIs, context.Canceled)
 }
 
