--- a/cmd/ggsctl/app.go
+++ b/cmd/ggsctl/app.go
@@ -168,7 +168,7 @@
 	var u *ggsconfig.UnknownOutcomeError
 	if errors.As(err, &u) {
 		_, _ = fmt.Fprintf(a.streams.err, "%s: apply it again with --change %s --revision %d: it is never made twice\n",
-			program, u.Change, u.ReadAt)
+			program, u.Change, u.BaseRevision)
 	}
 	return codeOf(err)
 }
--- a/cmd/ggsctl/apply.go
+++ b/cmd/ggsctl/apply.go
@@ -53,7 +53,7 @@
 	if c.Revision != nil {
 		r = ggscore.Revision(*c.Revision)
 	}
-	err = c.change(ctx, a, ggsconfig.Edit{Section: n, Text: t, ReadAt: r})
+	err = c.change(ctx, a, ggsconfig.Edit{Section: n, Text: t, BaseRevision: r})
 	return inFile(err, n, file, len(t) < len(text))
 }
 
@@ -76,7 +76,7 @@
 		d.ID = a.newChangeID()
 	}
 	e := ggsconfig.NewEditor(a.store(p, c.DryRun), ggsconfig.EditorOptions{
-		Tries: c.Tries, Floor: a.revisionInForce(ctx),
+		MaxAttempts: c.Tries, MinRevision: a.revisionInForce(ctx),
 	})
 	r, err := e.Apply(ctx, d)
 	switch {
--- a/cmd/ggsctl/edit.go
+++ b/cmd/ggsctl/edit.go
@@ -56,5 +56,5 @@
 	if c.Revision != nil {
 		r = ggscore.Revision(*c.Revision)
 	}
-	return c.change(ctx, a, ggsconfig.Edit{Section: n, Text: t, ReadAt: r})
+	return c.change(ctx, a, ggsconfig.Edit{Section: n, Text: t, BaseRevision: r})
 }
--- a/cmd/ggsnode/bench_test.go
+++ b/cmd/ggsnode/bench_test.go
@@ -174,7 +174,7 @@
 	s, err := e.Read(b.ctx)
 	b.c.Assert(err, qt.IsNil)
 	_, err = e.Apply(b.ctx, ggsconfig.Edit{
-		Section: section, Text: []byte(text), ReadAt: s.Head.Revision, By: "test",
+		Section: section, Text: []byte(text), BaseRevision: s.Head.Revision, By: "test",
 		ID: ggsdocument.ChangeID(uuid.NewString()),
 	})
 	b.c.Assert(err, qt.IsNil)
--- a/cmd/ggsnode/dispatcher.go
+++ b/cmd/ggsnode/dispatcher.go
@@ -84,7 +84,7 @@
 	var d *ggsdispatch.Dispatcher
 	q := ggsowners.DefaultOptions(s.Domain)
 	q.Limits.TTL, q.Limits.Margin = s.LeaseTTL, s.LeaseTTL/leaseMarginPart
-	q.RenewEvery, q.PollEvery = s.LeaseTTL/leaseRenewPart, s.LeaseTTL/leasePollPart
+	q.RenewInterval, q.PollInterval = s.LeaseTTL/leaseRenewPart, s.LeaseTTL/leasePollPart
 	q.CallTimeout = s.LeaseTTL / leaseMarginPart
 	q.Busy = func(ids []ggscore.EndpointID) bool { return d.Busy(ids) }
 	o := ggsowners.New(store, t, ggsowner.Holder{VM: s.VM, Incarnation: string(i)}, q, l)
--- a/io/ggsclaims/sweep.go
+++ b/io/ggsclaims/sweep.go
@@ -81,14 +81,14 @@
 // runSweeps sweeps at jittered intervals until ctx ends. The jitter spreads the sweeps of
 // processes that started at the same time.
 func (c *Committer) runSweeps(ctx context.Context) {
-	t := time.NewTimer(jitter(c.opts.SweepEvery))
+	t := time.NewTimer(jitter(c.opts.SweepInterval))
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			// The next sweep repeats a failed one.
 			_ = c.Sweep(ctx)
-			t.Reset(jitter(c.opts.SweepEvery))
+			t.Reset(jitter(c.opts.SweepInterval))
 		case <-ctx.Done():
 			return
 		}
--- a/io/ggsclaims/work.go
+++ b/io/ggsclaims/work.go
@@ -166,7 +166,7 @@
 
 // runRetries queues shards with pending outcomes every Linger until ctx ends.
 func (c *Committer) runRetries(ctx context.Context) {
-	t := time.NewTicker(c.opts.Linger)
+	t := time.NewTicker(c.opts.OutcomeDelay)
 	defer t.Stop()
 	for {
 		select {
--- a/io/ggsconfig/attempt.go
+++ b/io/ggsconfig/attempt.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	return &UnknownOutcomeError{
-		Change: a.change.ID, Section: a.change.Section, ReadAt: a.change.BaseRevision, Cause: err,
+		Change: a.change.ID, Section: a.change.Section, BaseRevision: a.change.BaseRevision, Cause: err,
 	}
 }
 
@@ -71,7 +71,7 @@
 		return Accepted{Revision: r}, nil
 	}
 	if status == ggsdocument.ChangeUnknown {
-		return Accepted{}, &HistoryPassedError{Tried: a.attemptedOn, Have: h.Revision}
+		return Accepted{}, &HistoryTrimmedError{AttemptedOn: a.attemptedOn, Have: h.Revision}
 	}
 	next, err := h.Accept(a.change)
 	if err != nil {
--- a/io/ggsconfig/editor.go
+++ b/io/ggsconfig/editor.go
@@ -27,14 +27,14 @@
 
 // EditorOptions holds an Editor's limits. Zero values select the defaults.
 type EditorOptions struct {
-	// Tries is the maximum number of attempts for one change.
-	Tries int
-	// Pause is the mean backoff after the first failed attempt. It doubles with each
+	// MaxAttempts is the maximum number of attempts for one change.
+	MaxAttempts int
+	// InitialBackoff is the mean backoff after the first failed attempt. It doubles with each
 	// further attempt.
-	Pause time.Duration
-	// Floor is a revision known to be in force. A platform with a lower head was
+	InitialBackoff time.Duration
+	// MinRevision is a revision known to be in force. A platform with a lower head was
 	// restored from an older copy, and changes of that head are refused.
-	Floor ggscore.Revision
+	MinRevision ggscore.Revision
 }
 
 // An Editor validates and writes operators' changes of the document.
@@ -48,10 +48,10 @@
 type Edit struct {
 	Section ggscore.SectionName
 	Text    []byte
-	// ReadAt is the revision that the operator read before editing. It is zero for a
+	// BaseRevision is the revision that the operator read before editing. It is zero for a
 	// section that the operator expects not to exist.
-	ReadAt ggscore.Revision
-	By     string
+	BaseRevision ggscore.Revision
+	By           string
 	// ID identifies the change across repetitions.
 	ID ggsdocument.ChangeID
 	// Repeated marks a change that was applied before with the same ID and ReadAt, and
@@ -74,8 +74,8 @@
 
 // NewEditor returns an Editor on the platform's service.
 func NewEditor(s EditorStore, o EditorOptions) *Editor {
-	o.Tries = cmp.Or(o.Tries, defaultAttempts)
-	o.Pause = cmp.Or(o.Pause, defaultBackoff)
+	o.MaxAttempts = cmp.Or(o.MaxAttempts, defaultAttempts)
+	o.InitialBackoff = cmp.Or(o.InitialBackoff, defaultBackoff)
 	return &Editor{store: s, options: o}
 }
 
@@ -92,15 +92,15 @@
 		edit:    d,
 		section: s,
 		change: ggsdocument.Change{
-			ID: d.ID, Section: d.Section, Digest: ggsdocument.DigestOf(d.Text), BaseRevision: d.ReadAt, By: d.By,
+			ID: d.ID, Section: d.Section, Digest: ggsdocument.DigestOf(d.Text), BaseRevision: d.BaseRevision, By: d.By,
 		},
 		sections:    map[ggscore.Digest]*ggsdocument.Section{},
-		highest:     e.options.Floor,
+		highest:     e.options.MinRevision,
 		ambiguous:   d.Repeated,
-		attemptedOn: d.ReadAt,
+		attemptedOn: d.BaseRevision,
 	}
-	b := newRetryBackoff(e.options.Pause)
-	for range e.options.Tries {
+	b := newRetryBackoff(e.options.InitialBackoff)
+	for range e.options.MaxAttempts {
 		var r Accepted
 		if r, err = e.attempt(ctx, a); err == nil {
 			return r, nil
@@ -112,7 +112,7 @@
 			return Accepted{}, a.finalError(err)
 		}
 	}
-	return Accepted{}, a.finalError(&TriesSpentError{Tries: e.options.Tries, Cause: err})
+	return Accepted{}, a.finalError(&AttemptsExhaustedError{Attempts: e.options.MaxAttempts, Cause: err})
 }
 
 // Check validates the document of a snapshot with texts in place of the sections of the
--- a/io/ggsconfig/editor_test.go
+++ b/io/ggsconfig/editor_test.go
@@ -17,11 +17,11 @@
 )
 
 func newEditor(s ggsconfig.EditorStore) *ggsconfig.Editor {
-	return ggsconfig.NewEditor(s, ggsconfig.EditorOptions{Tries: 6, Pause: time.Microsecond})
+	return ggsconfig.NewEditor(s, ggsconfig.EditorOptions{MaxAttempts: 6, InitialBackoff: time.Microsecond})
 }
 
 func edit(n ggscore.SectionName, text []byte, readAt ggscore.Revision, id string) ggsconfig.Edit {
-	return ggsconfig.Edit{Section: n, Text: text, ReadAt: readAt, By: "op-" + id, ID: ggsdocument.ChangeID(id)}
+	return ggsconfig.Edit{Section: n, Text: text, BaseRevision: readAt, By: "op-" + id, ID: ggsdocument.ChangeID(id)}
 }
 
 // apply applies a change and asserts that it is accepted.
@@ -201,7 +201,7 @@
 	}}).Apply(context.Background(), edit("market/cr", marketText("v2", "asistente"), 2, "b"))
 	var unknown *ggsconfig.UnknownOutcomeError
 	c.Assert(errors.As(err, &unknown), qt.IsTrue)
-	var trimmed *ggsconfig.HistoryPassedError
+	var trimmed *ggsconfig.HistoryTrimmedError
 	c.Assert(errors.As(err, &trimmed), qt.IsTrue)
 }
 
@@ -235,7 +235,7 @@
 	var future *ggsdocument.FutureRevisionError
 	c.Assert(errors.As(err, &future), qt.IsTrue)
 
-	e := ggsconfig.NewEditor(s, ggsconfig.EditorOptions{Pause: time.Microsecond, Floor: 3})
+	e := ggsconfig.NewEditor(s, ggsconfig.EditorOptions{InitialBackoff: time.Microsecond, MinRevision: 3})
 	_, err = e.Apply(context.Background(), edit("market/cr", marketText("v3", "asistente"), 2, "b"))
 	var lower *ggsdocument.LowerHeadError
 	c.Assert(errors.As(err, &lower), qt.IsTrue)
--- a/io/ggsconfig/errors.go
+++ b/io/ggsconfig/errors.go
@@ -11,10 +11,10 @@
 // An UnknownOutcomeError reports that a change may or may not have been accepted.
 // Applying the change again with the same ID and with Edit.Repeated set is safe.
 type UnknownOutcomeError struct {
-	Change  ggsdocument.ChangeID
-	Section ggscore.SectionName
-	ReadAt  ggscore.Revision
-	Cause   error
+	Change       ggsdocument.ChangeID
+	Section      ggscore.SectionName
+	BaseRevision ggscore.Revision
+	Cause        error
 }
 
 // Error implements error.
@@ -25,31 +25,31 @@
 // Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// A TriesSpentError reports that a change wasn't accepted within the maximum number of
+// A AttemptsExhaustedError reports that a change wasn't accepted within the maximum number of
 // attempts.
-type TriesSpentError struct {
-	Tries int
-	Cause error
+type AttemptsExhaustedError struct {
+	Attempts int
+	Cause    error
 }
 
 // Error implements error.
-func (e *TriesSpentError) Error() string {
-	return fmt.Sprintf("not accepted after %d tries: %v", e.Tries, e.Cause)
+func (e *AttemptsExhaustedError) Error() string {
+	return fmt.Sprintf("not accepted after %d tries: %v", e.Attempts, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *TriesSpentError) Unwrap() error { return e.Cause }
+func (e *AttemptsExhaustedError) Unwrap() error { return e.Cause }
 
-// A HistoryPassedError reports that the history of the head at revision Have no longer
+// A HistoryTrimmedError reports that the history of the head at revision Have no longer
 // reaches back to Tried, the revision that a change may have replaced.
-type HistoryPassedError struct {
-	Tried ggscore.Revision
-	Have  ggscore.Revision
+type HistoryTrimmedError struct {
+	AttemptedOn ggscore.Revision
+	Have        ggscore.Revision
 }
 
 // Error implements error.
-func (e *HistoryPassedError) Error() string {
-	return fmt.Sprintf("change not found: history of the head at revision %d doesn't reach back to revision %d", e.Have, e.Tried)
+func (e *HistoryTrimmedError) Error() string {
+	return fmt.Sprintf("change not found: history of the head at revision %d doesn't reach back to revision %d", e.Have, e.AttemptedOn)
 }
 
 // A BadHeadError reports that the value of config/head can't be decoded.
@@ -96,26 +96,26 @@
 // Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Cause }
 
-// A StoreWentBackError reports that the store revision of the platform's service
+// A StoreRevisionDecreasedError reports that the store revision of the platform's service
 // decreased from Seen to Have. The service was then restored from an older copy.
-type StoreWentBackError struct {
+type StoreRevisionDecreasedError struct {
 	Seen ggscore.StoreRevision
 	Have ggscore.StoreRevision
 }
 
 // Error implements error.
-func (e *StoreWentBackError) Error() string {
+func (e *StoreRevisionDecreasedError) Error() string {
 	return fmt.Sprintf("platform service restored from an older copy: store revision decreased from %d to %d", e.Seen, e.Have)
 }
 
-// A BadPackError reports that a section's text or a head can't be decompressed.
-type BadPackError struct{ Cause error }
+// A DecompressionError reports that a section's text or a head can't be decompressed.
+type DecompressionError struct{ Cause error }
 
 // Error implements error.
-func (e *BadPackError) Error() string { return fmt.Sprintf("can't decompress text: %v", e.Cause) }
+func (e *DecompressionError) Error() string { return fmt.Sprintf("can't decompress text: %v", e.Cause) }
 
 // Unwrap returns the cause.
-func (e *BadPackError) Unwrap() error { return e.Cause }
+func (e *DecompressionError) Unwrap() error { return e.Cause }
 
 // A TooLargeError reports that a decompressed text exceeds Limit bytes.
 type TooLargeError struct{ Limit int }
--- a/io/ggsconfig/follower.go
+++ b/io/ggsconfig/follower.go
@@ -50,7 +50,7 @@
 	Self    ggscore.VMID
 	Domain  ggscore.Domain
 	Store   FollowerStore
-	Peers   PeerConfig
+	Peers   PeerReader
 	Members MemberLister
 	// PeersOnly is set for a process that serves no peers and never watches the
 	// platform. It polls the watchers of its domain, and Store may be nil.
@@ -62,8 +62,8 @@
 	Logger log.Logger
 	// Watchers is the number of VMs in a domain that watch the platform.
 	Watchers int
-	// WatchWait is the longest wait of one watch call for a change.
-	WatchWait time.Duration
+	// WatchTimeout is the longest wait of one watch call for a change.
+	WatchTimeout time.Duration
 	// PollInterval is the mean time between polls of peers.
 	PollInterval time.Duration
 	// CallTimeout bounds every other call except reads of sections. These may take
@@ -90,8 +90,8 @@
 type FollowerState struct {
 	Revision ggscore.Revision `json:"revision"`
 	Watching bool             `json:"watching"`
-	// PlatformAway is set if the latest call of the platform failed.
-	PlatformAway bool `json:"platformAway"`
+	// PlatformUnavailable is set if the latest call of the platform failed.
+	PlatformUnavailable bool `json:"platformAway"`
 	// From is the source of the document in force: a peer's VM or "platform".
 	From string `json:"from"`
 	// Refused counts heads that were refused as lower or forked.
@@ -118,7 +118,7 @@
 		o.Logger = log.NewNopLogger()
 	}
 	o.Watchers = cmp.Or(o.Watchers, defaultWatchers)
-	o.WatchWait = cmp.Or(o.WatchWait, defaultWatchWait)
+	o.WatchTimeout = cmp.Or(o.WatchTimeout, defaultWatchWait)
 	o.PollInterval = cmp.Or(o.PollInterval, defaultPollInterval)
 	o.CallTimeout = cmp.Or(o.CallTimeout, defaultCallTimeout)
 	return &Follower{
--- a/io/ggsconfig/follower_test.go
+++ b/io/ggsconfig/follower_test.go
@@ -150,7 +150,7 @@
 		Store:        &domainStore{faultyStore: s, network: n, domain: d},
 		Peers:        &link{network: n, domain: d},
 		Repair:       n.repair,
-		WatchWait:    50 * time.Millisecond,
+		WatchTimeout: 50 * time.Millisecond,
 		PollInterval: 2 * time.Millisecond,
 	})
 	n.nodes[addr] = f
--- a/io/ggsconfig/machine_test.go
+++ b/io/ggsconfig/machine_test.go
@@ -75,7 +75,7 @@
 }
 
 func (m *machine) applyEdit(t *rapid.T, s ggsconfig.EditorStore, d ggsconfig.Edit) {
-	m.readAt[d.ID] = d.ReadAt
+	m.readAt[d.ID] = d.BaseRevision
 	a, err := newEditor(s).Apply(context.Background(), d)
 	var unknown *ggsconfig.UnknownOutcomeError
 	switch {
@@ -89,7 +89,7 @@
 	default:
 		m.reported[d.ID] = outcomeRefused
 	}
-	t.Logf("%s on %s read at %d: %+v, %v", d.ID, d.Section, d.ReadAt, a, err)
+	t.Logf("%s on %s read at %d: %+v, %v", d.ID, d.Section, d.BaseRevision, a, err)
 }
 
 // applyAgain repeats a change of unknown outcome with the same ID.
--- a/io/ggsconfig/pack.go
+++ b/io/ggsconfig/pack.go
@@ -26,14 +26,14 @@
 func unpack(p packedText) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(p))
 	if err != nil {
-		return nil, &BadPackError{Cause: err}
+		return nil, &DecompressionError{Cause: err}
 	}
 	t, err := io.ReadAll(io.LimitReader(r, ggsdocument.MaxSectionBytes+1))
 	if err != nil {
-		return nil, &BadPackError{Cause: err}
+		return nil, &DecompressionError{Cause: err}
 	}
 	if len(t) > ggsdocument.MaxSectionBytes {
-		return nil, &BadPackError{Cause: &TooLargeError{Limit: ggsdocument.MaxSectionBytes}}
+		return nil, &DecompressionError{Cause: &TooLargeError{Limit: ggsdocument.MaxSectionBytes}}
 	}
 	return t, nil
 }
--- a/io/ggsconfig/pack_test.go
+++ b/io/ggsconfig/pack_test.go
@@ -28,7 +28,7 @@
 			t.Parallel()
 			c := qt.New(t)
 			_, err := unpack(p)
-			var bad *BadPackError
+			var bad *DecompressionError
 			c.Assert(errors.As(err, &bad), qt.IsTrue)
 		})
 	}
--- a/io/ggsconfig/peer.go
+++ b/io/ggsconfig/peer.go
@@ -21,8 +21,8 @@
 	methodSection = ServiceName + ".Section"
 )
 
-// A PeerConfig reads the document from other processes. Its failures are *PeerError.
-type PeerConfig interface {
+// A PeerReader reads the document from other processes. Its failures are *PeerError.
+type PeerReader interface {
 	// Head returns the peer's head and true if its revision is higher than have's,
 	// else false.
 	Head(ctx context.Context, addr netip.AddrPort, have ggsdocument.Head) (ggsdocument.Head, bool, error)
@@ -96,7 +96,7 @@
 // Peers reads the document from other processes over net/rpc.
 type Peers struct{ pool *ggsrpc.Pool }
 
-var _ PeerConfig = (*Peers)(nil)
+var _ PeerReader = (*Peers)(nil)
 
 // NewPeers returns Peers that call through a pool.
 func NewPeers(p *ggsrpc.Pool) *Peers { return &Peers{pool: p} }
--- a/io/ggsconfig/watch.go
+++ b/io/ggsconfig/watch.go
@@ -56,7 +56,7 @@
 		// revision. A watch from the higher one would miss all changes up to that
 		// revision, so the watch starts again from the head.
 		if r < after {
-			return &StoreWentBackError{Seen: after, Have: r}
+			return &StoreRevisionDecreasedError{Seen: after, Have: r}
 		}
 		for _, n := range l {
 			if err = f.followEntry(ctx, n); err != nil {
@@ -111,22 +111,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	unavailable := err != nil
-	if unavailable != f.state.PlatformAway {
+	if unavailable != f.state.PlatformUnavailable {
 		event := "platformReached"
 		if unavailable {
 			event = "platformLost"
 		}
 		_ = f.options.Logger.Log("event", event, "err", err)
 	}
-	f.state.Watching, f.state.PlatformAway = watching, unavailable
+	f.state.Watching, f.state.PlatformUnavailable = watching, unavailable
 }
 
 func (f *Follower) waitForChange(
 	ctx context.Context, after ggscore.StoreRevision,
 ) ([]ggscore.Entry, ggscore.StoreRevision, error) {
-	ctx, cancel := context.WithTimeout(ctx, f.options.WatchWait+f.options.CallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, f.options.WatchTimeout+f.options.CallTimeout)
 	defer cancel()
-	return f.options.Store.Watch(ctx, HeadKey, after, f.options.WatchWait)
+	return f.options.Store.Watch(ctx, HeadKey, after, f.options.WatchTimeout)
 }
 
 // watchers returns the watchers of this VM's domain.
--- a/io/ggsowners/options.go
+++ b/io/ggsowners/options.go
@@ -14,20 +14,20 @@
 	// the same number, so it may change only while none of them runs.
 	Groups int
 	Limits ggsowner.Limits
-	// RenewEvery is the mean interval between renewals of the lease. Intervals are
+	// RenewInterval is the mean interval between renewals of the lease. Intervals are
 	// jittered.
-	RenewEvery time.Duration
-	// PollEvery is the mean interval between reads of the groups' records. Intervals are
+	RenewInterval time.Duration
+	// PollInterval is the mean interval between reads of the groups' records. Intervals are
 	// jittered.
-	PollEvery time.Duration
+	PollInterval time.Duration
 	// CallTimeout bounds each operation on the platform's service.
 	CallTimeout time.Duration
-	// AbsentFor is how long a VM must be missing from the platform's list before its pins
+	// AbsenceTimeout is how long a VM must be missing from the platform's list before its pins
 	// are removed. The list is updated with a delay.
-	AbsentFor time.Duration
-	// LoadingFor is how long an adapter stays protected after its load was ordered,
+	AbsenceTimeout time.Duration
+	// LoadingProtection is how long an adapter stays protected after its load was ordered,
 	// while no report contains it.
-	LoadingFor time.Duration
+	LoadingProtection time.Duration
 	// Busy reports whether this process has a run in progress on any of the endpoints. A
 	// run counts from before its call of Check.
 	Busy func([]ggscore.EndpointID) bool
@@ -36,14 +36,14 @@
 // DefaultOptions returns the options for a domain with few endpoints.
 func DefaultOptions(d ggscore.Domain) Options {
 	return Options{
-		Domain:      d,
-		Groups:      1,
-		Limits:      ggsowner.Limits{TTL: 9 * time.Second, Margin: 2 * time.Second},
-		RenewEvery:  3 * time.Second,
-		PollEvery:   2 * time.Second,
-		CallTimeout: 2 * time.Second,
-		AbsentFor:   time.Minute,
-		LoadingFor:  30 * time.Second,
-		Busy:        func([]ggscore.EndpointID) bool { return false },
+		Domain:            d,
+		Groups:            1,
+		Limits:            ggsowner.Limits{TTL: 9 * time.Second, Margin: 2 * time.Second},
+		RenewInterval:     3 * time.Second,
+		PollInterval:      2 * time.Second,
+		CallTimeout:       2 * time.Second,
+		AbsenceTimeout:    time.Minute,
+		LoadingProtection: 30 * time.Second,
+		Busy:              func([]ggscore.EndpointID) bool { return false },
 	}
 }
--- a/io/ggsowners/owners.go
+++ b/io/ggsowners/owners.go
@@ -141,7 +141,7 @@
 		e.resident[a] = true
 	}
 	for a, at := range e.loading {
-		if now.Sub(at) > o.opts.LoadingFor {
+		if now.Sub(at) > o.opts.LoadingProtection {
 			delete(e.loading, a)
 		}
 	}
@@ -247,7 +247,7 @@
 			want[id] = append(want[id], a)
 		}
 		for a, at := range e.loading {
-			if !e.resident[a] && now.Sub(at) <= o.opts.LoadingFor {
+			if !e.resident[a] && now.Sub(at) <= o.opts.LoadingProtection {
 				want[id] = append(want[id], a)
 			}
 		}
@@ -283,7 +283,7 @@
 		}
 	}
 	at, ok := o.absent[h.VM]
-	return ok && now.Sub(at) >= o.opts.AbsentFor
+	return ok && now.Sub(at) >= o.opts.AbsenceTimeout
 }
 
 // markStopped marks the holders of a group's pins that have stopped. The caller holds o.mu.
--- a/io/ggsowners/run.go
+++ b/io/ggsowners/run.go
@@ -56,7 +56,7 @@
 // await polls until done holds for all groups in which this process is the owner or has
 // pins. It returns a *ReleaseError if ctx ends first.
 func (o *Owners) await(ctx context.Context, done func(*ggsowner.Group) bool) error {
-	t := time.NewTicker(o.opts.PollEvery / 8)
+	t := time.NewTicker(o.opts.PollInterval / 8)
 	defer t.Stop()
 	for {
 		n := o.remaining(done)
@@ -94,7 +94,7 @@
 		case <-ctx.Done():
 			return
 		}
-		wait := jitter(o.opts.RenewEvery)
+		wait := jitter(o.opts.RenewInterval)
 		if err := o.Renew(ctx); err != nil {
 			_ = level.Warn(o.log).Log("event", "leaseNotRenewed", "vm", o.self.VM, "err", err)
 			wait /= 3
@@ -113,7 +113,7 @@
 		select {
 		case <-poll.C:
 			o.Poll(ctx)
-			poll.Reset(jitter(o.opts.PollEvery))
+			poll.Reset(jitter(o.opts.PollInterval))
 		case <-o.wake:
 			o.serveAll(ctx)
 		case <-status.C:
