--- a/cmd/ggsnode/bench_test.go
+++ b/cmd/ggsnode/bench_test.go
@@ -107,7 +107,7 @@
 // A bench is a small deployment in one process: stand-ins on loopback and the
 // entry processes' own code. Each has an IP number of its own, so that ports
 // never collide.
-type bench struct {
+type testDeployment struct {
 	c        *qt.C
 	ctx      context.Context //nolint:containedctx // a test's own, for its helpers
 	ip       netip.Addr
@@ -143,15 +143,15 @@
 	return l.b.String()
 }
 
-var benches atomic.Int32 //nolint:gochecknoglobals // gives each bench an IP number
+var deploymentCount atomic.Int32 //nolint:gochecknoglobals // gives each bench an IP number
 
-func newBench(t *testing.T) *bench {
+func newTestDeployment(t *testing.T) *testDeployment {
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	p := os.Getpid()
-	b := &bench{
+	b := &testDeployment{
 		c: c, ctx: ctx,
-		ip:       netip.AddrFrom4([4]byte{127, byte(p), byte(p >> 8), byte(benches.Add(1) + 1)}),
+		ip:       netip.AddrFrom4([4]byte{127, byte(p), byte(p >> 8), byte(deploymentCount.Add(1) + 1)}),
 		platform: ggsfakeplatform.New(ggsfakeplatform.Options{Now: time.Now, MaxValueBytes: 1 << 20}),
 		engines:  map[string]*ggsfakeengine.Engine{},
 		plains:   map[string]*ggsfakeplain.Service{},
@@ -169,7 +169,7 @@
 }
 
 // apply changes a section of the document.
-func (b *bench) apply(section ggscore.SectionName, text string) {
+func (b *testDeployment) apply(section ggscore.SectionName, text string) {
 	e := ggsconfig.NewEditor(b.store, ggsconfig.EditorOptions{})
 	s, err := e.Read(b.ctx)
 	b.c.Assert(err, qt.IsNil)
@@ -181,14 +181,14 @@
 }
 
 // document applies the bench's usual document.
-func (b *bench) document() {
+func (b *testDeployment) document() {
 	b.apply("services", servicesSection)
 	b.apply("policy", policySection)
 	b.apply("market/cr", marketSection)
 }
 
 // engine starts a model engine of a domain and lists it.
-func (b *bench) engine(id, domain string, change func(*ggsfakeengine.Options)) *ggsfakeengine.Engine {
+func (b *testDeployment) engine(id, domain string, change func(*ggsfakeengine.Options)) *ggsfakeengine.Engine {
 	o := ggsfakeengine.DefaultOptions()
 	o.ID, o.Slots, o.AdapterSlots, o.ChecksFence = ggscore.EndpointID(id), 4, 2, true
 	o.TokenInterval, o.FirstToken, o.DefaultTokens = time.Millisecond, time.Millisecond, 8
@@ -205,7 +205,7 @@
 }
 
 // plain starts a plain service of a domain and lists it.
-func (b *bench) plain(id, domain string) *ggsfakeplain.Service {
+func (b *testDeployment) plain(id, domain string) *ggsfakeplain.Service {
 	s := ggsfakeplain.New(ggsfakeplain.Options{ID: ggscore.EndpointID(id)})
 	port := uint16(plainPort + len(b.plains))
 	b.plains[id] = s
@@ -215,29 +215,29 @@
 }
 
 // dispatcher starts a dispatcher and lists it. More are further settings.
-func (b *bench) dispatcher(n int, domain string, more ...string) *node {
+func (b *testDeployment) dispatcher(n int, domain string, more ...string) *node {
 	v := b.dispatcherVM(n, domain, more...)
 	b.list(v.vm, ggscore.RoleEntry, domain, v.port, "")
 	return b.start(ggsnode.RunDispatcher, v)
 }
 
-func (b *bench) dispatcherVM(n int, domain string, more ...string) entryVM {
+func (b *testDeployment) dispatcherVM(n int, domain string, more ...string) entryVM {
 	return entryVM{vm: fmt.Sprintf("%s-%d", domain, n), domain: domain, port: uint16(rpcPort + n), state: uint16(statePort + n), more: more}
 }
 
 // gateway starts a gateway and waits until it sees all owners.
-func (b *bench) gateway(n int, domain string) *node {
+func (b *testDeployment) gateway(n int, domain string) *node {
 	g := b.start(ggsnode.RunGateway, b.gatewayVM(n, domain))
 	b.ready(g)
 	return g
 }
 
-func (b *bench) gatewayVM(n int, domain string, more ...string) entryVM {
+func (b *testDeployment) gatewayVM(n int, domain string, more ...string) entryVM {
 	return entryVM{vm: fmt.Sprintf("%s-%d", domain, n), domain: domain, port: uint16(callersPort + n), state: uint16(statePort + 20 + n), more: more}
 }
 
 // ready waits until a gateway sees all owners.
-func (b *bench) ready(g *node) {
+func (b *testDeployment) ready(g *node) {
 	b.eventually("gateway is ready", func() bool {
 		status, _, _ := b.get("http://" + g.addr.String() + "/healthz")
 		return status == http.StatusOK && b.routed(g)
@@ -245,7 +245,7 @@
 }
 
 // routed reports whether a gateway sees an owner for every listed endpoint.
-func (b *bench) routed(g *node) bool {
+func (b *testDeployment) routed(g *node) bool {
 	_, _, text := b.get("http://" + g.state.String() + "/state")
 	for _, v := range b.vms {
 		if v.Role == ggscore.RoleEndpoint && !strings.Contains(strings.Join(strings.Fields(text), ""),
@@ -269,7 +269,7 @@
 }
 
 // settings writes the settings file of a process.
-func (b *bench) settings(v entryVM) string {
+func (b *testDeployment) settings(v entryVM) string {
 	if v.platform == 0 {
 		v.platform = platformPort
 	}
@@ -280,7 +280,7 @@
 	return f
 }
 
-func (b *bench) start(run func(context.Context, []string, io.Writer, io.Writer) int, v entryVM) *node {
+func (b *testDeployment) start(run func(context.Context, []string, io.Writer, io.Writer) int, v entryVM) *node {
 	f := b.settings(v)
 	ctx, cancel := context.WithCancel(b.ctx)
 	done := make(chan int, 1)
@@ -293,10 +293,10 @@
 	return &node{stop: stop, addr: b.addr(v.port), state: b.addr(v.state)}
 }
 
-func (b *bench) addr(port uint16) netip.AddrPort { return netip.AddrPortFrom(b.ip, port) }
+func (b *testDeployment) addr(port uint16) netip.AddrPort { return netip.AddrPortFrom(b.ip, port) }
 
 // list adds a VM to the platform's list.
-func (b *bench) list(id string, r ggscore.VMRole, domain string, port uint16, service ggscore.Service) {
+func (b *testDeployment) list(id string, r ggscore.VMRole, domain string, port uint16, service ggscore.Service) {
 	b.vms = append(b.vms, ggscore.VM{
 		ID: ggscore.VMID(id), Role: r, Region: ggscore.Region("region-" + domain),
 		Domain: ggscore.Domain(domain), Addr: b.addr(port), Service: service,
@@ -304,7 +304,7 @@
 	b.platform.SetVMs(append([]ggscore.VM(nil), b.vms...))
 }
 
-func (b *bench) serve(port uint16, h http.Handler) {
+func (b *testDeployment) serve(port uint16, h http.Handler) {
 	l, err := (&net.ListenConfig{}).Listen(b.ctx, "tcp", b.addr(port).String())
 	b.c.Assert(err, qt.IsNil)
 	s := &http.Server{Handler: h, ReadHeaderTimeout: testDeadline}
@@ -313,7 +313,7 @@
 }
 
 // eventually waits for an event, up to the deadline of all tests.
-func (b *bench) eventually(what string, f func() bool) {
+func (b *testDeployment) eventually(what string, f func() bool) {
 	b.c.Helper()
 	ctx, cancel := context.WithTimeout(b.ctx, testDeadline)
 	defer cancel()
@@ -328,14 +328,14 @@
 	}
 }
 
-func (b *bench) get(url string) (int, http.Header, string) {
+func (b *testDeployment) get(url string) (int, http.Header, string) {
 	r, err := http.NewRequestWithContext(b.ctx, http.MethodGet, url, http.NoBody)
 	b.c.Assert(err, qt.IsNil)
 	return b.do(r)
 }
 
 // post sends a request to a gateway. Headers are pairs.
-func (b *bench) post(g *node, path, body string, headers ...string) (int, http.Header, string) {
+func (b *testDeployment) post(g *node, path, body string, headers ...string) (int, http.Header, string) {
 	r, err := http.NewRequestWithContext(b.ctx, http.MethodPost, "http://"+g.addr.String()+path, strings.NewReader(body))
 	b.c.Assert(err, qt.IsNil)
 	r.Header.Set("X-Market", "cr")
@@ -346,7 +346,7 @@
 	return b.do(r)
 }
 
-func (b *bench) do(r *http.Request) (int, http.Header, string) {
+func (b *testDeployment) do(r *http.Request) (int, http.Header, string) {
 	a, err := http.DefaultClient.Do(r)
 	if err != nil {
 		return 0, nil, err.Error()
@@ -361,7 +361,7 @@
 
 // open starts a request and returns its answer's body to read from, and what
 // hangs up.
-func (b *bench) open(g *node, path, body string) (*bufio.Reader, context.CancelFunc) {
+func (b *testDeployment) open(g *node, path, body string) (*bufio.Reader, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(b.ctx)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.addr.String()+path, strings.NewReader(body))
 	b.c.Assert(err, qt.IsNil)
@@ -377,8 +377,8 @@
 }
 
 // serving is a deployment with one runner, one dispatcher and one gateway.
-func serving(t *testing.T, change func(*ggsfakeengine.Options)) (*qt.C, *bench, *ggsfakeengine.Engine, *node) {
-	b := newBench(t)
+func modelDeployment(t *testing.T, change func(*ggsfakeengine.Options)) (*qt.C, *testDeployment, *ggsfakeengine.Engine, *node) {
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", change)
 	b.document()
 	b.dispatcher(1, "a")
@@ -386,8 +386,8 @@
 }
 
 // paying is a deployment with one ledger, one dispatcher and one gateway.
-func paying(t *testing.T) (*qt.C, *bench, *ggsfakeplain.Service, *node) {
-	b := newBench(t)
+func plainDeployment(t *testing.T) (*qt.C, *testDeployment, *ggsfakeplain.Service, *node) {
+	b := newTestDeployment(t)
 	s := b.plain("ledger-1", "a")
 	b.document()
 	b.dispatcher(1, "a")
--- a/cmd/ggsnode/common.go
+++ b/cmd/ggsnode/common.go
@@ -61,7 +61,7 @@
 func startFollowers(
 	h host, n *ggssettings.Node, r role, m ggsconfig.MemberLister, f *ggsconfig.Follower, v *ggsvms.Follower, t *ggsstate.State,
 ) {
-	v.SetMembers(&readers{node: n, role: r, members: m})
+	v.SetMembers(&listMembership{node: n, role: r, members: m})
 	h.background("document", f.Run)
 	t.Add("document", func() any { return f.State() })
 	t.Add("vms", func() any {
--- a/cmd/ggsnode/dispatcher.go
+++ b/cmd/ggsnode/dispatcher.go
@@ -33,10 +33,10 @@
 	dispatcherProgram = "ggsdispatcher"
 	// The parts of the lease's time to live that are its margin and the times
 	// between renewals and between looks at the records of others.
-	leaseMarginPart = 4
-	leaseRenewPart  = 3
-	leasePollPart   = 6
-	releaseTimeout  = 3 * time.Second
+	leaseMarginDivisor = 4
+	leaseRenewDivisor  = 3
+	leasePollDivisor   = 6
+	releaseTimeout     = 3 * time.Second
 )
 
 // RunDispatcher runs a dispatcher until a signal or the context's end and
@@ -83,9 +83,9 @@
 ) (*ggsowners.Owners, *ggsdispatch.Dispatcher) {
 	var d *ggsdispatch.Dispatcher
 	q := ggsowners.DefaultOptions(s.Domain)
-	q.Limits.TTL, q.Limits.Margin = s.LeaseTTL, s.LeaseTTL/leaseMarginPart
-	q.RenewEvery, q.PollEvery = s.LeaseTTL/leaseRenewPart, s.LeaseTTL/leasePollPart
-	q.CallTimeout = s.LeaseTTL / leaseMarginPart
+	q.Limits.TTL, q.Limits.Margin = s.LeaseTTL, s.LeaseTTL/leaseMarginDivisor
+	q.RenewEvery, q.PollEvery = s.LeaseTTL/leaseRenewDivisor, s.LeaseTTL/leasePollDivisor
+	q.CallTimeout = s.LeaseTTL / leaseMarginDivisor
 	q.Busy = func(ids []ggscore.EndpointID) bool { return d.Busy(ids) }
 	o := ggsowners.New(store, t, ggsowner.Holder{VM: s.VM, Incarnation: string(i)}, q, l)
 	e := ggsengine.NewClient(ggsengine.DefaultSettings())
@@ -121,7 +121,7 @@
 	h.background("owners", p.Owners.Run)
 	h.background("claims", p.Claims.Run)
 	h.background("dispatcher", p.Dispatcher.Run)
-	h.background("endpoints", newEndpoints(p, h.Log).run)
+	h.background("endpoints", newEndpointUpdater(p, h.Log).run)
 	h.serveRPC(p.Settings.Listen, func(ctx context.Context, s *ggsrpc.Server) error {
 		if err := s.Register(ggsconfig.ServiceName, ggsconfig.NewService(p.Document)); err != nil {
 			return err
@@ -131,7 +131,7 @@
 		}
 		return s.Register("Dispatch", ggsdispatch.NewService(ctx, p.Dispatcher))
 	})
-	countDispatcher(p.State, p.Dispatcher.Stats())
+	registerDispatcherCounters(p.State, p.Dispatcher.Stats())
 	p.State.Add("dispatcher", func() any { return p.Dispatcher.State() })
 	p.State.Add("owners", func() any { return ownerStates(p.Owners.Status(p.Clock())) })
 	p.State.Add("members", func() any { return memberStates(p.Heartbeats.Members()) })
@@ -170,7 +170,7 @@
 	}
 }
 
-func countDispatcher(t *ggsstate.State, k *ggsdispatch.Stats) {
+func registerDispatcherCounters(t *ggsstate.State, k *ggsdispatch.Stats) {
 	t.Count("submitted", k.Submitted.Load)
 	t.Count("done", k.Done.Load)
 	t.Count("notRun", k.NotRun.Load)
--- a/cmd/ggsnode/edge.go
+++ b/cmd/ggsnode/edge.go
@@ -50,7 +50,7 @@
 	edgeHeaderBytes = 64 << 10
 	// leaveTime is how long a process that stops goes on taking connections:
 	// the balancer asks once a second and leaves it out after two misses.
-	leaveTime = 2300 * time.Millisecond
+	deregisterDelay = 2300 * time.Millisecond
 	// graceMargin is the time before SIGKILL that is left for the last steps.
 	graceMargin = 700 * time.Millisecond
 	// defaultFiles and defaultMemory stand in where the platform sets no limits:
@@ -62,16 +62,16 @@
 	// activeShare is the part of the other descriptors that requests under way may
 	// have for their callers: each may take one more for its endpoint, and a
 	// quarter is for idle connections.
-	activeShare = 0.35
+	inFlightShare = 0.35
 	// bodiesShare is the part of the memory for bodies of requests under way.
 	bodiesShare = 0.25
 	// memoryShare is the part of a process's memory at which the collector
 	// works harder: the rest is for goroutines, buffers and the C library.
-	memoryShare = 0.75
+	memoryLimitShare = 0.75
 )
 
 // An edgeLine is the edge's command line.
-type edgeLine struct {
+type edgeCommandLine struct {
 	LogLevel string `long:"log-level" value-name:"LEVEL" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least level that is logged"`
 	// MetricsPort serves the metrics beside the address for readiness checks,
 	// whose port isn't known beforehand.
@@ -85,7 +85,7 @@
 func RunEdge(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	// A hang-up that arrives before the process listens for it would end the process.
 	signal.Ignore(syscall.SIGHUP)
-	var c edgeLine
+	var c edgeCommandLine
 	if code, ok := parseLine(edgeProgram, &c, args, stdout, stderr); !ok {
 		return code
 	}
@@ -103,7 +103,7 @@
 	}
 	runtime.GOMAXPROCS(s.Cores)
 	if s.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 	}
 	w := ggslog.NewWriter(stdout)
 	logging, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -120,7 +120,7 @@
 	return runEdge(ctx, &c, &s, policy, l)
 }
 
-func runEdge(ctx context.Context, c *edgeLine, s *ggsdialect.Settings, policy ggscore.Policy, l log.Logger) int {
+func runEdge(ctx context.Context, c *edgeCommandLine, s *ggsdialect.Settings, policy ggscore.Policy, l log.Logger) int {
 	return runApp(ctx, s.Grace+stopMargin, l,
 		fx.Supply(c, s, policy),
 		fx.Provide(
@@ -134,7 +134,7 @@
 
 // edgeBeats is where an edge hears its peers' beats: UDP at the first port of
 // its range.
-func edgeBeats(s *ggsdialect.Settings) netip.AddrPort {
+func edgeDatagramAddr(s *ggsdialect.Settings) netip.AddrPort {
 	return netip.AddrPortFrom(s.Addr, s.FirstPort)
 }
 
@@ -145,7 +145,7 @@
 }
 
 func newEdge(s *ggsdialect.Settings, policy ggscore.Policy, p *ggsexchange.Pool, t clock, l log.Logger) (*ggsedge.Edge, error) {
-	u, err := ggspeer.Listen(context.Background(), edgeBeats(s))
+	u, err := ggspeer.Listen(context.Background(), edgeDatagramAddr(s))
 	if err != nil {
 		return nil, err
 	}
@@ -158,8 +158,8 @@
 		VM:     s.VM + "@" + ggscore.VMID(s.Addr.String()),
 		Domain: s.Domain, Regions: s.Regions, Seed: h.Sum64() ^ uint64(t().UnixNano()),
 		Capacity:     edgeCapacity(s),
-		DatagramAddr: edgeBeats(s), ControlAddr: s.Control, Seeds: s.Seeds, MinOrderGap: s.OrderTurn, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack,
-		MaxInFlight:    int64(float64(cmp.Or(s.MaxFiles, defaultFiles)-reservedFiles) * activeShare),
+		DatagramAddr: edgeDatagramAddr(s), ControlAddr: s.Control, Seeds: s.Seeds, MinOrderGap: s.OrderTurn, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack,
+		MaxInFlight:    int64(float64(cmp.Or(s.MaxFiles, defaultFiles)-reservedFiles) * inFlightShare),
 		MaxBodiesBytes: int64(float64(cmp.Or(s.MemoryBytes, defaultMemory)) * bodiesShare),
 		IDHeader:       ggsdialect.HeaderRequestID,
 		Keys: ggsedge.Keys{
@@ -173,7 +173,7 @@
 }
 
 // startEdge starts the parts of an edge. Hooks stop in the reverse order.
-func startEdge(h host, s *ggsdialect.Settings, c *edgeLine, e *ggsedge.Edge, p *ggsexchange.Pool, t clock) {
+func startEdge(h host, s *ggsdialect.Settings, c *edgeCommandLine, e *ggsedge.Edge, p *ggsexchange.Pool, t clock) {
 	h.Lifecycle.Append(fx.Hook{OnStop: func(context.Context) error {
 		p.Close()
 		return nil
@@ -237,13 +237,13 @@
 		},
 		OnStop: func(ctx context.Context) error {
 			e.Drain()
-			t := time.NewTimer(leaveTime)
+			t := time.NewTimer(deregisterDelay)
 			defer t.Stop()
 			select {
 			case <-t.C:
 			case <-ctx.Done():
 			}
-			ctx, cancel := context.WithTimeout(ctx, max(s.Grace-leaveTime-graceMargin, time.Second))
+			ctx, cancel := context.WithTimeout(ctx, max(s.Grace-deregisterDelay-graceMargin, time.Second))
 			defer cancel()
 			if err := v.Shutdown(ctx); err != nil {
 				_ = level.Warn(h.Log).Log("event", ggslog.EventRequestsCut, "active", e.Stats().InFlight.Load(), "err", err)
--- a/cmd/ggsnode/edge_bandwidth_test.go
+++ b/cmd/ggsnode/edge_bandwidth_test.go
@@ -17,7 +17,7 @@
 
 const (
 	// thinLink is 10 Mbit/s.
-	thinLink = 10_000_000 / 8
+	slowLinkBytesPerSecond = 10_000_000 / 8
 	// largeRoutes make a configuration of nearly the 1 MB that a value may have.
 	largeRoutes = 4250
 	// applyBound is the time within which an acknowledged configuration is in force.
@@ -32,7 +32,7 @@
 	n, err := (&net.ListenConfig{}).Listen(ctx, "tcp", netip.AddrPortFrom(ip, 0).String())
 	s.c.Assert(err, qt.IsNil)
 	l := ggsfakelink.New(target)
-	l.SetFaults(ggsfakelink.Faults{BytesPerSecond: thinLink})
+	l.SetFaults(ggsfakelink.Faults{BytesPerSecond: slowLinkBytesPerSecond})
 	done := make(chan error, 1)
 	go func() { done <- l.Serve(ctx, n) }()
 	t.Cleanup(func() {
@@ -44,7 +44,7 @@
 
 // startThinSite starts a site with two edges that serve, the second of which reaches the
 // store over a thin link.
-func startThinSite(t *testing.T) (*siteTest, *ggsfakelink.Link) {
+func startSlowLinkSite(t *testing.T) (*siteTest, *ggsfakelink.Link) {
 	t.Helper()
 	s := startSite(t, 1)
 	l, at := s.linkTo(t, s.store())
@@ -63,9 +63,9 @@
 }
 
 // Guards against a VM on a thin link that keeps an old configuration because the new one takes longer than a call.
-func TestLargeConfigurationIsInForceBehindAThinLink(t *testing.T) {
+func TestLargeConfigurationIsInForceOverASlowLink(t *testing.T) {
 	t.Parallel()
-	s, _ := startThinSite(t)
+	s, _ := startSlowLinkSite(t)
 	s.site.Store.Put("op/config", ggsfakesite.LargeConfig(2, "/talk/", largeRoutes))
 	acked := time.Now()
 	s.eventually("the change is in force behind the wide link", func() bool { return s.served(0, "/talk/x") })
@@ -77,7 +77,7 @@
 // Guards against a peer's notification that throws away an answer which is arriving.
 func TestLargeConfigurationIsReadOnce(t *testing.T) {
 	t.Parallel()
-	s, l := startThinSite(t)
+	s, l := startSlowLinkSite(t)
 	config := ggsfakesite.LargeConfig(2, "/talk/", largeRoutes)
 	before, snapshots := l.Stats().BytesFromTarget, s.site.Store.Snapshots("op/")
 	s.site.Store.Put("op/config", config)
@@ -89,7 +89,7 @@
 }
 
 // Guards against a VM that never starts while the store is away because its seed's answer takes longer than a call.
-func TestStartFromASeedBehindAThinLink(t *testing.T) {
+func TestStartFromASeedOverASlowLink(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	s.site.Store.Put("op/config", ggsfakesite.LargeConfig(2, "/talk/", largeRoutes))
@@ -105,9 +105,9 @@
 }
 
 // Guards against a VM that falls behind for each large version of a configuration that changes in quick succession.
-func TestLargeConfigurationsInSuccessionAreInForceBehindAThinLink(t *testing.T) {
+func TestLargeConfigurationsInSuccessionAreInForceOverASlowLink(t *testing.T) {
 	t.Parallel()
-	s, _ := startThinSite(t)
+	s, _ := startSlowLinkSite(t)
 	pause := time.NewTicker(200 * time.Millisecond)
 	defer pause.Stop()
 	const last = 7
--- a/cmd/ggsnode/edge_epoch_test.go
+++ b/cmd/ggsnode/edge_epoch_test.go
@@ -20,17 +20,17 @@
 	// written again during a test.
 	lostRevisions = 10_000
 	// neverTime is longer than any test: endpoints write their entries again when told to.
-	neverTime = time.Hour
+	neverRewrite = time.Hour
 )
 
 // returnFromCopy has the store come back from a copy of what it has now.
-func (s *siteTest) returnFromCopy(meanwhile func()) {
-	s.returnFrom(s.site.Store.Copy(), meanwhile)
+func (s *siteTest) restoreFromCopy(meanwhile func()) {
+	s.restoreFrom(s.site.Store.Copy(), meanwhile)
 }
 
 // returnFrom has the store come back from a copy, once edges have read and written what is lost,
 // and waits until all edges know. Endpoints write their entries again by Site.Rewrite.
-func (s *siteTest) returnFrom(k ggsfakesite.Copy, meanwhile func()) {
+func (s *siteTest) restoreFrom(k ggsfakesite.Copy, meanwhile func()) {
 	const list, own = "servers/", "greengageslip/vm/"
 	meanwhile()
 	s.site.Store.Advance(lostRevisions)
@@ -39,7 +39,7 @@
 	s.eventually("beats are written", func() bool { return s.site.Store.Written(own, mark) > 0 })
 	s.site.Store.SetAway(true)
 	s.eachEdge("the store is unreachable", func(e ggsedge.State) bool { return e.StoreUnavailable })
-	s.site.Return(k, neverTime)
+	s.site.Return(k, neverRewrite)
 	s.site.Store.SetAway(false)
 	s.eachEdge("the epoch is known", func(e ggsedge.State) bool { return uint64(e.Epoch) == s.site.Store.Era() })
 }
@@ -74,10 +74,10 @@
 }
 
 // Guards against VMs that go by their old list while the revisions of a store that came back from a copy are lower.
-func TestLeavingEndpointGetsNothingAfterTheStoreCameBackFromACopy(t *testing.T) {
+func TestLeavingEndpointGetsNoRequestsAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 3)
-	s.returnFromCopy(func() { s.callSteadily(http.MethodGet, "/look/1", "", 100*time.Millisecond, time.Second) })
+	s.restoreFromCopy(func() { s.callSteadily(http.MethodGet, "/look/1", "", 100*time.Millisecond, time.Second) })
 	s.rewrite()
 	begun := time.Now()
 	s.site.Drain("ledger-0")
@@ -87,10 +87,10 @@
 }
 
 // loadTime is the time after the store's return within which adapters are loaded again.
-const loadTime = 6 * time.Second
+const reloadBound = 6 * time.Second
 
 // Guards against endpoints that get no orders any more, since beats and records of an epoch that has ended are gone.
-func TestNewAdaptersAreServedAfterTheStoreCameBackFromACopy(t *testing.T) {
+func TestNewAdaptersAreServedAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct{ older bool }{
 		"the copy has the controllers":         {},
@@ -103,7 +103,7 @@
 			if tc.older {
 				k = k.Without("greengageslip/")
 			}
-			s.returnFrom(k, func() {})
+			s.restoreFrom(k, func() {})
 			s.rewrite()
 			begun := time.Now()
 			pace := time.NewTicker(500 * time.Millisecond)
@@ -121,18 +121,18 @@
 				}
 				<-pace.C
 			}
-			s.c.Check(first > 0 && first < loadTime, qt.IsTrue, qt.Commentf("first after %s", first))
+			s.c.Check(first > 0 && first < reloadBound, qt.IsTrue, qt.Commentf("first after %s", first))
 			s.c.Check(served >= all*9/10, qt.IsTrue, qt.Commentf("%d of %d", served, all))
 		})
 	}
 }
 
 // Guards against an endpoint that said that it leaves in what the store lost, and is ready in the copy.
-func TestEndpointThatWasSeenLeavingStaysSoAfterTheStoreCameBackFromACopy(t *testing.T) {
+func TestEndpointSeenLeavingStaysLeavingAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
 	var begun time.Time
-	s.returnFromCopy(func() {
+	s.restoreFromCopy(func() {
 		begun = time.Now()
 		s.site.Drain("ledger-0")
 	})
@@ -146,7 +146,7 @@
 func TestEndpointsAreKeptWhileTheirEntriesAreLost(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
-	s.returnFrom(s.site.Store.Copy().Without("servers/"), func() {})
+	s.restoreFrom(s.site.Store.Copy().Without("servers/"), func() {})
 	for range 2 {
 		served, all := s.callSteadily(http.MethodGet, "/look/1", "", 20*time.Millisecond, time.Second)
 		s.c.Check(served, qt.Equals, all)
@@ -155,13 +155,13 @@
 }
 
 // Guards against VMs that start on an older copy of the store and go by an older configuration than their peers.
-func TestNewestConfigurationOutlivesTheStoreThatLostIt(t *testing.T) {
+func TestNewestConfigurationSurvivesStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
 	served := func(n int, path, model string) bool {
 		return s.call(n, http.MethodPost, path, model, "Hola").status == http.StatusOK
 	}
-	s.returnFromCopy(func() {
+	s.restoreFromCopy(func() {
 		s.site.Store.Put("op/config", ggsfakesite.Config(5, "/talk/"))
 		s.site.Store.Put("op/version/m.a7", []byte(`{"model":"m","adapter":"a7","version":2}`))
 		for n := range s.edges {
@@ -189,16 +189,16 @@
 }
 
 // Guards against callers that are refused or lost, and work that runs twice, while VMs read a store anew.
-func TestCallersAreServedWhileTheStoreComesBackFromACopy(t *testing.T) {
+func TestCallersAreServedDuringStoreRestore(t *testing.T) {
 	t.Parallel()
 	const (
 		length = 10 * time.Second
 		// least is the share of callers that are served.
-		least = 0.98
+		minServedShare = 0.98
 	)
 	s := startSite(t, 3)
 	s.callSteadily(http.MethodPost, "/chat/x", "m/a1", 100*time.Millisecond, time.Second)
-	s.returnFromCopy(func() {})
+	s.restoreFromCopy(func() {})
 	var served, all atomic.Int64
 	var load sync.WaitGroup
 	for _, k := range []struct{ method, path, model string }{
@@ -211,7 +211,7 @@
 		})
 	}
 	load.Wait()
-	s.c.Check(float64(served.Load()) >= least*float64(all.Load()), qt.IsTrue, qt.Commentf("%d of %d", served.Load(), all.Load()))
+	s.c.Check(float64(served.Load()) >= minServedShare*float64(all.Load()), qt.IsTrue, qt.Commentf("%d of %d", served.Load(), all.Load()))
 	for id, runs := range s.site.Runs() {
 		s.c.Check(runs <= 1, qt.IsTrue, qt.Commentf("request %s ran %d times", id, runs))
 	}
--- a/cmd/ggsnode/edge_hangup_test.go
+++ b/cmd/ggsnode/edge_hangup_test.go
@@ -15,13 +15,13 @@
 func TestHangupWhileStartingDoesNotEndTheProcess(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	ctx, cancel := context.WithTimeout(context.Background(), soakCalm)
+	ctx, cancel := context.WithTimeout(context.Background(), soakRecoveryBound)
 	defer cancel()
 	// Reading the settings waits until somebody writes them.
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
 	c.Assert(syscall.Mkfifo(settings, 0o600), qt.IsNil)
 	cmd := exec.CommandContext(ctx, os.Args[0])
-	cmd.Env = append(os.Environ(), programVariable+"="+edgeProcess, "GREENGAGESLIP_NODE_FILE="+settings)
+	cmd.Env = append(os.Environ(), programVariable+"="+edgeProgram, "GREENGAGESLIP_NODE_FILE="+settings)
 	_, err := cmd.StdinPipe()
 	c.Assert(err, qt.IsNil)
 	c.Assert(cmd.Start(), qt.IsNil)
--- a/cmd/ggsnode/edge_leaving_test.go
+++ b/cmd/ggsnode/edge_leaving_test.go
@@ -12,15 +12,15 @@
 const drainTime = 2500 * time.Millisecond
 
 // Guards against requests to an endpoint whose answers say that it leaves, while its entry says nothing.
-func TestEndpointThatSaysInAnswersThatItLeavesGetsNothing(t *testing.T) {
+func TestEndpointLeavingInAnswersGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		endpoint, method, path, model string
-		storeAway                     bool
+		storeUnavailable              bool
 	}{
-		"plain service, store away":   {endpoint: "ledger-0", method: http.MethodGet, path: "/look/1", storeAway: true},
+		"plain service, store away":   {endpoint: "ledger-0", method: http.MethodGet, path: "/look/1", storeUnavailable: true},
 		"plain service, stale entry":  {endpoint: "ledger-0", method: http.MethodGet, path: "/look/1"},
-		"model engine, store away":    {endpoint: "runner-00", method: http.MethodPost, path: "/chat/1", model: "m/a1", storeAway: true},
+		"model engine, store away":    {endpoint: "runner-00", method: http.MethodPost, path: "/chat/1", model: "m/a1", storeUnavailable: true},
 		"model engine, a stale entry": {endpoint: "runner-00", method: http.MethodPost, path: "/chat/1", model: "m/a1"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -28,7 +28,7 @@
 			s := startSite(t, 2)
 			s.callSteadily(tc.method, tc.path, tc.model, 100*time.Millisecond, time.Second)
 			e := s.site.Endpoints[tc.endpoint]
-			s.site.Store.SetAway(tc.storeAway)
+			s.site.Store.SetAway(tc.storeUnavailable)
 			e.SetLeaving(true)
 			begun := time.Now()
 			served, all := s.callSteadily(tc.method, tc.path, tc.model, 100*time.Millisecond, 2*drainTime)
--- a/cmd/ggsnode/edge_limit_test.go
+++ b/cmd/ggsnode/edge_limit_test.go
@@ -38,7 +38,7 @@
 						time.Sleep(s.retryAfter(r))
 						r = s.call(n, method, path, model, "")
 					}
-					if r.status == http.StatusOK && r.whole {
+					if r.status == http.StatusOK && r.complete {
 						served.Add(1)
 						return
 					}
@@ -52,7 +52,7 @@
 }
 
 // mostWithin returns the most arrivals within a window that begins after a time.
-func mostWithin(arrivals []ggsfakesite.Arrival, from time.Time, window time.Duration) int {
+func maxArrivalsWithin(arrivals []ggsfakesite.Arrival, from time.Time, window time.Duration) int {
 	most := 0
 	for i, first := range arrivals {
 		if first.At.Before(from) {
@@ -73,9 +73,9 @@
 	testLimit   = 5.0
 	limitWindow = 4 * time.Second
 	// limitSettles is the time in which all VMs are to follow a limit.
-	limitSettles = 3 * time.Second
+	limitSettleTime = 3 * time.Second
 	// limitMost is what an endpoint may get within limitWindow.
-	limitMost = int(1.5*testLimit*4) + 5
+	limitMaxArrivals = int(1.5*testLimit*4) + 5
 )
 
 // Guards against an endpoint that names a rate limit getting its usual load, from several VMs together.
@@ -93,9 +93,9 @@
 			e := s.site.Endpoints[tc.endpoint]
 			e.SetRateLimit(testLimit)
 			begun := time.Now()
-			served, all := s.callSteadily(tc.method, tc.path, tc.model, 50*time.Millisecond, limitSettles+2*limitWindow)
-			most := mostWithin(e.Arrivals(), begun.Add(limitSettles), limitWindow)
-			s.c.Check(most <= limitMost, qt.IsTrue, qt.Commentf("%d requests in %s, %d allowed", most, limitWindow, limitMost))
+			served, all := s.callSteadily(tc.method, tc.path, tc.model, 50*time.Millisecond, limitSettleTime+2*limitWindow)
+			most := maxArrivalsWithin(e.Arrivals(), begun.Add(limitSettleTime), limitWindow)
+			s.c.Check(most <= limitMaxArrivals, qt.IsTrue, qt.Commentf("%d requests in %s, %d allowed", most, limitWindow, limitMaxArrivals))
 			s.c.Check(served, qt.Equals, all)
 		})
 	}
--- a/cmd/ggsnode/edge_retryafter_test.go
+++ b/cmd/ggsnode/edge_retryafter_test.go
@@ -13,13 +13,13 @@
 const (
 	testRetryAfter = 3 * time.Second
 	// retryAfterSettles is the time in which requests that are on their way arrive.
-	retryAfterSettles = 500 * time.Millisecond
+	retryAfterSettleTime = 500 * time.Millisecond
 	// retryAfterMost is what an endpoint may get from a VM all the same.
-	retryAfterMost = 2
+	retryAfterMaxRequests = 2
 )
 
 // Guards against requests to an endpoint that refused one and asked for nothing until later.
-func TestEndpointThatAsksForNothingUntilLaterGetsNothing(t *testing.T) {
+func TestEndpointGetsNoRequestsDuringRetryAfter(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		endpoint, method, path, model string
@@ -41,13 +41,13 @@
 			early, again := 0, 0
 			for _, a := range e.Arrivals() {
 				switch d := a.At.Sub(begun); {
-				case d > testRetryAfter+retryAfterSettles:
+				case d > testRetryAfter+retryAfterSettleTime:
 					again++
-				case d > retryAfterSettles && d < testRetryAfter:
+				case d > retryAfterSettleTime && d < testRetryAfter:
 					early++
 				}
 			}
-			s.c.Check(early <= retryAfterMost*len(s.edges), qt.IsTrue, qt.Commentf("%d", early))
+			s.c.Check(early <= retryAfterMaxRequests*len(s.edges), qt.IsTrue, qt.Commentf("%d", early))
 			s.c.Check(again > 0, qt.IsTrue, qt.Commentf("no request after the wait"))
 			s.c.Check(served+later, qt.Equals, all+laterAll)
 		})
--- a/cmd/ggsnode/edge_store_test.go
+++ b/cmd/ggsnode/edge_store_test.go
@@ -47,7 +47,7 @@
 
 // A configuration moves a route. It is in force at once, and an older one that
 // arrives later changes nothing.
-func TestConfigurationOnlyGoesForward(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	served := func(path string) bool { return s.call(0, http.MethodPost, path, "", "Hola").status == http.StatusOK }
@@ -66,7 +66,7 @@
 // One VM reads the list of endpoints for all and tells the others what has
 // changed. When the VMs read at long intervals that had fallen into step, a
 // leaving ledger went on getting requests for 4 s.
-func TestLeavingEndpointGetsNothing(t *testing.T) {
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 3)
 	before := s.site.Store.Calls("/greengageslip/kv-range")
@@ -87,7 +87,7 @@
 
 // The store is away. What is resident is served on, and a change that was made
 // meanwhile is in force once it is back.
-func TestStoreAway(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	served := func(path string) bool {
@@ -123,7 +123,7 @@
 // The store is away while VMs are restarted one after the other. Each came back
 // without a configuration, and when the last had been restarted nobody was
 // served any more. A VM that starts asks another for what it goes by.
-func TestStartWhileTheStoreIsAway(t *testing.T) {
+func TestStartWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	s.c.Assert(s.call(0, http.MethodPost, "/chat/x", "m/a7", "Hola").status, qt.Equals, http.StatusOK)
@@ -142,7 +142,7 @@
 // A VM is restarted while the store is away, and learns from another that it gave
 // its runner orders before. The worker that it started for the runner ended with
 // the question to the other VM, 0.7 s later, and the runner got no orders again.
-func TestOrdersGoOnAfterAStartWithoutTheStore(t *testing.T) {
+func TestOrdersContinueAfterAStartWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
 	s.site.Store.SetAway(true)
@@ -165,7 +165,7 @@
 
 // A planned stop: the process says that it isn't ready, and the stream that it
 // is relaying ends whole.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopCompletesStreams(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	s.setFault("runner", always(ggsfakesite.FaultNone))
@@ -175,7 +175,7 @@
 	s.edges[0].cancel()
 	r := <-done
 	s.c.Assert(r.status, qt.Equals, http.StatusOK)
-	s.c.Assert(r.whole, qt.IsTrue)
+	s.c.Assert(r.complete, qt.IsTrue)
 	s.eventually("it isn't ready", func() bool {
 		return s.ready(0) != http.StatusOK
 	})
@@ -185,7 +185,7 @@
 // has beaten and orders again. Another VM would claim them a turn after the
 // release, while the first may still order: so a release holds only while no
 // later beat was written.
-func TestReleaseIsBoundToTheLastBeat(t *testing.T) {
+func TestReleaseIsConditionalOnTheLastHeartbeat(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	s.edges[0].cancel()
@@ -198,7 +198,7 @@
 // Bytes that look like a second request stand inside another's body, or behind
 // one whose length is told in two ways. An endpoint must never see them as a
 // request of their own.
-func TestSmuggledRequestsReachNobody(t *testing.T) {
+func TestSmuggledRequestsReachNoEndpoint(t *testing.T) {
 	t.Parallel()
 	inner := "POST /pay/2 HTTP/1.1\r\nHost: " + ggsfakesite.Host + "\r\nRequest-Id: smuggled\r\nContent-Length: 0\r\n\r\n"
 	for name, text := range map[string]string{
--- a/cmd/ggsnode/edge_test.go
+++ b/cmd/ggsnode/edge_test.go
@@ -67,7 +67,7 @@
 		s.eventually("edge is ready", func() bool { return s.ready(n) == http.StatusOK })
 	}
 	for n := range s.edges {
-		s.eventually("the edge knows who gives orders", func() bool { return s.orderers(n) == 2 })
+		s.eventually("the edge knows who gives orders", func() bool { return s.knownOwners(n) == 2 })
 	}
 	return s
 }
@@ -111,7 +111,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e.cancel = cancel
-	go func() { e.done <- runEdge(ctx, &edgeLine{}, &e.settings, ggscore.Policy{}, log.NewNopLogger()) }()
+	go func() { e.done <- runEdge(ctx, &edgeCommandLine{}, &e.settings, ggscore.Policy{}, log.NewNopLogger()) }()
 	s.edges = append(s.edges, e)
 	t.Cleanup(func() {
 		e.cancel()
@@ -133,7 +133,7 @@
 
 // orderers returns the number of runners of which an edge knows who gives them
 // orders.
-func (s *siteTest) orderers(n int) int {
+func (s *siteTest) knownOwners(n int) int {
 	known := 0
 	for _, e := range s.state(n).Endpoints {
 		if e.Owner != "" {
@@ -174,11 +174,11 @@
 
 // A reply is what a caller got. Whole is false where the answer broke off.
 type reply struct {
-	id     string
-	status int
-	body   string
-	header http.Header
-	whole  bool
+	id       string
+	status   int
+	body     string
+	header   http.Header
+	complete bool
 }
 
 // call sends a request to an edge.
@@ -202,7 +202,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	return reply{id: id, status: resp.StatusCode, body: string(b), header: resp.Header, whole: err == nil}
+	return reply{id: id, status: resp.StatusCode, body: string(b), header: resp.Header, complete: err == nil}
 }
 
 // setFault sets what goes wrong at all endpoints of a service, by the first
@@ -220,7 +220,7 @@
 }
 
 // first fails the first request that an endpoint gets.
-func first(f ggsfakesite.Fault) func(ggsfakesite.Query) ggsfakesite.Fault {
+func failFirst(f ggsfakesite.Fault) func(ggsfakesite.Query) ggsfakesite.Fault {
 	var seen atomic.Bool
 	return func(ggsfakesite.Query) ggsfakesite.Fault {
 		if seen.Swap(true) {
@@ -235,7 +235,7 @@
 	s := startSite(t, 2)
 	r := s.call(0, http.MethodPost, "/chat/x", "m/a7", "Hola")
 	s.c.Assert(r.status, qt.Equals, http.StatusOK)
-	s.c.Assert(r.whole, qt.IsTrue)
+	s.c.Assert(r.complete, qt.IsTrue)
 	s.c.Assert(strings.Count(r.body, "data: "+r.id), qt.Equals, 6)
 	s.c.Assert(r.header.Get("Server-Stamp"), qt.Not(qt.Equals), "")
 
@@ -273,7 +273,7 @@
 	}
 }
 
-func TestHeadBeyondTheLimitIsRefused(t *testing.T) {
+func TestOversizedHeaderIsRefused(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	r := s.call(0, http.MethodPost, "/pay/1", strings.Repeat("m", 17000), "{}")
@@ -343,17 +343,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := startSite(t, 1)
-			s.setFault("ledger", first(fault))
+			s.setFault("ledger", failFirst(fault))
 			r := s.call(0, http.MethodGet, "/look/1", "", "")
 			s.c.Assert(r.status, qt.Equals, http.StatusOK)
-			s.c.Assert(r.whole, qt.IsTrue)
+			s.c.Assert(r.complete, qt.IsTrue)
 		})
 	}
 }
 
 // A lookup fails at an instance, and the other one has no room. The caller got
 // "502, it may have run" of the system's own in place of the first's answer.
-func TestFailureIsPassedOnWhereNoOtherDoesBetter(t *testing.T) {
+func TestFirstFailureIsReturnedWhenTheRetryFails(t *testing.T) {
 	t.Parallel()
 	for name, other := range map[string]ggsfakesite.Fault{
 		"sheds":  ggsfakesite.FaultShed,
@@ -391,13 +391,13 @@
 
 // A runner crashes in the middle of a stream. The caller must not take what it
 // has for the whole answer.
-func TestBrokenStreamLooksBroken(t *testing.T) {
+func TestBrokenStreamIsIncompleteForTheCaller(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	s.setFault("runner", always(ggsfakesite.FaultCut))
 	r := s.call(0, http.MethodPost, "/chat/x", "", "Hola")
 	s.c.Assert(r.status, qt.Equals, http.StatusOK)
-	s.c.Assert(r.whole, qt.IsFalse)
+	s.c.Assert(r.complete, qt.IsFalse)
 }
 
 // A caller closes its connection while its request runs. The runner went on for
@@ -423,7 +423,7 @@
 
 // An instance answers nothing. The caller learns at the route's time limit that
 // its release may have run, and not that it hasn't.
-func TestTimeLimitOfARunningRequest(t *testing.T) {
+func TestRouteTimeoutOfARunningRequest(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	s.setFault("ledger", always(ggsfakesite.FaultHang))
--- a/cmd/ggsnode/endpoints.go
+++ b/cmd/ggsnode/endpoints.go
@@ -18,11 +18,11 @@
 
 // endpointsInterval is how often changes of ownership are looked for besides
 // the events.
-const endpointsInterval = time.Second
+const ownershipCheckInterval = time.Second
 
 // An endpoints keeps a dispatcher's endpoints up to date with the list of VMs,
 // the document and the ownership.
-type endpoints struct {
+type endpointUpdater struct {
 	parts   dispatcherParts
 	changed chan struct{}
 	share   ggscore.LoadShare
@@ -31,32 +31,32 @@
 	leaving bool
 }
 
-func newEndpoints(p dispatcherParts, l log.Logger) *endpoints {
-	e := &endpoints{parts: p, log: l, changed: make(chan struct{}, 1)}
+func newEndpointUpdater(p dispatcherParts, l log.Logger) *endpointUpdater {
+	e := &endpointUpdater{parts: p, log: l, changed: make(chan struct{}, 1)}
 	p.VMs.Subscribe(func(vms []ggscore.VM) {
 		p.Heartbeats.SetListed(vms)
 		p.Owners.SetVMs(p.Clock(), vms)
-		e.wake()
+		e.signalChange()
 	})
-	p.Owners.Subscribe(e.wake)
-	p.Heartbeats.Subscribe(e.wake)
+	p.Owners.Subscribe(e.signalChange)
+	p.Heartbeats.Subscribe(e.signalChange)
 	return e
 }
 
-func (e *endpoints) run(ctx context.Context) error {
+func (e *endpointUpdater) run(ctx context.Context) error {
 	documents := e.parts.Document.Subscribe(ctx)
-	t := time.NewTicker(endpointsInterval)
+	t := time.NewTicker(ownershipCheckInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case d := <-documents:
-			e.adopt(d)
+			e.applyDocument(d)
 		case <-e.changed:
 		case <-t.C:
 		}
-		e.set()
+		e.update()
 		if !e.leaving && e.listedLeaving() {
 			e.leaving = true
 			_ = level.Info(e.log).Log("event", "listedLeaving")
@@ -70,7 +70,7 @@
 // Gateways send nothing to a listed one. If it kept its endpoints until it is
 // stopped, which may be minutes later, they would get no work meanwhile; it
 // hands them over at once and only finishes what is in progress.
-func (e *endpoints) listedLeaving() bool {
+func (e *endpointUpdater) listedLeaving() bool {
 	vms, _ := e.parts.VMs.List()
 	return slices.ContainsFunc(vms, func(v ggscore.VM) bool {
 		return v.ID == e.parts.Settings.VM && v.Role == ggscore.RoleEntry && v.State == ggscore.VMLeaving
@@ -78,21 +78,21 @@
 }
 
 // adopt brings the scheduler up to a new document.
-func (e *endpoints) adopt(d *ggscore.Document) {
+func (e *endpointUpdater) applyDocument(d *ggscore.Document) {
 	e.parts.Dispatcher.Schedule(func(_ ggscore.Scheduler, now time.Time) []ggscore.Order {
 		s := e.parts.Scheduler
-		s.SetMarkets(weightsOf(d))
+		s.SetMarkets(marketWeights(d))
 		return s.SetPolicy(now, d.Policy)
 	})
 }
 
 // set passes on what is known of endpoints and dispatchers.
-func (e *endpoints) set() {
+func (e *endpointUpdater) update() {
 	p := &e.parts
 	p.Heartbeats.SetSelf(false, p.Document.Head().Revision)
 	d := p.Document.Current()
 	vms, known := p.VMs.List()
-	p.Owners.SetCandidates(candidates(p.Heartbeats.Members(), vms))
+	p.Owners.SetCandidates(ownerCandidates(p.Heartbeats.Members(), vms))
 	if d == nil || !known {
 		return
 	}
@@ -104,18 +104,18 @@
 	p.Owners.SetEndpoints(ids)
 	owned := make([]ggsdispatch.OwnedEndpoint, 0, len(es))
 	for i := range es {
-		owned = append(owned, e.owned(&es[i]))
+		owned = append(owned, e.ownedEndpoint(&es[i]))
 	}
-	e.setShare(shareOf(vms, d))
+	e.setShare(loadShareOf(vms, d))
 	p.Dispatcher.SetEndpoints(owned)
 }
 
 // owned says what may be done with an endpoint now.
-func (e *endpoints) owned(n *ggscore.Endpoint) ggsdispatch.OwnedEndpoint {
+func (e *endpointUpdater) ownedEndpoint(n *ggscore.Endpoint) ggsdispatch.OwnedEndpoint {
 	p := &e.parts
 	o := ggsdispatch.OwnedEndpoint{Endpoint: *n, Mode: p.Owners.Mode(p.Clock(), n.ID), Pins: p.Owners.Pins(n.ID)}
 	if o.Mode == ggscore.ModeResidentOnly {
-		o.Pins = e.usable(n)
+		o.Pins = e.servableAdapters(n)
 	}
 	return o
 }
@@ -126,7 +126,7 @@
 // The scheduler serves only protected adapters in that mode. An owner that
 // passed on just the pins of earlier owners would refuse all requests once the
 // platform had been away for longer than its lease.
-func (e *endpoints) usable(n *ggscore.Endpoint) []ggscore.AdapterRef {
+func (e *endpointUpdater) servableAdapters(n *ggscore.Endpoint) []ggscore.AdapterRef {
 	if n.Kind == ggscore.KindPlain {
 		return []ggscore.AdapterRef{{}}
 	}
@@ -139,14 +139,14 @@
 	return refs
 }
 
-func (e *endpoints) wake() {
+func (e *endpointUpdater) signalChange() {
 	select {
 	case e.changed <- struct{}{}:
 	default:
 	}
 }
 
-func weightsOf(d *ggscore.Document) map[ggscore.Market]int {
+func marketWeights(d *ggscore.Document) map[ggscore.Market]int {
 	w := make(map[ggscore.Market]int, len(d.Markets))
 	for n, m := range d.Markets {
 		w[n] = m.Weight
@@ -156,7 +156,7 @@
 
 // setShare sets the share of the weight store's limits before the endpoints
 // are set: without one, nothing is loaded.
-func (e *endpoints) setShare(h ggscore.LoadShare) {
+func (e *endpointUpdater) setShare(h ggscore.LoadShare) {
 	if h == e.share {
 		return
 	}
@@ -168,7 +168,7 @@
 
 // shareOf is a domain's equal share of the weight store's limits. The shares'
 // sum never passes them, whoever is cut off from whom.
-func shareOf(vms []ggscore.VM, d *ggscore.Document) ggscore.LoadShare {
+func loadShareOf(vms []ggscore.VM, d *ggscore.Document) ggscore.LoadShare {
 	domains := make(map[ggscore.Domain]bool)
 	for i := range vms {
 		if vms[i].Role == ggscore.RoleEndpoint {
@@ -190,7 +190,7 @@
 // Gateways know dispatchers by the platform's list, which lags. One that is not
 // yet listed would be heard of by its domain at once and take endpoints over
 // that no gateway can then reach, until it is listed; it is left out until then.
-func candidates(ms []ggsmember.Member, vms []ggscore.VM) []ggsowner.Holder {
+func ownerCandidates(ms []ggsmember.Member, vms []ggscore.VM) []ggsowner.Holder {
 	listed := make(map[ggscore.VMID]bool, len(vms))
 	for i := range vms {
 		listed[vms[i].ID] = vms[i].Role == ggscore.RoleEntry
--- a/cmd/ggsnode/endpoints_test.go
+++ b/cmd/ggsnode/endpoints_test.go
@@ -12,7 +12,7 @@
 // One domain loaded at the whole weight store's rate while the others had their
 // thirds: its dispatcher had adopted the document before it knew the list of
 // VMs, took itself for the only domain and kept that share.
-func TestShareNeedsTheListOfVMs(t *testing.T) {
+func TestLoadShareRequiresTheListOfVMs(t *testing.T) {
 	t.Parallel()
 	d := &ggscore.Document{Policy: ggscore.PolicySpec{LoadsPerSecond: 6, LoadsInTransit: 24}}
 	vm := func(r ggscore.VMRole, n ggscore.Domain) ggscore.VM { return ggscore.VM{Role: r, Domain: n} }
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			qt.New(t).Assert(shareOf(tc.vms, d), qt.Equals, tc.want)
+			qt.New(t).Assert(loadShareOf(tc.vms, d), qt.Equals, tc.want)
 		})
 	}
 }
@@ -39,10 +39,10 @@
 // Endpoints were out of reach for seconds after a VM was replaced: the new VM's
 // dispatcher was heard of and took them over before the platform listed it, and
 // gateways follow listed dispatchers only.
-func TestUnlistedDispatcherTakesNothingOver(t *testing.T) {
+func TestUnlistedDispatcherIsNoOwnerCandidate(t *testing.T) {
 	t.Parallel()
-	member := func(id ggscore.VMID, leaving bool, life string) ggsmember.Member {
-		return ggsmember.Member{VM: id, Leaving: leaving, Incarnation: life}
+	member := func(id ggscore.VMID, leaving bool, incarnation string) ggsmember.Member {
+		return ggsmember.Member{VM: id, Leaving: leaving, Incarnation: incarnation}
 	}
 	vms := []ggscore.VM{
 		{ID: "listed", Role: ggscore.RoleEntry},
@@ -60,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			qt.New(t).Assert(candidates([]ggsmember.Member{tc.member}, vms), qt.HasLen, tc.want)
+			qt.New(t).Assert(ownerCandidates([]ggsmember.Member{tc.member}, vms), qt.HasLen, tc.want)
 		})
 	}
 }
--- a/cmd/ggsnode/fault_endpoint_test.go
+++ b/cmd/ggsnode/fault_endpoint_test.go
@@ -12,7 +12,7 @@
 )
 
 // leavingWithin is how soon an endpoint that leaves gets no new work.
-const leavingWithin = 3 * time.Second
+const leavingBound = 3 * time.Second
 
 // The platform listed a runner as leaving, and some seconds later it was taken
 // away beneath requests that had been sent to it after that. Or its running
@@ -20,7 +20,7 @@
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	engines := []*ggsfakeengine.Engine{b.engine("runner-1", "a", slowTokens), b.engine("runner-2", "a", slowTokens)}
 	b.document()
 	d := b.dispatcher(1, "a")
@@ -28,28 +28,28 @@
 
 	var calls []*call
 	for range 4 {
-		calls = append(calls, b.ask(g, "deposits@v1", 500))
+		calls = append(calls, b.startChat(g, "deposits@v1", 500))
 	}
 	b.eventually("the requests run", func() bool { return engines[0].Stats().Started+engines[1].Stats().Started == 4 })
-	left := 0
+	leaving := 0
 	if engines[1].Stats().Started > 0 {
-		left = 1
+		leaving = 1
 	}
-	started := engines[left].Stats().Started
-	b.vms[left].State = ggscore.VMLeaving
+	started := engines[leaving].Stats().Started
+	b.vms[leaving].State = ggscore.VMLeaving
 	b.platform.SetVMs(append([]ggscore.VM(nil), b.vms...))
 	listed := time.Now()
-	b.eventually("the dispatcher knows", func() bool { return b.leaving(d, string(b.vms[left].ID)) })
-	c.Assert(time.Since(listed) < leavingWithin, qt.IsTrue, qt.Commentf("%s", time.Since(listed)))
+	b.eventually("the dispatcher knows", func() bool { return b.leaving(d, string(b.vms[leaving].ID)) })
+	c.Assert(time.Since(listed) < leavingBound, qt.IsTrue, qt.Commentf("%s", time.Since(listed)))
 
 	for i := range 12 {
-		calls = append(calls, b.ask(g, []string{"deposits@v1", "disputes@v7"}[i%2], 5))
+		calls = append(calls, b.startChat(g, []string{"deposits@v1", "disputes@v7"}[i%2], 5))
 	}
 	for _, k := range calls {
-		b.whole(k)
+		b.requireComplete(k)
 	}
-	c.Assert(engines[left].Stats().Started, qt.Equals, started)
-	c.Assert(engines[left].Stats().Done, qt.Equals, started)
+	c.Assert(engines[leaving].Stats().Started, qt.Equals, started)
+	c.Assert(engines[leaving].Stats().Done, qt.Equals, started)
 }
 
 // A runner restarted with nothing loaded, and the first loads after that
@@ -58,7 +58,7 @@
 func TestEngineRestartsAndLoadsFail(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", slowTokens)
 	b.document()
 	d := b.dispatcher(1, "a")
@@ -67,17 +67,17 @@
 	models := []string{"deposits@v1", "disputes@v7"}
 	var calls []*call
 	for i := range 4 {
-		calls = append(calls, b.ask(g, models[i%2], 300))
+		calls = append(calls, b.startChat(g, models[i%2], 300))
 	}
-	b.running(e, 4)
+	b.waitStarted(e, 4)
 	for i := range 2 {
-		calls = append(calls, b.ask(g, models[i], 5))
+		calls = append(calls, b.startChat(g, models[i], 5))
 	}
-	b.eventually("two requests wait", func() bool { return b.jobs(d, "queued") == 2 })
+	b.eventually("two requests wait", func() bool { return b.jobCount(d, "queued") == 2 })
 	e.SetFaults(ggsfakeengine.Faults{LoadFails: 3, LoseOrderAnswers: 1})
 	e.Restart()
 	for i := range 6 {
-		calls = append(calls, b.ask(g, models[i%2], 5))
+		calls = append(calls, b.startChat(g, models[i%2], 5))
 	}
 	for i, k := range calls {
 		r := b.await(k)
@@ -93,7 +93,7 @@
 	}
 	for _, m := range models {
 		b.eventually("requests are served again", func() bool {
-			k := b.ask(g, m, 5)
+			k := b.startChat(g, m, 5)
 			r := b.await(k)
 			return outcomeOf(c, k, r) == "done" && r.status == http.StatusOK
 		})
--- a/cmd/ggsnode/fault_gateway_test.go
+++ b/cmd/ggsnode/fault_gateway_test.go
@@ -29,7 +29,7 @@
 func TestGatewayKilled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", slowTokens)
 	ledger := b.plain("ledger-1", "a")
 	b.document()
@@ -39,22 +39,22 @@
 	ledger.SetFaults(ggsfakeplain.Faults{Slow: 2 * time.Second})
 
 	key := newKey()
-	b.release(&lost.node, key)
+	b.startRelease(&lost.node, key)
 	for i := range 4 {
-		b.ask(&lost.node, []string{"deposits@v1", "disputes@v7"}[i%2], 100000)
+		b.startChat(&lost.node, []string{"deposits@v1", "disputes@v7"}[i%2], 100000)
 	}
-	b.running(e, 4)
+	b.waitStarted(e, 4)
 	b.eventually("the release runs", func() bool { return runsOf(ledger, key) == 1 })
 	lost.signal(syscall.SIGKILL)
 
 	b.eventually("the release ends", func() bool { return b.counter(d, "done") == 1 })
-	r := b.await(b.release(other, key))
+	r := b.await(b.startRelease(other, key))
 	c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%s", r.text))
 	c.Assert(strings.Contains(r.text, key), qt.IsTrue, qt.Commentf("%s", r.text))
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 
 	b.eventually("the slots are free", func() bool { return e.Stats().Cancelled == 4 })
-	b.whole(b.ask(other, "deposits@v1", 5))
+	b.requireComplete(b.startChat(other, "deposits@v1", 5))
 }
 
 // A switch between gateway and dispatcher failed for a moment while an answer
@@ -65,8 +65,8 @@
 	for name, tc := range map[string]struct {
 		fault ggsfakelink.Faults
 		// heals says that the link is good again while the gateway still tries.
-		heals bool
-		want  string
+		recovers bool
+		want     string
 	}{
 		"broken for a moment":  {ggsfakelink.Faults{Refuse: true}, true, "done"},
 		"stalled for a moment": {ggsfakelink.Faults{Stall: true}, true, "done"},
@@ -75,7 +75,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			b := newBench(t)
+			b := newTestDeployment(t)
 			e := b.engine("runner-1", "a", slowTokens)
 			b.document()
 			l := b.link(linkPort, rpcPort+1)
@@ -84,21 +84,21 @@
 			g := b.gateway(1, "a")
 
 			const tokens = 200
-			k, first := b.askRead(g, "deposits@v1", tokens)
+			k, first := b.startChatStream(g, "deposits@v1", tokens)
 			c.Assert(strings.HasPrefix(first, "data: "), qt.IsTrue)
 			l.SetFaults(tc.fault)
-			if tc.heals {
+			if tc.recovers {
 				// What the engine made during the cut waits at the dispatcher.
 				b.eventually("the engine ends the run", func() bool { return e.Stats().Done == 1 && b.counter(d, "done") == 1 })
 				l.SetFaults(ggsfakelink.Faults{})
 			}
 			c.Assert(outcomeOf(c, k, b.await(k)), qt.Equals, tc.want)
 			l.SetFaults(ggsfakelink.Faults{})
-			if tc.heals && tc.fault.Refuse {
+			if tc.recovers && tc.fault.Refuse {
 				c.Assert(b.counter(g, "resumed") > 0, qt.IsTrue)
 			}
 			b.eventually("requests are served", func() bool {
-				k := b.ask(g, "deposits@v1", 5)
+				k := b.startChat(g, "deposits@v1", 5)
 				return outcomeOf(c, k, b.await(k)) == "done"
 			})
 		})
@@ -107,7 +107,7 @@
 
 // askRead sends a streamed chat request and returns once its first line is
 // here; the rest is read in the background.
-func (b *bench) askRead(g *node, model string, tokens int) (k *call, first string) {
+func (b *testDeployment) startChatStream(g *node, model string, tokens int) (k *call, first string) {
 	b.c.Helper()
 	k = &call{model: model, tokens: tokens, done: make(chan reply, 1)}
 	lines := make(chan string, 1)
@@ -151,7 +151,7 @@
 func TestLateSubmissionOfWithdrawnRequest(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", func(o *ggsfakeengine.Options) { o.FirstToken = 0 })
 	ledger := b.plain("ledger-1", "a")
 	b.document()
@@ -168,11 +168,11 @@
 	}
 	var known ggswire.SummaryReply
 	c.Assert(p.Call(b.ctx, d.addr, ggswire.MethodSummary, &ggswire.SummaryArgs{}, &known), qt.IsNil)
-	life := known.Summary.Incarnation
+	incarnation := known.Summary.Incarnation
 	var withdrawn ggswire.WithdrawReply
-	c.Assert(p.Call(b.ctx, d.addr, ggswire.MethodWithdraw, &ggswire.WithdrawArgs{Incarnation: life, ID: "late"}, &withdrawn), qt.IsNil)
+	c.Assert(p.Call(b.ctx, d.addr, ggswire.MethodWithdraw, &ggswire.WithdrawArgs{Incarnation: incarnation, ID: "late"}, &withdrawn), qt.IsNil)
 	c.Assert(ggscore.Outcome(withdrawn.Outcome), qt.Equals, ggscore.OutcomeNotRun)
-	args := ggswire.SubmitArgs{Incarnation: life, Request: ggswire.FromRequest(late, 5*time.Second)}
+	args := ggswire.SubmitArgs{Incarnation: incarnation, Request: ggswire.FromRequest(late, 5*time.Second)}
 	var submitted ggswire.SubmitReply
 	c.Assert(p.Call(b.ctx, d.addr, ggswire.MethodSubmit, &args, &submitted), qt.IsNil)
 	f := submitted.Failure.Failure()
@@ -180,9 +180,9 @@
 	c.Assert(f.Outcome, qt.Equals, ggscore.OutcomeNotRun)
 
 	// What is submitted behind it runs, and the late copy has not.
-	r := b.await(b.release(g, newKey()))
+	r := b.await(b.startRelease(g, newKey()))
 	c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%s", r.text))
-	b.whole(b.ask(g, "deposits@v1", 5))
+	b.requireComplete(b.startChat(g, "deposits@v1", 5))
 	c.Assert(runsOf(ledger, key), qt.Equals, 0)
 	c.Assert(e.Stats().Started, qt.Equals, uint64(1))
 }
--- a/cmd/ggsnode/fault_owner_test.go
+++ b/cmd/ggsnode/fault_owner_test.go
@@ -27,29 +27,29 @@
 func TestOwnerKilled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", slowTokens)
 	ledger := b.plain("ledger-1", "a")
 	b.document()
-	first, second := b.twoOwners(shortLease)
+	first, second := b.ownerAndStandby(shortLease)
 	g := b.gateway(1, "a")
 	ledger.SetFaults(ggsfakeplain.Faults{Slow: 2 * time.Second})
 
 	key := newKey()
-	paid := b.release(g, key)
+	paid := b.startRelease(g, key)
 	var calls []*call
 	for i := range 4 {
-		calls = append(calls, b.ask(g, []string{"deposits@v1", "disputes@v7"}[i%2], 2000))
+		calls = append(calls, b.startChat(g, []string{"deposits@v1", "disputes@v7"}[i%2], 2000))
 	}
-	b.running(e, 4)
+	b.waitStarted(e, 4)
 	for i := range 4 {
-		calls = append(calls, b.ask(g, []string{"deposits@v1", "deposits@v2"}[i%2], 5))
+		calls = append(calls, b.startChat(g, []string{"deposits@v1", "deposits@v2"}[i%2], 5))
 	}
 	b.eventually("four requests run and four wait", func() bool {
-		return b.jobs(&first.node, "queued") == 4 && runsOf(ledger, key) == 1
+		return b.jobCount(&first.node, "queued") == 4 && runsOf(ledger, key) == 1
 	})
 	first.signal(syscall.SIGKILL)
-	b.eventually("the other dispatcher takes over", func() bool { return b.owns(second) })
+	b.eventually("the other dispatcher takes over", func() bool { return b.ownsAll(second) })
 
 	for _, k := range calls[:4] {
 		c.Check(outcomeOf(c, k, b.await(k)), qt.Equals, "unknown")
@@ -62,14 +62,14 @@
 	}
 	c.Check(outcomeOf(c, paid, b.await(paid)), qt.Equals, "unknown")
 	for range 2 {
-		r := b.await(b.release(g, key))
+		r := b.await(b.startRelease(g, key))
 		c.Check(r.status, qt.Equals, http.StatusConflict, qt.Commentf("%s", r.text))
 		c.Check(failureOf(c, r.text).Error.Outcome, qt.Equals, "unknown")
 	}
 	c.Check(runsOf(ledger, key), qt.Equals, 1)
 
-	b.whole(b.ask(g, "deposits@v1", 5))
-	b.whole(b.ask(g, "disputes@v7", 5))
+	b.requireComplete(b.startChat(g, "deposits@v1", 5))
+	b.requireComplete(b.startChat(g, "disputes@v7", 5))
 	c.Check(e.Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
@@ -77,19 +77,19 @@
 // dispatcher took over. When the first woke, it went on where it had stopped:
 // it evicted an adapter that the new owner's requests were using, and sent
 // releases that their callers had meanwhile repeated at another gateway.
-func TestFrozenOwnerWakes(t *testing.T) {
+func TestFrozenOwnerResumes(t *testing.T) {
 	t.Parallel()
 	for name, checks := range map[string]bool{"engines check fences": true, "engines ignore fences": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			testFrozenOwnerWakes(t, checks)
+			testFrozenOwnerResumes(t, checks)
 		})
 	}
 }
 
-func testFrozenOwnerWakes(t *testing.T, checksFence bool) {
+func testFrozenOwnerResumes(t *testing.T, checksFence bool) {
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", func(o *ggsfakeengine.Options) {
 		o.TokenInterval, o.ChecksFence = 10*time.Millisecond, checksFence
 	})
@@ -98,45 +98,45 @@
 	if !checksFence {
 		b.apply("services", strings.Replace(servicesSection, "checksFence = true", "checksFence = false", 1))
 	}
-	first, second := b.twoOwners(shortLease)
+	first, second := b.ownerAndStandby(shortLease)
 	g := b.gateway(1, "a")
 	ledger.SetFaults(ggsfakeplain.Faults{Slow: 3 * time.Second})
 
 	// At the freeze, both adapters are in use, a third is to be loaded, and a
 	// fifth release waits behind four that run.
 	calls := []*call{
-		b.ask(g, "deposits@v1", 450), b.ask(g, "deposits@v1", 450),
-		b.ask(g, "disputes@v7", 150), b.ask(g, "disputes@v7", 150),
+		b.startChat(g, "deposits@v1", 450), b.startChat(g, "deposits@v1", 450),
+		b.startChat(g, "disputes@v7", 150), b.startChat(g, "disputes@v7", 150),
 	}
-	b.running(e, 4)
-	waiting := []*call{b.ask(g, "deposits@v2", 5), b.ask(g, "deposits@v1", 5), b.ask(g, "disputes@v7", 5)}
+	b.waitStarted(e, 4)
+	waiting := []*call{b.startChat(g, "deposits@v2", 5), b.startChat(g, "deposits@v1", 5), b.startChat(g, "disputes@v7", 5)}
 	var keys []string
 	var releases []*call
 	for i := range 5 {
 		keys = append(keys, newKey())
-		releases = append(releases, b.release(g, keys[i]))
+		releases = append(releases, b.startRelease(g, keys[i]))
 	}
 	// A release whose claim is only being written at the freeze may end without
 	// a run. Here the four of them have begun.
 	b.eventually("requests run and wait at the first owner", func() bool {
-		return len(ledger.Runs()) == 4 && b.jobs(&first.node, "queued") == 4
+		return len(ledger.Runs()) == 4 && b.jobCount(&first.node, "queued") == 4
 	})
 	first.signal(syscall.SIGSTOP)
 	ledger.SetFaults(ggsfakeplain.Faults{})
-	b.eventually("the other dispatcher takes over", func() bool { return b.owns(second) })
+	b.eventually("the other dispatcher takes over", func() bool { return b.ownsAll(second) })
 
 	// A gateway that starts now knows of the new owner alone. Of the adapters
 	// that the frozen one's runs use, deposits@v1 is idle at the new owner, and
 	// a third adapter is asked for.
 	other := b.gateway(2, "a")
 	for range 2 {
-		calls = append(calls, b.ask(other, "disputes@v7", 300))
+		calls = append(calls, b.startChat(other, "disputes@v7", 300))
 	}
-	b.eventually("requests run at the new owner", func() bool { return b.jobs(second, "running") == 2 })
-	waiting = append(waiting, b.ask(other, "deposits@v2", 5))
+	b.eventually("requests run at the new owner", func() bool { return b.jobCount(second, "running") == 2 })
+	waiting = append(waiting, b.startChat(other, "deposits@v2", 5))
 	var repeats []*call
 	for _, key := range keys {
-		repeats = append(repeats, b.release(other, key))
+		repeats = append(repeats, b.startRelease(other, key))
 	}
 	for _, k := range repeats {
 		c.Check(outcomeOf(c, k, b.await(k)), qt.Not(qt.Equals), "notRun")
@@ -144,7 +144,7 @@
 	first.signal(syscall.SIGCONT)
 
 	for _, k := range calls {
-		b.whole(k)
+		b.requireComplete(k)
 	}
 	for _, k := range waiting {
 		r := b.await(k)
@@ -158,15 +158,15 @@
 	for _, key := range keys {
 		c.Check(runsOf(ledger, key), qt.Equals, 1)
 	}
-	c.Check(b.owns(second), qt.IsTrue)
+	c.Check(b.ownsAll(second), qt.IsTrue)
 	c.Check(e.Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
 // A gate is a weight store that gives nothing until it is opened.
-type gate struct{ opened chan struct{} }
+type blockedFetcher struct{ opened chan struct{} }
 
 // Fetch implements ggsfakeengine.Fetcher.
-func (g *gate) Fetch(ctx context.Context, _ ggscore.AdapterRef) error {
+func (g *blockedFetcher) Fetch(ctx context.Context, _ ggscore.AdapterRef) error {
 	select {
 	case <-g.opened:
 		return nil
@@ -191,8 +191,8 @@
 
 func testFrozenOwnersQueuedOrder(t *testing.T, checksFence bool) {
 	c := qt.New(t)
-	b := newBench(t)
-	w := &gate{opened: make(chan struct{})}
+	b := newTestDeployment(t)
+	w := &blockedFetcher{opened: make(chan struct{})}
 	options := func(o *ggsfakeengine.Options) {
 		o.TokenInterval, o.ChecksFence = 10*time.Millisecond, checksFence
 	}
@@ -206,28 +206,28 @@
 	services := servicesSection + strings.Replace(modelService, "asistente", "resumenes", 1)
 	b.apply("services", strings.ReplaceAll(services, "checksFence = true", fmt.Sprintf("checksFence = %t", checksFence)))
 	b.apply("market/cr", marketSection+"\n[[uses]]\nservice = \"resumenes\"\npriority = \"interactive\"\ndeadline = \"10s\"\n")
-	first, second := b.twoOwners(shortLease, "orderWorkers = 1")
+	first, second := b.ownerAndStandby(shortLease, "orderWorkers = 1")
 	g := b.gateway(1, "a")
-	b.whole(b.ask(g, "deposits@v1", 5))
-	b.whole(b.ask(g, "disputes@v7", 5))
+	b.requireComplete(b.startChat(g, "deposits@v1", 5))
+	b.requireComplete(b.startChat(g, "disputes@v7", 5))
 
-	b.askService(g, "resumenes", "deposits@v1", 5)
+	b.startChatAt(g, "resumenes", "deposits@v1", 5)
 	b.eventually("a load is under way", func() bool { return len(slow.Resident()) == 0 && b.loading(&first.node, "runner-2") })
-	waiting := b.ask(g, "deposits@v2", 5)
-	b.eventually("an eviction is ordered", func() bool { return b.resident(&first.node, "runner-1") == 1 })
+	waiting := b.startChat(g, "deposits@v2", 5)
+	b.eventually("an eviction is ordered", func() bool { return b.residentCount(&first.node, "runner-1") == 1 })
 	first.signal(syscall.SIGSTOP)
-	b.eventually("the other dispatcher takes over", func() bool { return b.owns(second) })
+	b.eventually("the other dispatcher takes over", func() bool { return b.ownsAll(second) })
 
 	other := b.gateway(2, "a")
 	var calls []*call
 	for i := range 4 {
-		calls = append(calls, b.ask(other, []string{"deposits@v1", "disputes@v7"}[i%2], 200))
+		calls = append(calls, b.startChat(other, []string{"deposits@v1", "disputes@v7"}[i%2], 200))
 	}
-	b.running(e, 2+4)
+	b.waitStarted(e, 2+4)
 	close(w.opened)
 	first.signal(syscall.SIGCONT)
 	for _, k := range calls {
-		b.whole(k)
+		b.requireComplete(k)
 	}
 	if r := b.await(waiting); outcomeOf(c, waiting, r) == "notRun" {
 		c.Check(e.Runs()[r.header.Get("X-Request-Id")], qt.Equals, 0)
@@ -241,7 +241,7 @@
 func TestNewOwnerKeepsAdaptersOfFrozenOwner(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	const lag = 2500 * time.Millisecond
 	e := b.engine("runner-1", "a", func(o *ggsfakeengine.Options) {
 		o.TokenInterval, o.AdapterSlots = 10*time.Millisecond, 1
@@ -249,9 +249,9 @@
 	b.document()
 	b.apply("services", strings.Replace(servicesSection, "adapterSlots = 2", "adapterSlots = 1", 1))
 	b.apply("market/cr", strings.Replace(marketSection, `deadline = "10s"`, `deadline = "4s"`, 1))
-	first, second := b.twoOwners(`leaseTtl = "1s"`)
+	first, second := b.ownerAndStandby(`leaseTtl = "1s"`)
 	g := b.gateway(1, "a")
-	b.whole(b.ask(g, "deposits@v1", 5))
+	b.requireComplete(b.startChat(g, "deposits@v1", 5))
 	e.SetFaults(ggsfakeengine.Faults{ReportLag: lag})
 	reporter := ggsengine.NewClient(ggsengine.DefaultSettings())
 	b.eventually("reports show the adapter idle", func() bool {
@@ -259,17 +259,17 @@
 		return err == nil && len(r.Resident) == 1
 	})
 
-	k := b.ask(g, "deposits@v1", 350)
-	b.running(e, 2)
-	b.eventually("the run is known", func() bool { return b.jobs(&first.node, "running") == 1 })
+	k := b.startChat(g, "deposits@v1", 350)
+	b.waitStarted(e, 2)
+	b.eventually("the run is known", func() bool { return b.jobCount(&first.node, "running") == 1 })
 	first.signal(syscall.SIGSTOP)
-	b.eventually("the other dispatcher takes over", func() bool { return b.owns(second) })
+	b.eventually("the other dispatcher takes over", func() bool { return b.ownsAll(second) })
 	other := b.gateway(2, "a")
-	wanted := b.ask(other, "deposits@v2", 5)
+	wanted := b.startChat(other, "deposits@v2", 5)
 	b.eventually("another adapter is asked for", func() bool { return b.counter(second, "submitted") > 0 })
-	b.whole(b.ask(other, "deposits@v1", 5))
+	b.requireComplete(b.startChat(other, "deposits@v1", 5))
 	first.signal(syscall.SIGCONT)
-	b.whole(k)
+	b.requireComplete(k)
 	if r := b.await(wanted); outcomeOf(c, wanted, r) == "notRun" {
 		c.Check(e.Runs()[r.header.Get("X-Request-Id")], qt.Equals, 0)
 	}
--- a/cmd/ggsnode/fault_platform_test.go
+++ b/cmd/ggsnode/fault_platform_test.go
@@ -20,9 +20,9 @@
 const (
 	balancePath = "/v1/services/custodia/balance"
 	// refusedWithin is how soon what can't be done is refused.
-	refusedWithin = 3 * time.Second
+	refusalBound = 3 * time.Second
 	// inForceWithin is how soon an accepted change is in force after a cut.
-	inForceWithin = 3 * time.Second
+	applyBound = 3 * time.Second
 )
 
 // A failure domain lost its link to the platform for longer than its owners'
@@ -37,25 +37,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t)
+			b := newTestDeployment(t)
 			b.engine("runner-1", "a", nil)
 			ledger := b.plain("ledger-1", "a")
 			b.document()
 			l := b.link(linkPort, platformPort)
-			nodes := []*node{b.linkedDispatcher(1, "a"), b.linkedDispatcher(2, "a")}
+			nodes := []*node{b.dispatcherOverLink(1, "a"), b.dispatcherOverLink(2, "a")}
 			v := b.gatewayVM(1, "a")
 			v.platform = linkPort
 			g := b.start(ggsnode.RunGateway, v)
 			b.ready(g)
-			b.whole(b.ask(g, "deposits@v1", 5))
-			b.whole(b.ask(g, "disputes@v7", 5))
+			b.requireComplete(b.startChat(g, "deposits@v1", 5))
+			b.requireComplete(b.startChat(g, "disputes@v7", 5))
 
 			l.SetFaults(fault)
-			b.eventually("no lease is held", func() bool { return !b.owns(nodes[0]) && !b.owns(nodes[1]) })
+			b.eventually("no lease is held", func() bool { return !b.ownsAll(nodes[0]) && !b.ownsAll(nodes[1]) })
 			key := newKey()
-			b.servesWhatItCan(g, ledger, key)
+			b.checkServedWithoutPlatform(g, ledger, key)
 			b.apply("market/cr", strings.Replace(marketSection, `current = "v1"`, `current = "v2"`, 1))
-			b.servesWhatItCan(g, ledger, key)
+			b.checkServedWithoutPlatform(g, ledger, key)
 
 			l.SetFaults(ggsfakelink.Faults{})
 			healed := time.Now()
@@ -63,8 +63,8 @@
 				_, h, _ := b.post(g, chatPath, chat("deposits"))
 				return h.Get("X-Served-Model") == "deposits@v2"
 			})
-			qt.Check(t, time.Since(healed) < inForceWithin, qt.IsTrue, qt.Commentf("%s", time.Since(healed)))
-			b.runsOnce(g, ledger, key)
+			qt.Check(t, time.Since(healed) < applyBound, qt.IsTrue, qt.Commentf("%s", time.Since(healed)))
+			b.retryUntilRun(g, ledger, key)
 		})
 	}
 }
@@ -72,7 +72,7 @@
 // The platform was away for all domains and for longer than any lease. All
 // domains stopped with it; and a gateway or dispatcher that was replaced
 // meanwhile had no document and served nobody.
-func TestPlatformAwayForAll(t *testing.T) {
+func TestPlatformUnavailableForAllDomains(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakeplatform.Faults{
 		"answers 503": {Outage: true},
@@ -80,7 +80,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBench(t)
+			b := newTestDeployment(t)
 			b.engine("runner-1", "a", nil)
 			b.engine("runner-2", "b", nil)
 			ledger := b.plain("ledger-1", "a")
@@ -88,15 +88,15 @@
 			nodes := []*node{b.dispatcher(1, "a", shortLease), b.dispatcher(2, "b", shortLease)}
 			gateways := []*node{b.gateway(1, "a"), b.gateway(2, "b")}
 			for _, g := range gateways {
-				b.whole(b.ask(g, "deposits@v1", 5))
-				b.whole(b.ask(g, "disputes@v7", 5))
+				b.requireComplete(b.startChat(g, "deposits@v1", 5))
+				b.requireComplete(b.startChat(g, "disputes@v7", 5))
 			}
 
 			b.platform.SetFaults(fault)
-			b.eventually("no lease is held", func() bool { return !b.owns(nodes[0]) && !b.owns(nodes[1]) })
+			b.eventually("no lease is held", func() bool { return !b.ownsAll(nodes[0]) && !b.ownsAll(nodes[1]) })
 			key := newKey()
 			for _, g := range gateways {
-				b.servesWhatItCan(g, ledger, key)
+				b.checkServedWithoutPlatform(g, ledger, key)
 			}
 
 			// A dispatcher that starts now has only its settings' seed, and a
@@ -108,12 +108,12 @@
 			})
 			g := b.start(ggsnode.RunGateway, b.gatewayVM(3, "a", fmt.Sprintf("dispatchers = [%q]", late.addr)))
 			b.eventually("a gateway that starts now serves", func() bool {
-				return b.await(b.ask(g, "deposits@v1", 5)).status == http.StatusOK
+				return b.await(b.startChat(g, "deposits@v1", 5)).status == http.StatusOK
 			})
-			b.servesWhatItCan(g, ledger, key)
+			b.checkServedWithoutPlatform(g, ledger, key)
 
 			b.platform.SetFaults(ggsfakeplatform.Faults{})
-			b.runsOnce(g, ledger, key)
+			b.retryUntilRun(g, ledger, key)
 		})
 	}
 }
@@ -121,22 +121,22 @@
 // While the platform was away the VM of an endpoints' owner was lost as well.
 // Its requests were answered short or held back, nobody took the endpoints over
 // when the platform was there again, and a release was paid twice.
-func TestOwnerKilledWhilePlatformAway(t *testing.T) {
+func TestOwnerKilledWhilePlatformUnavailable(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", slowTokens)
 	ledger := b.plain("ledger-1", "a")
 	b.document()
-	first, second := b.twoOwners(shortLease)
+	first, second := b.ownerAndStandby(shortLease)
 	g := b.gateway(1, "a")
 	ledger.SetFaults(ggsfakeplain.Faults{Slow: 5 * time.Second})
 
 	key := newKey()
-	paid := b.release(g, key)
+	paid := b.startRelease(g, key)
 	b.eventually("the release runs", func() bool { return runsOf(ledger, key) == 1 })
-	k := b.ask(g, "deposits@v1", 2000)
-	b.running(e, 1)
+	k := b.startChat(g, "deposits@v1", 2000)
+	b.waitStarted(e, 1)
 	b.platform.SetFaults(ggsfakeplatform.Faults{Outage: true})
 	first.signal(syscall.SIGKILL)
 	c.Check(outcomeOf(c, k, b.await(k)), qt.Equals, "unknown")
@@ -144,20 +144,20 @@
 
 	// Nobody can take over; what comes now is refused at once.
 	began := time.Now()
-	r := b.await(b.ask(g, "deposits@v1", 5))
+	r := b.await(b.startChat(g, "deposits@v1", 5))
 	c.Check(r.status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s", r.text))
 	c.Check(failureOf(c, r.text).Error.Outcome, qt.Equals, "notRun")
 	c.Check(r.header.Get("Retry-After"), qt.Not(qt.Equals), "")
-	c.Check(time.Since(began) < refusedWithin, qt.IsTrue, qt.Commentf("%s", time.Since(began)))
-	c.Check(b.owns(second), qt.IsFalse)
+	c.Check(time.Since(began) < refusalBound, qt.IsTrue, qt.Commentf("%s", time.Since(began)))
+	c.Check(b.ownsAll(second), qt.IsFalse)
 
 	b.platform.SetFaults(ggsfakeplatform.Faults{})
-	b.eventually("the other dispatcher takes over", func() bool { return b.owns(second) })
+	b.eventually("the other dispatcher takes over", func() bool { return b.ownsAll(second) })
 	b.eventually("requests are served", func() bool {
-		k := b.ask(g, "deposits@v1", 5)
+		k := b.startChat(g, "deposits@v1", 5)
 		return outcomeOf(c, k, b.await(k)) == "done"
 	})
-	r = b.await(b.release(g, key))
+	r = b.await(b.startRelease(g, key))
 	c.Check(r.status, qt.Equals, http.StatusConflict, qt.Commentf("%s", r.text))
 	c.Check(failureOf(c, r.text).Error.Outcome, qt.Equals, "unknown")
 	c.Check(runsOf(ledger, key), qt.Equals, 1)
@@ -165,7 +165,7 @@
 }
 
 // linkedDispatcher starts a dispatcher that reaches the platform by the link.
-func (b *bench) linkedDispatcher(n int, domain string) *node {
+func (b *testDeployment) dispatcherOverLink(n int, domain string) *node {
 	v := b.dispatcherVM(n, domain, shortLease)
 	v.platform = linkPort
 	b.list(v.vm, ggscore.RoleEntry, domain, v.port, "")
@@ -173,25 +173,25 @@
 }
 
 // servesWhatItCan checks a gateway's answers while the platform is away.
-func (b *bench) servesWhatItCan(g *node, ledger *ggsfakeplain.Service, key string) {
+func (b *testDeployment) checkServedWithoutPlatform(g *node, ledger *ggsfakeplain.Service, key string) {
 	b.c.Helper()
-	b.whole(b.ask(g, "deposits@v1", 5))
-	b.whole(b.ask(g, "disputes@v7", 5))
+	b.requireComplete(b.startChat(g, "deposits@v1", 5))
+	b.requireComplete(b.startChat(g, "disputes@v7", 5))
 	status, _, text := b.post(g, balancePath, "{}")
 	b.c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 	began := time.Now()
-	r := b.await(b.release(g, key, "Idempotency-First-Send", "true"))
+	r := b.await(b.startRelease(g, key, "Idempotency-First-Send", "true"))
 	b.c.Assert(r.status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s", r.text))
 	b.c.Assert(failureOf(b.c, r.text).Error.Outcome, qt.Equals, "notRun")
 	b.c.Assert(r.header.Get("Retry-After"), qt.Not(qt.Equals), "")
-	b.c.Assert(time.Since(began) < refusedWithin, qt.IsTrue, qt.Commentf("%s", time.Since(began)))
+	b.c.Assert(time.Since(began) < refusalBound, qt.IsTrue, qt.Commentf("%s", time.Since(began)))
 	b.c.Assert(runsOf(ledger, key), qt.Equals, 0)
 }
 
 // runsOnce repeats a refused non-idempotent call until it has run.
-func (b *bench) runsOnce(g *node, ledger *ggsfakeplain.Service, key string) {
+func (b *testDeployment) retryUntilRun(g *node, ledger *ggsfakeplain.Service, key string) {
 	b.c.Helper()
-	b.eventually("the release runs", func() bool { return b.await(b.release(g, key)).status == http.StatusOK })
+	b.eventually("the release runs", func() bool { return b.await(b.startRelease(g, key)).status == http.StatusOK })
 	b.c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
@@ -202,34 +202,34 @@
 func TestOwnerCutOffAlone(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", slowTokens)
 	b.document()
 	l := b.link(linkPort, platformPort)
-	first := b.linkedDispatcher(1, "a")
-	b.eventually("the first dispatcher owns the endpoints", func() bool { return b.owns(first) })
+	first := b.dispatcherOverLink(1, "a")
+	b.eventually("the first dispatcher owns the endpoints", func() bool { return b.ownsAll(first) })
 	second := b.dispatcher(2, "a", shortLease)
 	g := b.gateway(1, "a")
 	calls := []*call{
-		b.ask(g, "deposits@v1", 500), b.ask(g, "disputes@v7", 500),
-		b.ask(g, "deposits@v1", 500), b.ask(g, "disputes@v7", 500),
+		b.startChat(g, "deposits@v1", 500), b.startChat(g, "disputes@v7", 500),
+		b.startChat(g, "deposits@v1", 500), b.startChat(g, "disputes@v7", 500),
 	}
-	b.running(e, 4)
+	b.waitStarted(e, 4)
 
 	l.SetFaults(ggsfakelink.Faults{Refuse: true})
-	b.eventually("the other dispatcher takes over", func() bool { return b.owns(second) })
-	c.Assert(b.owns(first), qt.IsFalse)
-	wanted := b.ask(g, "deposits@v2", 5)
-	calls = append(calls, b.ask(g, "deposits@v1", 5), b.ask(g, "disputes@v7", 5))
+	b.eventually("the other dispatcher takes over", func() bool { return b.ownsAll(second) })
+	c.Assert(b.ownsAll(first), qt.IsFalse)
+	wanted := b.startChat(g, "deposits@v2", 5)
+	calls = append(calls, b.startChat(g, "deposits@v1", 5), b.startChat(g, "disputes@v7", 5))
 	for _, k := range calls {
-		b.whole(k)
+		b.requireComplete(k)
 	}
 	l.SetFaults(ggsfakelink.Faults{})
 	if r := b.await(wanted); outcomeOf(c, wanted, r) == "notRun" {
 		c.Check(e.Runs()[r.header.Get("X-Request-Id")], qt.Equals, 0)
 	}
 	b.eventually("the pins end with the first owner's runs", func() bool {
-		return b.await(b.ask(g, "deposits@v2", 5)).status == http.StatusOK
+		return b.await(b.startChat(g, "deposits@v2", 5)).status == http.StatusOK
 	})
 	c.Check(e.Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
@@ -249,7 +249,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			b := newBench(t)
+			b := newTestDeployment(t)
 			ledgers := []*ggsfakeplain.Service{b.plain("ledger-1", "a"), b.plain("ledger-2", "b")}
 			b.document()
 			b.dispatcher(1, "a")
@@ -260,7 +260,7 @@
 			var calls []*call
 			for i := range 4 {
 				keys = append(keys, newKey())
-				calls = append(calls, b.release(gateways[i%2], keys[i]), b.release(gateways[(i+1)%2], keys[i]))
+				calls = append(calls, b.startRelease(gateways[i%2], keys[i]), b.startRelease(gateways[(i+1)%2], keys[i]))
 			}
 			for _, k := range calls {
 				b.await(k)
@@ -272,7 +272,7 @@
 			for i, key := range keys {
 				var r reply
 				b.eventually("the outcome is known", func() bool {
-					r = b.await(b.release(gateways[i%2], key))
+					r = b.await(b.startRelease(gateways[i%2], key))
 					return outcomeOf(c, &call{}, r) != "notRun"
 				})
 				n := runsOf(ledgers[0], key) + runsOf(ledgers[1], key)
--- a/cmd/ggsnode/fault_process_test.go
+++ b/cmd/ggsnode/fault_process_test.go
@@ -26,7 +26,7 @@
 	programVariable   = "GGSNODE_TEST_PROGRAM"
 	dispatcherProgram = "ggsdispatcher"
 	gatewayProgram    = "ggsgateway"
-	edgeProcess       = "ggsedge"
+	edgeProgram       = "ggsedge"
 
 	shortLease = `leaseTtl = "2s"`
 )
@@ -37,7 +37,7 @@
 	programs := map[string]func(context.Context, []string, io.Writer, io.Writer) int{
 		dispatcherProgram: ggsnode.RunDispatcher,
 		gatewayProgram:    ggsnode.RunGateway,
-		edgeProcess:       ggsnode.RunEdge,
+		edgeProgram:       ggsnode.RunEdge,
 	}
 	run := programs[os.Getenv(programVariable)]
 	if run == nil {
@@ -59,20 +59,20 @@
 }
 
 // dispatcherProcess starts a dispatcher as a process of its own and lists it.
-func (b *bench) dispatcherProcess(n int, domain string, more ...string) *process {
+func (b *testDeployment) dispatcherProcess(n int, domain string, more ...string) *process {
 	v := b.dispatcherVM(n, domain, more...)
 	b.list(v.vm, ggscore.RoleEntry, domain, v.port, "")
 	return b.spawn(dispatcherProgram, v)
 }
 
 // gatewayProcess starts a gateway as a process of its own.
-func (b *bench) gatewayProcess(n int, domain string) *process {
+func (b *testDeployment) gatewayProcess(n int, domain string) *process {
 	p := b.spawn(gatewayProgram, b.gatewayVM(n, domain))
 	b.ready(&p.node)
 	return p
 }
 
-func (b *bench) spawn(program string, v entryVM) *process {
+func (b *testDeployment) spawn(program string, v entryVM) *process {
 	cmd := exec.CommandContext(b.ctx, os.Args[0], "--settings", b.settings(v))
 	cmd.Env = append(os.Environ(), programVariable+"="+program)
 	cmd.Stdout, cmd.Stderr = b.logs, b.logs
@@ -125,7 +125,7 @@
 	} `json:"parts"`
 }
 
-func (b *bench) dump(n *node) dispatcherDump {
+func (b *testDeployment) dump(n *node) dispatcherDump {
 	var d dispatcherDump
 	if status, _, text := b.get("http://" + n.state.String() + "/state"); status == http.StatusOK {
 		b.c.Assert(json.Unmarshal([]byte(text), &d), qt.IsNil, qt.Commentf("%s", text))
@@ -134,7 +134,7 @@
 }
 
 // owns reports whether a dispatcher may do all with its endpoints.
-func (b *bench) owns(n *node) bool {
+func (b *testDeployment) ownsAll(n *node) bool {
 	es := b.dump(n).Parts.Dispatcher.Endpoints
 	for i := range es {
 		if es[i].Mode != "full" {
@@ -145,7 +145,7 @@
 }
 
 // resident counts the adapters that a dispatcher takes for resident.
-func (b *bench) resident(n *node, id string) int {
+func (b *testDeployment) residentCount(n *node, id string) int {
 	for _, e := range b.dump(n).Parts.Dispatcher.Endpoints {
 		if e.ID == id {
 			return len(e.Resident)
@@ -155,7 +155,7 @@
 }
 
 // loading reports whether a dispatcher has a load under way at an endpoint.
-func (b *bench) loading(n *node, id string) bool {
+func (b *testDeployment) loading(n *node, id string) bool {
 	for _, e := range b.dump(n).Parts.Dispatcher.Endpoints {
 		if e.ID == id {
 			return len(e.Loading) > 0
@@ -165,7 +165,7 @@
 }
 
 // leaving reports whether a dispatcher takes an endpoint for one that leaves.
-func (b *bench) leaving(n *node, id string) bool {
+func (b *testDeployment) leaving(n *node, id string) bool {
 	for _, e := range b.dump(n).Parts.Dispatcher.Endpoints {
 		if e.ID == id {
 			return e.Leaving
@@ -175,7 +175,7 @@
 }
 
 // jobs counts a dispatcher's requests in a state.
-func (b *bench) jobs(n *node, state string) int {
+func (b *testDeployment) jobCount(n *node, state string) int {
 	k := 0
 	for _, j := range b.dump(n).Parts.Dispatcher.Jobs {
 		if j.State == state {
@@ -186,7 +186,7 @@
 }
 
 // counter reads one of a process's counters.
-func (b *bench) counter(n *node, name string) int64 {
+func (b *testDeployment) counter(n *node, name string) int64 {
 	var v struct {
 		Counters map[string]int64 `json:"greengageslip"`
 	}
@@ -199,19 +199,19 @@
 // twoOwners starts a dispatcher of domain a as a process, which owns the
 // domain's endpoints, and then another that is to follow it. More are further
 // settings of the first.
-func (b *bench) twoOwners(lease string, more ...string) (*process, *node) {
+func (b *testDeployment) ownerAndStandby(lease string, more ...string) (*process, *node) {
 	first := b.dispatcherProcess(1, "a", append(more, lease)...)
-	b.eventually("the first dispatcher owns the endpoints", func() bool { return b.owns(&first.node) })
+	b.eventually("the first dispatcher owns the endpoints", func() bool { return b.ownsAll(&first.node) })
 	second := b.dispatcher(2, "a", lease)
 	b.eventually("the dispatchers know each other", func() bool {
 		return len(b.dump(second).Parts.Members) == 2 && len(b.dump(&first.node).Parts.Members) == 2
 	})
-	b.c.Assert(b.owns(&first.node), qt.IsTrue)
+	b.c.Assert(b.ownsAll(&first.node), qt.IsTrue)
 	return first, second
 }
 
 // link starts a link to a port of the bench.
-func (b *bench) link(port, target uint16) *ggsfakelink.Link {
+func (b *testDeployment) link(port, target uint16) *ggsfakelink.Link {
 	l := ggsfakelink.New(b.addr(target))
 	n, err := (&net.ListenConfig{}).Listen(b.ctx, "tcp", b.addr(port).String())
 	b.c.Assert(err, qt.IsNil)
@@ -243,11 +243,11 @@
 }
 
 // ask sends a streamed chat request in the background.
-func (b *bench) ask(g *node, model string, tokens int) *call {
-	return b.askService(g, "asistente", model, tokens)
+func (b *testDeployment) startChat(g *node, model string, tokens int) *call {
+	return b.startChatAt(g, "asistente", model, tokens)
 }
 
-func (b *bench) askService(g *node, service, model string, tokens int) *call {
+func (b *testDeployment) startChatAt(g *node, service, model string, tokens int) *call {
 	k := &call{model: model, tokens: tokens, done: make(chan reply, 1)}
 	go func() {
 		var r reply
@@ -258,7 +258,7 @@
 }
 
 // release sends a non-idempotent call in the background.
-func (b *bench) release(g *node, key string, headers ...string) *call {
+func (b *testDeployment) startRelease(g *node, key string, headers ...string) *call {
 	k := &call{done: make(chan reply, 1)}
 	go func() {
 		var r reply
@@ -268,7 +268,7 @@
 	return k
 }
 
-func (b *bench) await(k *call) reply {
+func (b *testDeployment) await(k *call) reply {
 	b.c.Helper()
 	ctx, cancel := context.WithTimeout(b.ctx, testDeadline)
 	defer cancel()
@@ -282,11 +282,11 @@
 }
 
 // whole waits for a call and checks that its answer is whole.
-func (b *bench) whole(k *call) {
+func (b *testDeployment) requireComplete(k *call) {
 	b.c.Helper()
 	r := b.await(k)
 	b.c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%s", r.text))
-	checkWhole(b.c, r.header, r.text, k.model, k.tokens)
+	checkComplete(b.c, r.header, r.text, k.model, k.tokens)
 }
 
 // outcomeOf returns the outcome that a caller was told: done where the answer
@@ -296,7 +296,7 @@
 	c.Helper()
 	if r.status == http.StatusOK && (k.model == "" || strings.HasSuffix(r.text, "data: [DONE]\n\n")) {
 		if k.model != "" {
-			checkWhole(c, r.header, r.text, k.model, k.tokens)
+			checkComplete(c, r.header, r.text, k.model, k.tokens)
 		}
 		return "done"
 	}
@@ -312,7 +312,7 @@
 
 // running waits until an engine runs so many requests that began after the
 // first ones.
-func (b *bench) running(e *ggsfakeengine.Engine, started uint64) {
+func (b *testDeployment) waitStarted(e *ggsfakeengine.Engine, started uint64) {
 	b.c.Helper()
 	b.eventually("the requests run", func() bool { return e.Stats().Started >= started })
 }
--- a/cmd/ggsnode/readers.go
+++ b/cmd/ggsnode/readers.go
@@ -11,37 +11,37 @@
 )
 
 // listReaders is the number of VMs of a domain that read the platform's list.
-const listReaders = 2
+const readersPerDomain = 2
 
 // A readers tells who reads the platform's list of VMs: those of a domain's
 // dispatchers that also watch the document.
-type readers struct {
+type listMembership struct {
 	node    *ggssettings.Node
 	role    role
 	members ggsconfig.MemberLister
 }
 
-var _ ggsvms.Membership = (*readers)(nil)
+var _ ggsvms.Membership = (*listMembership)(nil)
 
 // Others implements ggsvms.Membership.
-func (r *readers) Others() []ggsvms.Peer {
-	first := r.first()
-	return r.peers(func(m ggsconfig.Member) bool { return !slices.Contains(first, m.VM) })
+func (r *listMembership) Others() []ggsvms.Peer {
+	readers := r.readerIDs()
+	return r.peers(func(m ggsconfig.Member) bool { return !slices.Contains(readers, m.VM) })
 }
 
 // Readers implements ggsvms.Membership.
-func (r *readers) Readers() []ggsvms.Peer {
-	first := r.first()
-	return r.peers(func(m ggsconfig.Member) bool { return slices.Contains(first, m.VM) })
+func (r *listMembership) Readers() []ggsvms.Peer {
+	readers := r.readerIDs()
+	return r.peers(func(m ggsconfig.Member) bool { return slices.Contains(readers, m.VM) })
 }
 
 // Reads implements ggsvms.Membership.
-func (r *readers) Reads() bool {
-	return !r.role.peersOnly && slices.Contains(r.first(), r.node.VM)
+func (r *listMembership) Reads() bool {
+	return !r.role.peersOnly && slices.Contains(r.readerIDs(), r.node.VM)
 }
 
 // first returns the domain's dispatchers that read the list.
-func (r *readers) first() []ggscore.VMID {
+func (r *listMembership) readerIDs() []ggscore.VMID {
 	var ids []ggscore.VMID
 	if !r.role.peersOnly {
 		ids = append(ids, r.node.VM)
@@ -52,10 +52,10 @@
 			ids = append(ids, m.VM)
 		}
 	}
-	return ggsdocument.Watchers(r.node.Domain, ids, listReaders)
+	return ggsdocument.Watchers(r.node.Domain, ids, readersPerDomain)
 }
 
-func (r *readers) peers(wanted func(ggsconfig.Member) bool) []ggsvms.Peer {
+func (r *listMembership) peers(wanted func(ggsconfig.Member) bool) []ggsvms.Peer {
 	var ps []ggsvms.Peer
 	for _, m := range r.members.Members() {
 		if (r.role.peersOnly || m.VM != r.node.VM) && wanted(m) {
--- a/cmd/ggsnode/soak_answers_test.go
+++ b/cmd/ggsnode/soak_answers_test.go
@@ -13,10 +13,10 @@
 const (
 	// soakLimitSettles is the time in which all VMs are to follow an endpoint's limit, and
 	// soakLimitWindow the time over which the endpoint counts.
-	soakLimitSettles = 3 * time.Second
-	soakLimitWindow  = 4 * time.Second
-	soakLimitExcess  = 1.5
-	soakLimitSlack   = 5
+	soakLimitSettleTime = 3 * time.Second
+	soakLimitWindow     = 4 * time.Second
+	soakLimitExcess     = 1.5
+	soakLimitSlack      = 5
 )
 
 // A soakLimit is a time in which an endpoint named a limit.
@@ -29,15 +29,15 @@
 // answerFaults returns what endpoints may say of themselves in answers.
 func answerFaults() []soakFault {
 	return []soakFault{
-		{"endpoint is limited", true, (*soak).limit},
-		{"endpoint leaves by its answers", true, (*soak).depart},
-		{"endpoint wants nothing for a while", true, (*soak).pause},
+		{"endpoint is limited", true, (*soak).limitRate},
+		{"endpoint leaves by its answers", true, (*soak).leaveInAnswers},
+		{"endpoint wants nothing for a while", true, (*soak).shedRequests},
 	}
 }
 
 // limit has an endpoint name a limit for long enough to count. It names one at a time: the end
 // of another's would lift it early.
-func (s *soak) limit(r *rand.Rand, d time.Duration) {
+func (s *soak) limitRate(r *rand.Rand, d time.Duration) {
 	l := soakLimit{endpoint: s.endpoint(r, ""), perSecond: float64(2 + r.IntN(8)), span: span{from: time.Now()}}
 	if _, busy := s.limiting.LoadOrStore(l.endpoint, true); busy {
 		return
@@ -45,7 +45,7 @@
 	defer s.limiting.Delete(l.endpoint)
 	e := s.site.Endpoints[l.endpoint]
 	e.SetRateLimit(l.perSecond)
-	s.sleep(soakLimitSettles + soakLimitWindow + d)
+	s.sleep(soakLimitSettleTime + soakLimitWindow + d)
 	l.to = time.Now()
 	e.SetRateLimit(0)
 	s.mu.Lock()
@@ -54,18 +54,18 @@
 }
 
 // depart has an endpoint say in its answers that it leaves, and in its entry only later.
-func (s *soak) depart(r *rand.Rand, d time.Duration) {
+func (s *soak) leaveInAnswers(r *rand.Rand, d time.Duration) {
 	prefix := []string{"runner", "ledger"}[r.IntN(2)]
 	id := s.endpoint(r, prefix)
 	s.mu.Lock()
-	for o := range s.drained {
+	for o := range s.drainedAt {
 		if strings.HasPrefix(o, prefix) {
 			s.mu.Unlock()
 			return
 		}
 	}
-	s.drained[id] = time.Now().Add(d)
-	s.departed[id] = time.Now()
+	s.drainedAt[id] = time.Now().Add(d)
+	s.leavingSince[id] = time.Now()
 	s.mu.Unlock()
 	s.site.Endpoints[id].SetLeaving(true)
 	s.sleep(d)
@@ -73,7 +73,7 @@
 }
 
 // pause has an endpoint refuse all requests for some time, which it names.
-func (s *soak) pause(r *rand.Rand, d time.Duration) {
+func (s *soak) shedRequests(r *rand.Rand, d time.Duration) {
 	e := s.site.Endpoints[s.endpoint(r, "")]
 	e.SetRetryAfter(d)
 	e.SetFault(func(ggsfakesite.Query) ggsfakesite.Fault { return ggsfakesite.FaultShed })
@@ -93,23 +93,23 @@
 }
 
 // by reports whether an outcome is an endpoint's whole answer.
-func (o *outcome) by(endpoint string) bool {
-	return o.whole && strings.Contains(o.body, " by "+endpoint+"\n")
+func (o *outcome) answeredBy(endpoint string) bool {
+	return o.complete && strings.Contains(o.body, " by "+endpoint+"\n")
 }
 
 // checkDepartures checks that an edge that passed on an answer that says that its endpoint
 // leaves sent it nothing new after the bound.
 func (s *soak) checkDepartures() {
-	for id, at := range s.departed {
-		told := map[*soakEdge]time.Time{}
+	for id, at := range s.leavingSince {
+		leavingSeen := map[*soakEdge]time.Time{}
 		for _, o := range s.outcomes {
-			if t, ok := told[o.edge]; o.by(id) && o.from.After(at) && (!ok || o.to.Before(t)) {
-				told[o.edge] = o.to
+			if t, ok := leavingSeen[o.edge]; o.answeredBy(id) && o.from.After(at) && (!ok || o.to.Before(t)) {
+				leavingSeen[o.edge] = o.to
 			}
 		}
 		for _, o := range s.outcomes {
-			t, ok := told[o.edge]
-			late := ok && o.by(id) && o.from.Sub(t) > soakDrain && !o.edge.disturbedWithin(t, o.from)
+			t, ok := leavingSeen[o.edge]
+			late := ok && o.answeredBy(id) && o.from.Sub(t) > soakDrainBound && !o.edge.disturbedWithin(t, o.from)
 			s.c.Check(late, qt.IsFalse, qt.Commentf("%s of %s reached %s, whose answer at %s said that it leaves",
 				o.id, o.from.Format("05.000"), id, t.Format("05.000")))
 		}
@@ -126,7 +126,7 @@
 		var at []time.Time
 		for _, a := range s.site.Endpoints[l.endpoint].Arrivals() {
 			e := edges[a.ID]
-			if e != nil && a.At.Sub(l.from) > soakLimitSettles && a.At.Before(l.to) && !e.disturbedWithin(l.from, a.At) {
+			if e != nil && a.At.Sub(l.from) > soakLimitSettleTime && a.At.Before(l.to) && !e.disturbedWithin(l.from, a.At) {
 				at = append(at, a.At)
 			}
 		}
--- a/cmd/ggsnode/soak_check_test.go
+++ b/cmd/ggsnode/soak_check_test.go
@@ -32,11 +32,11 @@
 	from time.Time
 	to   time.Time
 	// status is zero where no answer came, whole says that it came to its end.
-	status int
-	body   string
-	whole  bool
-	wait   time.Duration
-	err    error
+	status   int
+	body     string
+	complete bool
+	wait     time.Duration
+	err      error
 }
 
 // client sends requests over connections that it keeps, until the context ends.
@@ -86,7 +86,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	o.to, o.status, o.body, o.whole, o.err = time.Now(), resp.StatusCode, string(b), err == nil, err
+	o.to, o.status, o.body, o.complete, o.err = time.Now(), resp.StatusCode, string(b), err == nil, err
 	if w, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 		o.wait = time.Duration(w * float64(time.Second))
 	}
@@ -140,9 +140,9 @@
 }
 
 // recover waits until all is served again: nothing is broken any more.
-func (s *soak) recover() {
-	s.await("each VM serves each kind of request after the faults", soakCalm, s.allServe)
-	s.await("the newest configuration is in force everywhere", soakApply, s.allCurrent)
+func (s *soak) awaitRecovery() {
+	s.await("each VM serves each kind of request after the faults", soakRecoveryBound, s.allServe)
+	s.await("the newest configuration is in force everywhere", soakApplyBound, s.allCurrent)
 }
 
 // check checks what callers and endpoints saw.
@@ -170,25 +170,25 @@
 		}
 	}
 	s.c.Check(o.status == http.StatusNotFound || o.status == http.StatusBadRequest, qt.IsFalse, what)
-	if o.status == http.StatusOK && o.whole {
-		s.c.Check(wholeAnswer(o), qt.IsTrue, what)
+	if o.status == http.StatusOK && o.complete {
+		s.c.Check(completeAnswer(o), qt.IsTrue, what)
 	}
-	if (o.status == 0 || !o.whole) && runs > 0 {
+	if (o.status == 0 || !o.complete) && runs > 0 {
 		s.c.Check(s.cutByStop(o), qt.IsFalse, what)
 	}
 }
 
 // wholeAnswer reports whether an answer is one endpoint's whole answer to the
 // request.
-func wholeAnswer(o outcome) bool {
+func completeAnswer(o outcome) bool {
 	if !strings.HasPrefix(o.path, "/chat") {
 		return strings.HasPrefix(o.body, "answer to "+o.id+" by ") && strings.Count(o.body, "\n") == 1 && strings.HasSuffix(o.body, "\n")
 	}
-	_, by, _ := strings.Cut(o.body, " by ")
-	by, _, _ = strings.Cut(by, "\n")
+	_, endpoint, _ := strings.Cut(o.body, " by ")
+	endpoint, _, _ = strings.Cut(endpoint, "\n")
 	var want strings.Builder
 	for n := range soakEvents {
-		fmt.Fprintf(&want, "id: %d\ndata: %s by %s\n\n", n+1, o.id, by)
+		fmt.Fprintf(&want, "id: %d\ndata: %s by %s\n\n", n+1, o.id, endpoint)
 	}
 	return o.body == want.String()
 }
@@ -197,7 +197,7 @@
 // planned stop of its VM, with no other fault around.
 func (s *soak) cutByStop(o outcome) bool {
 	for _, u := range s.unplanned {
-		if u.from.Before(o.to) && u.to.After(o.from.Add(-soakQuiet)) {
+		if u.from.Before(o.to) && u.to.After(o.from.Add(-soakFaultFree)) {
 			return false
 		}
 	}
@@ -215,7 +215,7 @@
 		var last ggsfakesite.Order
 		for _, o := range e.Orders() {
 			if last.Holder != "" && last.Holder != o.Holder {
-				s.c.Check(o.At.Sub(last.At) >= soakTurn && o.Fence > last.Fence, qt.IsTrue,
+				s.c.Check(o.At.Sub(last.At) >= soakMinOrderGap && o.Fence > last.Fence, qt.IsTrue,
 					qt.Commentf("%s: %s at %s, %s at %s", id, last.Holder, last.At, o.Holder, o.At))
 			}
 			last = o
@@ -226,13 +226,13 @@
 // checkDrains checks that endpoints that leave got nothing after the bound, where
 // nothing kept VMs from learning it.
 func (s *soak) checkDrains() {
-	for id, at := range s.drained {
-		until := at.Add(soakDrain)
-		harmed := false
+	for id, at := range s.drainedAt {
+		until := at.Add(soakDrainBound)
+		disturbed := false
 		for _, u := range s.unplanned {
-			harmed = harmed || u.to.After(at.Add(-soakQuiet))
+			disturbed = disturbed || u.to.After(at.Add(-soakFaultFree))
 		}
-		if !harmed {
+		if !disturbed {
 			s.c.Check(s.site.Endpoints[id].LastRun().After(until), qt.IsFalse, qt.Commentf("%s left at %s", id, at))
 		}
 	}
--- a/cmd/ggsnode/soak_faults_test.go
+++ b/cmd/ggsnode/soak_faults_test.go
@@ -18,7 +18,7 @@
 	name string
 	// planned says that it must not cost callers a request.
 	planned bool
-	run     func(s *soak, r *rand.Rand, for_ time.Duration)
+	run     func(s *soak, r *rand.Rand, d time.Duration)
 }
 
 // soakFaults returns what may go wrong.
@@ -30,13 +30,13 @@
 		{"hangup", true, (*soak).hangup},
 		{"store link", false, (*soak).breakStoreLink},
 		{"endpoint link", false, (*soak).breakEndpointLink},
-		{"store away", false, (*soak).storeAway},
-		{"store loses answers", false, (*soak).storeLoses},
+		{"store away", false, (*soak).storeUnavailable},
+		{"store loses answers", false, (*soak).storeLosesAnswers},
 		{"store forgets", false, func(s *soak, _ *rand.Rand, _ time.Duration) { s.site.Store.Compact() }},
 		{"endpoints fail", false, (*soak).failEndpoints},
 		{"endpoint leaves", true, (*soak).drain},
 		{"configuration", true, (*soak).configure},
-		{"version", true, (*soak).bump},
+		{"version", true, (*soak).changeVersion},
 	}
 }
 
@@ -69,17 +69,17 @@
 
 func (s *soak) kill(r *rand.Rand, d time.Duration) {
 	e := s.edge(r)
-	if !e.life.TryLock() {
+	if !e.restartMu.TryLock() {
 		return
 	}
-	defer e.life.Unlock()
-	defer s.disturb(e, time.Now())
+	defer e.restartMu.Unlock()
+	defer s.recordDisturbed(e, time.Now())
 	e.signal(syscall.SIGKILL)
 	s.restart(e, d/4)
 }
 
 // disturb notes that an edge's process did not run all the while from a time until now.
-func (s *soak) disturb(e *soakEdge, from time.Time) {
+func (s *soak) recordDisturbed(e *soakEdge, from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e.disturbed = append(e.disturbed, span{from, time.Now()})
@@ -87,12 +87,12 @@
 
 func (s *soak) stop(r *rand.Rand, _ time.Duration) {
 	e := s.edge(r)
-	if !e.life.TryLock() {
+	if !e.restartMu.TryLock() {
 		return
 	}
-	defer e.life.Unlock()
+	defer e.restartMu.Unlock()
 	from := time.Now()
-	defer s.disturb(e, from)
+	defer s.recordDisturbed(e, from)
 	e.signal(syscall.SIGTERM)
 	s.restart(e, 50*time.Millisecond)
 	s.mu.Lock()
@@ -102,7 +102,7 @@
 
 func (s *soak) freeze(r *rand.Rand, d time.Duration) {
 	e := s.edge(r)
-	defer s.disturb(e, time.Now())
+	defer s.recordDisturbed(e, time.Now())
 	e.signal(syscall.SIGSTOP)
 	s.sleep(d)
 	e.signal(syscall.SIGCONT)
@@ -117,7 +117,7 @@
 }
 
 // harm returns a way to harm a link.
-func harm(r *rand.Rand) ggsfakelink.Faults {
+func linkFault(r *rand.Rand) ggsfakelink.Faults {
 	return []ggsfakelink.Faults{
 		{Stall: true},
 		{Refuse: true},
@@ -127,14 +127,14 @@
 
 func (s *soak) breakStoreLink(r *rand.Rand, d time.Duration) {
 	e := s.edge(r)
-	e.store.SetFaults(harm(r))
+	e.store.SetFaults(linkFault(r))
 	s.sleep(d)
 	e.store.SetFaults(ggsfakelink.Faults{BytesPerSecond: e.bandwidth})
 }
 
 func (s *soak) breakEndpointLink(r *rand.Rand, d time.Duration) {
 	l := s.links[s.endpoint(r, "")]
-	l.SetFaults(harm(r))
+	l.SetFaults(linkFault(r))
 	s.sleep(d)
 	l.SetFaults(ggsfakelink.Faults{})
 }
@@ -151,13 +151,13 @@
 	return ids[r.IntN(len(ids))]
 }
 
-func (s *soak) storeAway(_ *rand.Rand, d time.Duration) {
+func (s *soak) storeUnavailable(_ *rand.Rand, d time.Duration) {
 	s.site.Store.SetAway(true)
 	s.sleep(d)
 	s.site.Store.SetAway(false)
 }
 
-func (s *soak) storeLoses(r *rand.Rand, d time.Duration) {
+func (s *soak) storeLosesAnswers(r *rand.Rand, d time.Duration) {
 	s.site.Store.LoseAnswers(1 + r.IntN(3))
 	s.sleep(d)
 	s.site.Store.LoseAnswers(0)
@@ -187,13 +187,13 @@
 	id := s.endpoint(r, prefix)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for d := range s.drained {
+	for d := range s.drainedAt {
 		if strings.HasPrefix(d, prefix) {
 			return
 		}
 	}
 	s.site.Drain(id)
-	s.drained[id] = time.Now()
+	s.drainedAt[id] = time.Now()
 }
 
 // configure writes a newer configuration, a small or a large one.
@@ -213,10 +213,10 @@
 // storeReturns has the store come back from a copy, at times from the same one again soon
 // after. Writes are held back meanwhile and carried out later; endpoints and operators write
 // again what was lost.
-func (s *soak) storeReturns(r *rand.Rand, d time.Duration) {
+func (s *soak) restoreStore(r *rand.Rand, d time.Duration) {
 	k := s.site.Store.Copy()
 	s.sleep(d)
-	rewrite := func() time.Duration { return time.Duration(r.IntN(int(soakRewrite))) }
+	rewrite := func() time.Duration { return time.Duration(r.IntN(int(soakRewriteBound))) }
 	for range 1 + r.IntN(2) {
 		s.site.Store.HoldWrites(r.IntN(4))
 		s.site.Store.SetAway(r.IntN(3) > 0)
@@ -235,7 +235,7 @@
 }
 
 // bump names a new version of an adapter.
-func (s *soak) bump(r *rand.Rand, _ time.Duration) {
+func (s *soak) changeVersion(r *rand.Rand, _ time.Duration) {
 	a := fmt.Sprintf("a%d", r.IntN(soakAdapters))
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/ggsnode/soak_test.go
+++ b/cmd/ggsnode/soak_test.go
@@ -36,11 +36,11 @@
 //
 //nolint:gochecknoglobals // flags of the test
 var (
-	soakSeed    = flag.Uint64("soak.seed", 0, "play this seed only")
-	soakSeeds   = flag.Int("soak.seeds", 0, "play so many fresh seeds")
-	soakAnswers = flag.Bool("soak.answers", true, "endpoints also say in answers that they leave, are limited or want nothing for a while")
-	soakReturns = flag.Bool("soak.returns", true, "the store also comes back from copies of itself")
-	soakLength  = flag.Duration("soak.length", 6*time.Second, "time of faults in each play")
+	soakSeed     = flag.Uint64("soak.seed", 0, "play this seed only")
+	soakSeeds    = flag.Int("soak.seeds", 0, "play so many fresh seeds")
+	soakAnswers  = flag.Bool("soak.answers", true, "endpoints also say in answers that they leave, are limited or want nothing for a while")
+	soakRestores = flag.Bool("soak.returns", true, "the store also comes back from copies of itself")
+	soakLength   = flag.Duration("soak.length", 6*time.Second, "time of faults in each play")
 )
 
 // soakCases are seeds that are always played, with what each is for.
@@ -51,56 +51,56 @@
 	// A VM behind a thin link never took over a configuration of 1 MB.
 	"a large configuration":         {seed: 2944054447},
 	"what endpoints say in answers": {seed: 2, answers: true},
-	"a store that comes back":       {seed: 3, answers: true, returns: true},
+	"a store that comes back":       {seed: 3, answers: true, restores: true},
 	// Two limits of one endpoint at a time: the end of the first lifted the second.
-	"limits that overlap": {seed: 1075990872, answers: true, returns: true},
+	"limits that overlap": {seed: 1075990872, answers: true, restores: true},
 }
 
 // A soakCase is a play. Faults of answers and returns of the store are other sets to draw from,
 // so that a seed found without them plays the same.
 type soakCase struct {
-	seed    uint64
-	answers bool
-	returns bool
+	seed     uint64
+	answers  bool
+	restores bool
 }
 
 const (
-	soakEdges   = 4
-	soakClients = 16
-	soakTurn    = 3 * time.Second
+	soakEdges       = 4
+	soakClients     = 16
+	soakMinOrderGap = 3 * time.Second
 	// soakThinLink is 10 Mbit/s in bytes a second.
-	soakThinLink = 10_000_000 / 8
+	soakSlowLink = 10_000_000 / 8
 	// soakRoutes make a configuration of nearly the 1 MB that a value may hold.
 	soakRoutes = 4800
 	// soakApply is the time after the faults within which the newest configuration is in
 	// force everywhere.
-	soakApply = 4 * time.Second
+	soakApplyBound = 4 * time.Second
 	// soakCalm is the time after the faults in which all has to be served again.
-	soakCalm = 20 * time.Second
+	soakRecoveryBound = 20 * time.Second
 	// soakDrain is the time after which a leaving endpoint gets nothing more.
-	soakDrain = 2500 * time.Millisecond
+	soakDrainBound = 2500 * time.Millisecond
 	// soakRewrite is the time within which what a store has lost is written again.
-	soakRewrite = 2 * time.Second
+	soakRewriteBound = 2 * time.Second
 	// soakQuiet is the time without other faults around a planned stop in which no
 	// request may be cut off.
-	soakQuiet = 3 * time.Second
+	soakFaultFree = 3 * time.Second
 )
 
 func TestSoak(t *testing.T) {
 	t.Parallel()
 	switch {
 	case *soakSeed > 0:
-		playSoak(t, soakCase{*soakSeed, *soakAnswers, *soakReturns})
+		runSoak(t, soakCase{*soakSeed, *soakAnswers, *soakRestores})
 	case *soakSeeds > 0:
 		for range *soakSeeds {
 			seed := rand.Uint64N(1 << 32)
 			//nolint:paralleltest // plays one after the other, so that timing is each one's own
-			t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { playSoak(t, soakCase{seed, *soakAnswers, *soakReturns}) })
+			t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSoak(t, soakCase{seed, *soakAnswers, *soakRestores}) })
 		}
 	default:
 		for name, k := range soakCases {
 			//nolint:paralleltest // as above
-			t.Run(name, func(t *testing.T) { playSoak(t, k) })
+			t.Run(name, func(t *testing.T) { runSoak(t, k) })
 		}
 	}
 }
@@ -123,11 +123,11 @@
 	// unplanned are the times of faults that nobody planned, drained when endpoints
 	// began to leave.
 	unplanned []span
-	drained   map[string]time.Time
+	drainedAt map[string]time.Time
 	// departed are when endpoints began to say in answers that they leave, limited the
 	// times in which they named a limit.
-	departed map[string]time.Time
-	limited  []soakLimit
+	leavingSince map[string]time.Time
+	limited      []soakLimit
 	// limiting are the endpoints that name a limit now.
 	limiting sync.Map
 	outcomes []outcome
@@ -149,9 +149,9 @@
 	// bandwidth is that of the way to the store in bytes a second, zero for unlimited.
 	bandwidth int
 	// life is held while the process is ended and started again.
-	life sync.Mutex
-	mu   sync.Mutex
-	cmd  *exec.Cmd
+	restartMu sync.Mutex
+	mu        sync.Mutex
+	cmd       *exec.Cmd
 	// stopping are the times of planned stops, disturbed those in which the process did not
 	// run all the while. soak.mu guards both.
 	stopping  []span
@@ -160,14 +160,14 @@
 
 func (e *soakEdge) callers() string { return netip.AddrPortFrom(e.ip, 7100).String() }
 
-func playSoak(t *testing.T, k soakCase) {
+func runSoak(t *testing.T, k soakCase) {
 	seed := k.seed
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &soak{
 		t: t, c: c, ctx: ctx, rng: rand.New(rand.NewPCG(seed, 2)),
-		links: map[string]*ggsfakelink.Link{}, drained: map[string]time.Time{},
-		departed: map[string]time.Time{}, version: 1, versions: map[string]uint64{},
+		links: map[string]*ggsfakelink.Link{}, drainedAt: map[string]time.Time{},
+		leavingSince: map[string]time.Time{}, version: 1, versions: map[string]uint64{},
 		written: map[string][]byte{"op/config": ggsfakesite.Config(1, "/chat/")},
 	}
 	t.Logf("seed %d", seed)
@@ -190,11 +190,11 @@
 	if k.answers {
 		faults = append(faults, answerFaults()...)
 	}
-	if k.returns {
-		faults = append(faults, soakFault{"store comes back from a copy", false, (*soak).storeReturns})
+	if k.restores {
+		faults = append(faults, soakFault{"store comes back from a copy", false, (*soak).restoreStore})
 	}
 	s.injectUntil(time.Now().Add(*soakLength), faults, &work)
-	s.recover()
+	s.awaitRecovery()
 	stop()
 	clients.Wait()
 	s.check()
@@ -203,10 +203,10 @@
 // start starts the stand-in, the links and the processes, and waits until all are
 // ready.
 func (s *soak) start(work *sync.WaitGroup) {
-	net3 := byte(soaks.Add(1))
+	network := byte(soaks.Add(1))
 	p := os.Getpid()
 	ip := func(n byte) netip.Addr {
-		return netip.AddrFrom4([4]byte{127, 64 + byte(p>>8)%64, byte(p), net3*16 + n})
+		return netip.AddrFrom4([4]byte{127, 64 + byte(p>>8)%64, byte(p), network*16 + n})
 	}
 	site := netip.AddrPortFrom(ip(0), 7000)
 	advertised := map[string]netip.AddrPort{}
@@ -232,7 +232,7 @@
 		at := netip.AddrPortFrom(ip(0), uint16(7300+n))
 		e.store = s.link(work, at, site)
 		if n%2 == 1 {
-			e.bandwidth = soakThinLink
+			e.bandwidth = soakSlowLink
 			e.store.SetFaults(ggsfakelink.Faults{BytesPerSecond: e.bandwidth})
 		}
 		zone := []string{"a", "b"}[n%2]
@@ -248,19 +248,19 @@
 limits: {cores: 1, memoryMb: 284, maxFds: 4100}
 bounds: {graceS: 8, leaseMs: %[6]d, retryBudgetRatio: 0.2, retrySlack: 58}
 platform: {address: "%[7]s"}
-`, n, e.ip, zone, ip(1), ip(2), soakTurn.Milliseconds(), at)
+`, n, e.ip, zone, ip(1), ip(2), soakMinOrderGap.Milliseconds(), at)
 		s.c.Assert(os.WriteFile(e.settings, []byte(text), 0o600), qt.IsNil)
 		s.edges = append(s.edges, e)
 		s.spawn(e)
 	}
-	s.await("all serve", soakCalm, s.allServe)
+	s.await("all serve", soakRecoveryBound, s.allServe)
 	for _, e := range s.edges {
-		e.startedOnce(s.c)
+		e.clearFirstStart(s.c)
 	}
 }
 
 // startedOnce has the settings say that the deployment has started before.
-func (e *soakEdge) startedOnce(c *qt.C) {
+func (e *soakEdge) clearFirstStart(c *qt.C) {
 	b, err := os.ReadFile(e.settings)
 	c.Assert(err, qt.IsNil)
 	c.Assert(os.WriteFile(e.settings, bytes.Replace(b, []byte("bootstrap: true"), []byte("bootstrap: false"), 1), 0o600), qt.IsNil)
@@ -286,7 +286,7 @@
 // spawn starts an edge's process.
 func (s *soak) spawn(e *soakEdge) {
 	cmd := exec.CommandContext(s.ctx, os.Args[0])
-	cmd.Env = append(os.Environ(), programVariable+"="+edgeProcess, "GREENGAGESLIP_NODE_FILE="+e.settings)
+	cmd.Env = append(os.Environ(), programVariable+"="+edgeProgram, "GREENGAGESLIP_NODE_FILE="+e.settings)
 	cmd.Stdout, cmd.Stderr = s.log, s.log
 	_, err := cmd.StdinPipe()
 	s.c.Assert(err, qt.IsNil)
--- a/cmd/ggsnode/system_test.go
+++ b/cmd/ggsnode/system_test.go
@@ -46,7 +46,7 @@
 
 // checkWhole checks that a streamed answer is whole, in order, and the
 // caller's own.
-func checkWhole(c *qt.C, h http.Header, text, adapter string, tokens int) {
+func checkComplete(c *qt.C, h http.Header, text, adapter string, tokens int) {
 	c.Assert(h.Get("X-Served-Model"), qt.Equals, adapter, qt.Commentf("%s", text))
 	id := h.Get("X-Request-Id")
 	c.Assert(id, qt.Not(qt.Equals), "")
@@ -63,21 +63,21 @@
 
 func TestStreamedAnswer(t *testing.T) {
 	t.Parallel()
-	c, b, _, g := serving(t, nil)
+	c, b, _, g := modelDeployment(t, nil)
 	for model, want := range map[string]string{"deposits": "deposits@v1", "deposits@v2": "deposits@v2", "disputes@v7": "disputes@v7"} {
 		status, h, text := b.post(g, chatPath, chat(model))
 		c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-		checkWhole(c, h, text, want, 8)
+		checkComplete(c, h, text, want, 8)
 	}
 }
 
 // Callers got each other's answers: two requests in progress at once shared a
 // connection between gateway and dispatcher, and the pieces of one were passed
 // to the other.
-func TestManyCallersGetTheirOwnWholeAnswers(t *testing.T) {
+func TestManyCallersGetTheirOwnCompleteAnswers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "a", nil)
 	b.engine("runner-2", "a", nil)
 	b.document()
@@ -91,7 +91,7 @@
 			status, h, text := b.post(gateways[i%2], chatPath, chatOf(m, 5+i%7))
 			c.Check(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 			if status == http.StatusOK {
-				checkWhole(c, h, text, m, 5+i%7)
+				checkComplete(c, h, text, m, 5+i%7)
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 func TestVersionChangeComesIntoForce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "a", nil)
 	b.document()
 	b.dispatcher(1, "a")
@@ -124,7 +124,7 @@
 
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "a", nil)
 	b.plain("ledger-1", "a")
 	b.document()
@@ -185,7 +185,7 @@
 func TestNonIdempotentCallRunsOnceOverAllGateways(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	ledgers := []*ggsfakeplain.Service{b.plain("ledger-1", "a"), b.plain("ledger-2", "b")}
 	b.document()
 	b.dispatcher(1, "a")
@@ -219,7 +219,7 @@
 // The caller was told that it had not run, and repeated it.
 func TestLostAnswerIsUnknownAndNeverRunsAgain(t *testing.T) {
 	t.Parallel()
-	c, b, ledger, g := paying(t)
+	c, b, ledger, g := plainDeployment(t)
 	ledger.SetFaults(ggsfakeplain.Faults{LoseAnswers: 1})
 	key := newKey()
 	status, _, text := b.post(g, releasePath, `{"deposit":1}`, "Idempotency-Key", key)
@@ -237,7 +237,7 @@
 // same claim, and the caller got the answer of the one run.
 func TestRefusedCallIsSentAgainUnderItsClaim(t *testing.T) {
 	t.Parallel()
-	c, b, ledger, g := paying(t)
+	c, b, ledger, g := plainDeployment(t)
 	ledger.SetFaults(ggsfakeplain.Faults{Refuse: 1})
 	key := newKey()
 	b.eventually("the call is answered", func() bool {
@@ -252,10 +252,10 @@
 
 // The platform's service was away, a release could not be claimed, and it ran
 // all the same; or lookups, which need no claim, were refused with it.
-func TestPlatformAwayRefusesOnlyWhatNeedsIt(t *testing.T) {
+func TestPlatformOutageRefusesOnlyCallsThatNeedAClaim(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	ledger := b.plain("ledger-1", "a")
 	b.engine("runner-1", "a", nil)
 	b.document()
@@ -278,7 +278,7 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 0)
 	status, h, text = b.post(g, chatPath, chat("deposits"))
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-	checkWhole(c, h, text, "deposits@v1", 8)
+	checkComplete(c, h, text, "deposits@v1", 8)
 	status, _, text = b.post(g, "/v1/services/custodia/balance", "{}")
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 
@@ -294,7 +294,7 @@
 // engine's connection broke and the answer was ended as if it were whole.
 func TestCutStreamEndsInAnErrorEvent(t *testing.T) {
 	t.Parallel()
-	c, b, e, g := serving(t, nil)
+	c, b, e, g := modelDeployment(t, nil)
 	status, _, text := b.post(g, chatPath, chat("deposits"))
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 	e.SetFaults(ggsfakeengine.Faults{CutStreamAfter: 3})
@@ -311,11 +311,11 @@
 // believed its adapters resident. Requests were refused as long as it did.
 func TestColdStartIsServed(t *testing.T) {
 	t.Parallel()
-	c, b, e, g := serving(t, nil)
+	c, b, e, g := modelDeployment(t, nil)
 	for range 3 {
 		status, h, text := b.post(g, chatPath, chat("deposits"))
 		c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-		checkWhole(c, h, text, "deposits@v1", 8)
+		checkComplete(c, h, text, "deposits@v1", 8)
 		e.Restart()
 	}
 }
@@ -324,7 +324,7 @@
 // the answer that nobody read.
 func TestCancelledCallerFreesItsSlot(t *testing.T) {
 	t.Parallel()
-	c, b, e, g := serving(t, func(o *ggsfakeengine.Options) {
+	c, b, e, g := modelDeployment(t, func(o *ggsfakeengine.Options) {
 		o.TokenInterval = 5 * time.Millisecond
 	})
 	r, cancel := b.open(g, chatPath, chatOf("deposits", 100000))
@@ -339,7 +339,7 @@
 func TestDispatcherDrains(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "a", func(o *ggsfakeengine.Options) { o.TokenInterval = 10 * time.Millisecond })
 	b.document()
 	nodes := []*node{b.dispatcher(1, "a"), b.dispatcher(2, "a")}
@@ -350,7 +350,7 @@
 			status, h, text := b.post(g, chatPath, chatOf("deposits@v1", 100))
 			c.Check(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 			if status == http.StatusOK {
-				checkWhole(c, h, text, "deposits@v1", 100)
+				checkComplete(c, h, text, "deposits@v1", 100)
 			}
 		})
 	}
@@ -369,12 +369,12 @@
 // A planned stop of a gateway cut off the answers of its callers.
 func TestGatewayDrains(t *testing.T) {
 	t.Parallel()
-	c, b, e, g := serving(t, func(o *ggsfakeengine.Options) { o.TokenInterval = 5 * time.Millisecond })
+	c, b, e, g := modelDeployment(t, func(o *ggsfakeengine.Options) { o.TokenInterval = 5 * time.Millisecond })
 	var w sync.WaitGroup
 	w.Go(func() {
 		status, h, text := b.post(g, chatPath, chatOf("deposits@v1", 100))
 		c.Check(status, qt.Equals, http.StatusOK)
-		checkWhole(c, h, text, "deposits@v1", 100)
+		checkComplete(c, h, text, "deposits@v1", 100)
 	})
 	b.eventually("the request runs", func() bool { return e.Stats().Started == 1 })
 	c.Assert(g.stop(), qt.Equals, 0)
@@ -386,7 +386,7 @@
 func TestAnotherRegionServes(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "b", nil)
 	b.document()
 	b.dispatcher(1, "a")
@@ -394,7 +394,7 @@
 	g := b.gateway(1, "a")
 	status, h, text := b.post(g, chatPath, chat("deposits"))
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-	checkWhole(c, h, text, "deposits@v1", 8)
+	checkComplete(c, h, text, "deposits@v1", 8)
 }
 
 // Lookups stalled when the platform announced the replacement of an entry VM:
@@ -403,7 +403,7 @@
 func TestListedLeavingDispatcherHandsOver(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", func(o *ggsfakeengine.Options) { o.TokenInterval = 10 * time.Millisecond })
 	b.document()
 	first := b.dispatcher(1, "a")
@@ -417,7 +417,7 @@
 	w.Go(func() {
 		status, h, text := b.post(g, chatPath, chatOf("deposits@v1", 100))
 		c.Check(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-		checkWhole(c, h, text, "deposits@v1", 100)
+		checkComplete(c, h, text, "deposits@v1", 100)
 	})
 	b.eventually("a request runs", func() bool { return e.Stats().Started == 1 })
 	for i := range b.vms {
