--- a/cmd/ggsnode/edge_bandwidth_test.go
+++ b/cmd/ggsnode/edge_bandwidth_test.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// thinLink is 10 Mbit/s.
+	// slowLinkBytesPerSecond is 10 Mbit/s.
 	slowLinkBytesPerSecond = 10_000_000 / 8
-	// largeRoutes make a configuration of nearly the 1 MB that a value may have.
+	// largeRoutes is a number of routes whose configuration is just below the store's
+	// value limit of 1 MB.
 	largeRoutes = 4250
-	// applyBound is the time within which an acknowledged configuration is in force.
+	// applyBound limits the time from a configuration's acknowledgement until it is in force.
 	applyBound = 4 * time.Second
 )
 
-// linkTo starts a thin link to a process and returns where it listens.
+// linkTo starts a slow link to a process and returns the link's listen address.
 func (s *siteTest) linkTo(t *testing.T, target netip.AddrPort) (*ggsfakelink.Link, netip.AddrPort) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -42,8 +43,8 @@
 	return l, netip.MustParseAddrPort(n.Addr().String())
 }
 
-// startThinSite starts a site with two edges that serve, the second of which reaches the
-// store over a thin link.
+// startSlowLinkSite starts a site with two serving edges, the second of which reaches the
+// store over a slow link.
 func startSlowLinkSite(t *testing.T) (*siteTest, *ggsfakelink.Link) {
 	t.Helper()
 	s := startSite(t, 1)
@@ -62,33 +63,36 @@
 	return s.call(n, http.MethodPost, path, "m/a7", "Hola").status == http.StatusOK
 }
 
-// Guards against a VM on a thin link that keeps an old configuration because the new one takes longer than a call.
+// Guards against a VM on a slow link that keeps its old configuration, because the transfer of
+// the new one takes longer than the call timeout.
 func TestLargeConfigurationIsInForceOverASlowLink(t *testing.T) {
 	t.Parallel()
 	s, _ := startSlowLinkSite(t)
 	s.site.Store.Put("op/config", ggsfakesite.LargeConfig(2, "/talk/", largeRoutes))
 	acked := time.Now()
-	s.eventually("the change is in force behind the wide link", func() bool { return s.served(0, "/talk/x") })
-	s.eventually("the change is in force behind the thin link", func() bool { return s.served(1, "/talk/x") })
+	s.eventually("the change is in force at the edge with the fast link", func() bool { return s.served(0, "/talk/x") })
+	s.eventually("the change is in force at the edge with the slow link", func() bool { return s.served(1, "/talk/x") })
 	took := time.Since(acked)
 	s.c.Assert(took < applyBound, qt.IsTrue, qt.Commentf("%s", took))
 }
 
-// Guards against a peer's notification that throws away an answer which is arriving.
+// Guards against a change notification from a peer that aborts a transfer in flight, so that the
+// same configuration is read again.
 func TestLargeConfigurationIsReadOnce(t *testing.T) {
 	t.Parallel()
 	s, l := startSlowLinkSite(t)
 	config := ggsfakesite.LargeConfig(2, "/talk/", largeRoutes)
 	before, snapshots := l.Stats().BytesFromTarget, s.site.Store.Snapshots("op/")
 	s.site.Store.Put("op/config", config)
-	s.eventually("the change is in force behind the thin link", func() bool { return s.served(1, "/talk/x") })
+	s.eventually("the change is in force at the edge with the slow link", func() bool { return s.served(1, "/talk/x") })
 	received := l.Stats().BytesFromTarget - before
 	once := uint64(len(config)) * 4 / 3
-	s.c.Assert(received < once*3/2, qt.IsTrue, qt.Commentf("%d bytes for an answer of %d", received, once))
+	s.c.Assert(received < once*3/2, qt.IsTrue, qt.Commentf("received %d bytes for an answer of %d bytes", received, once))
 	s.c.Assert(s.site.Store.Snapshots("op/"), qt.Equals, snapshots)
 }
 
-// Guards against a VM that never starts while the store is away because its seed's answer takes longer than a call.
+// Guards against a VM that never becomes ready while the store is unavailable, because the
+// answer of its seed peer takes longer than the call timeout.
 func TestStartFromASeedOverASlowLink(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -104,7 +108,8 @@
 	s.c.Assert(s.call(1, http.MethodPost, "/pay/1", "", "{}").status, qt.Equals, http.StatusOK)
 }
 
-// Guards against a VM that falls behind for each large version of a configuration that changes in quick succession.
+// Guards against a VM that falls further behind with each of several large configurations
+// written in quick succession.
 func TestLargeConfigurationsInSuccessionAreInForceOverASlowLink(t *testing.T) {
 	t.Parallel()
 	s, _ := startSlowLinkSite(t)
@@ -117,7 +122,7 @@
 	}
 	s.site.Store.Put("op/config", ggsfakesite.LargeConfig(last, "/talk/", largeRoutes))
 	acked := time.Now()
-	s.eventually("the last change is in force behind the thin link", func() bool { return s.served(1, "/talk/x") })
+	s.eventually("the last change is in force at the edge with the slow link", func() bool { return s.served(1, "/talk/x") })
 	took := time.Since(acked)
 	s.c.Assert(took < applyBound, qt.IsTrue, qt.Commentf("%s", took))
 }
--- a/cmd/ggsnode/edge_epoch_test.go
+++ b/cmd/ggsnode/edge_epoch_test.go
@@ -16,27 +16,29 @@
 )
 
 const (
-	// lostRevisions are what a store loses that comes back from an older copy: more than are
-	// written again during a test.
+	// lostRevisions is the number of revisions that a restore discards. It exceeds the number
+	// of writes during a test, so that revisions stay below those already read.
 	lostRevisions = 10_000
-	// neverTime is longer than any test: endpoints write their entries again when told to.
+	// neverRewrite exceeds the length of any test: endpoints rewrite their entries only on
+	// Site.Rewrite.
 	neverRewrite = time.Hour
 )
 
-// returnFromCopy has the store come back from a copy of what it has now.
+// restoreFromCopy restores the store from a copy of its present state.
 func (s *siteTest) restoreFromCopy(meanwhile func()) {
 	s.restoreFrom(s.site.Store.Copy(), meanwhile)
 }
 
-// returnFrom has the store come back from a copy, once edges have read and written what is lost,
-// and waits until all edges know. Endpoints write their entries again by Site.Rewrite.
+// restoreFrom restores the store from a copy after the edges have read and written revisions
+// that the restore discards, and waits until every edge knows the new epoch. Endpoints rewrite
+// their entries only on Site.Rewrite.
 func (s *siteTest) restoreFrom(k ggsfakesite.Copy, meanwhile func()) {
 	const list, own = "servers/", "greengageslip/vm/"
 	meanwhile()
 	s.site.Store.Advance(lostRevisions)
 	mark, read := s.site.Store.Revision(), s.site.Store.Snapshots(list)
 	s.eventually("the list is read", func() bool { return s.site.Store.Snapshots(list) > read+1 })
-	s.eventually("beats are written", func() bool { return s.site.Store.Written(own, mark) > 0 })
+	s.eventually("heartbeats are written", func() bool { return s.site.Store.Written(own, mark) > 0 })
 	s.site.Store.SetAway(true)
 	s.eachEdge("the store is unreachable", func(e ggsedge.State) bool { return e.StoreUnavailable })
 	s.site.Return(k, neverRewrite)
@@ -44,7 +46,7 @@
 	s.eachEdge("the epoch is known", func(e ggsedge.State) bool { return uint64(e.Epoch) == s.site.Store.Era() })
 }
 
-// rewrite has endpoints write their entries again, and waits until they have.
+// rewrite makes all endpoints write their entries again and waits for the writes.
 func (s *siteTest) rewrite() {
 	mark := s.site.Store.Revision()
 	s.site.Rewrite()
@@ -53,7 +55,7 @@
 	})
 }
 
-// eachEdge waits until a condition holds at each edge.
+// eachEdge waits until a condition holds at every edge.
 func (s *siteTest) eachEdge(what string, ok func(ggsedge.State) bool) {
 	s.c.Helper()
 	for n := range s.edges {
@@ -61,8 +63,8 @@
 	}
 }
 
-// lateArrivals returns the number of requests that reached an endpoint later than the drain
-// time after a moment.
+// lateArrivals returns the number of requests that reached an endpoint more than drainTime
+// after from.
 func (s *siteTest) lateArrivals(id string, from time.Time) int {
 	late := 0
 	for _, a := range s.site.Endpoints[id].Arrivals() {
@@ -73,7 +75,8 @@
 	return late
 }
 
-// Guards against VMs that go by their old list while the revisions of a store that came back from a copy are lower.
+// Guards against VMs that keep their old list of endpoints after a restore, because the
+// revisions of the restored store are lower than those already read.
 func TestLeavingEndpointGetsNoRequestsAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 3)
@@ -86,14 +89,15 @@
 	s.c.Check(served, qt.Equals, all)
 }
 
-// loadTime is the time after the store's return within which adapters are loaded again.
+// reloadBound limits the time from the store's restore until a new adapter is served.
 const reloadBound = 6 * time.Second
 
-// Guards against endpoints that get no orders any more, since beats and records of an epoch that has ended are gone.
+// Guards against endpoints that get no orders after a restore, because the heartbeats and
+// ownership records of the previous epoch are lost.
 func TestNewAdaptersAreServedAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct{ older bool }{
-		"the copy has the controllers":         {},
+		"the copy has the ownership records":   {},
 		"the copy is older than their records": {older: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -121,13 +125,14 @@
 				}
 				<-pace.C
 			}
-			s.c.Check(first > 0 && first < reloadBound, qt.IsTrue, qt.Commentf("first after %s", first))
+			s.c.Check(first > 0 && first < reloadBound, qt.IsTrue, qt.Commentf("first served after %s", first))
 			s.c.Check(served >= all*9/10, qt.IsTrue, qt.Commentf("%d of %d", served, all))
 		})
 	}
 }
 
-// Guards against an endpoint that said that it leaves in what the store lost, and is ready in the copy.
+// Guards against requests to a leaving endpoint whose leaving entry is lost in a restore, while
+// the copy lists the endpoint as ready.
 func TestEndpointSeenLeavingStaysLeavingAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
@@ -142,7 +147,8 @@
 	s.c.Check(served, qt.Equals, all)
 }
 
-// Guards against endpoints that came up in what the store lost, and are taken for gone until they write their entries again.
+// Guards against endpoints that are dropped after a restore from a copy without their entries,
+// until the endpoints write these again.
 func TestEndpointsAreKeptWhileTheirEntriesAreLost(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
@@ -154,7 +160,8 @@
 	}
 }
 
-// Guards against VMs that start on an older copy of the store and go by an older configuration than their peers.
+// Guards against a VM that starts on a restored store and applies an older configuration than
+// its peers have.
 func TestNewestConfigurationSurvivesStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
@@ -165,12 +172,12 @@
 		s.site.Store.Put("op/config", ggsfakesite.Config(5, "/talk/"))
 		s.site.Store.Put("op/version/m.a7", []byte(`{"model":"m","adapter":"a7","version":2}`))
 		for n := range s.edges {
-			s.eventually("the newest is in force", func() bool { return served(n, "/talk/x", "") })
+			s.eventually("the newest configuration is in force", func() bool { return served(n, "/talk/x", "") })
 		}
 	})
 	s.startEdgeWith(t, len(s.edges), func(c *ggsdialect.Settings) { c.FirstStart = false })
 	last := len(s.edges) - 1
-	s.eventually("the newest is in force at a VM that starts", func() bool { return served(last, "/talk/x", "") })
+	s.eventually("the newest configuration is in force at a VM that starts", func() bool { return served(last, "/talk/x", "") })
 	for n := range s.edges {
 		s.c.Check(served(n, "/chat/x", ""), qt.IsFalse, qt.Commentf("edge %d", n))
 	}
@@ -184,16 +191,17 @@
 	})
 	s.site.Store.Put("op/config", ggsfakesite.Config(6, "/speak/"))
 	for n := range s.edges {
-		s.eventually("the operator's next is in force", func() bool { return served(n, "/speak/x", "") })
+		s.eventually("the operator's next configuration is in force", func() bool { return served(n, "/speak/x", "") })
 	}
 }
 
-// Guards against callers that are refused or lost, and work that runs twice, while VMs read a store anew.
+// Guards against refused or lost callers and requests that run twice while VMs resync with a
+// restored store.
 func TestCallersAreServedDuringStoreRestore(t *testing.T) {
 	t.Parallel()
 	const (
 		length = 10 * time.Second
-		// least is the share of callers that are served.
+		// minServedShare is the least share of callers to be served.
 		minServedShare = 0.98
 	)
 	s := startSite(t, 3)
--- a/cmd/ggsnode/edge_hangup_test.go
+++ b/cmd/ggsnode/edge_hangup_test.go
@@ -11,13 +11,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Guards against a process that a hang-up ends because it arrives while the process starts.
+// Guards against a SIGHUP that ends the process, because it arrives before the process
+// installs its handler.
 func TestHangupWhileStartingDoesNotEndTheProcess(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	ctx, cancel := context.WithTimeout(context.Background(), soakRecoveryBound)
 	defer cancel()
-	// Reading the settings waits until somebody writes them.
+	// The process blocks on reading the FIFO until the test writes the settings.
 	settings := filepath.Join(t.TempDir(), "settings.yaml")
 	c.Assert(syscall.Mkfifo(settings, 0o600), qt.IsNil)
 	cmd := exec.CommandContext(ctx, os.Args[0])
@@ -31,6 +32,6 @@
 	_, err = f.WriteString("nodeName: [\n")
 	c.Assert(err, qt.IsNil)
 	c.Assert(f.Close(), qt.IsNil)
-	_ = cmd.Wait() // the code tells how it ended
+	_ = cmd.Wait() // the exit code is checked below
 	c.Assert(cmd.ProcessState.ExitCode(), qt.Equals, 2)
 }
--- a/cmd/ggsnode/edge_leaving_test.go
+++ b/cmd/ggsnode/edge_leaving_test.go
@@ -8,20 +8,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// drainTime is the time within which a leaving endpoint is to get nothing new.
+// drainTime is the time after which a leaving endpoint must get no new requests.
 const drainTime = 2500 * time.Millisecond
 
-// Guards against requests to an endpoint whose answers say that it leaves, while its entry says nothing.
+// Guards against requests to an endpoint whose answers report that it is leaving, while its
+// entry in the store doesn't.
 func TestEndpointLeavingInAnswersGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		endpoint, method, path, model string
 		storeUnavailable              bool
 	}{
-		"plain service, store away":   {endpoint: "ledger-0", method: http.MethodGet, path: "/look/1", storeUnavailable: true},
-		"plain service, stale entry":  {endpoint: "ledger-0", method: http.MethodGet, path: "/look/1"},
-		"model engine, store away":    {endpoint: "runner-00", method: http.MethodPost, path: "/chat/1", model: "m/a1", storeUnavailable: true},
-		"model engine, a stale entry": {endpoint: "runner-00", method: http.MethodPost, path: "/chat/1", model: "m/a1"},
+		"plain service, store unavailable": {endpoint: "ledger-0", method: http.MethodGet, path: "/look/1", storeUnavailable: true},
+		"plain service, stale entry":       {endpoint: "ledger-0", method: http.MethodGet, path: "/look/1"},
+		"model engine, store unavailable":  {endpoint: "runner-00", method: http.MethodPost, path: "/chat/1", model: "m/a1", storeUnavailable: true},
+		"model engine, a stale entry":      {endpoint: "runner-00", method: http.MethodPost, path: "/chat/1", model: "m/a1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/ggsnode/edge_limit_test.go
+++ b/cmd/ggsnode/edge_limit_test.go
@@ -13,16 +13,16 @@
 	"greengageslip/fakes/ggsfakesite"
 )
 
-// retryAfter returns the wait that a refusal asks for.
+// retryAfter returns the duration of a refusal's Retry-After header.
 func (s *siteTest) retryAfter(r reply) time.Duration {
 	f, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 	s.c.Check(err, qt.IsNil)
 	return time.Duration(f * float64(time.Second))
 }
 
-// callSteadily has each edge called once in every interval until the time is over. Callers
-// that are refused come back once when they were told to. It returns the number of callers
-// that were answered 200, and that of all.
+// callSteadily calls each edge once per interval for the given length. Each caller that gets 503
+// retries once after the Retry-After time. It returns the number of callers that got a complete
+// answer with status 200, and the number of all callers.
 func (s *siteTest) callSteadily(method, path, model string, interval, length time.Duration) (ok, all int) {
 	var served, sent atomic.Int64
 	var calls sync.WaitGroup
@@ -42,7 +42,7 @@
 						served.Add(1)
 						return
 					}
-					s.c.Logf("edge %d answered %d: %s", n, r.status, r.body)
+					s.c.Logf("edge %d answered with status %d: %s", n, r.status, r.body)
 				})
 			}
 		})
@@ -51,7 +51,8 @@
 	return int(served.Load()), int(sent.Load())
 }
 
-// mostWithin returns the most arrivals within a window that begins after a time.
+// maxArrivalsWithin returns the greatest number of arrivals within any window that begins at or
+// after from.
 func maxArrivalsWithin(arrivals []ggsfakesite.Arrival, from time.Time, window time.Duration) int {
 	most := 0
 	for i, first := range arrivals {
@@ -72,13 +73,14 @@
 const (
 	testLimit   = 5.0
 	limitWindow = 4 * time.Second
-	// limitSettles is the time in which all VMs are to follow a limit.
+	// limitSettleTime is the time within which all VMs must apply a limit.
 	limitSettleTime = 3 * time.Second
-	// limitMost is what an endpoint may get within limitWindow.
+	// limitMaxArrivals is the greatest number of requests allowed within limitWindow.
 	limitMaxArrivals = int(1.5*testLimit*4) + 5
 )
 
-// Guards against an endpoint that names a rate limit getting its usual load, from several VMs together.
+// Guards against an endpoint that has announced a rate limit and still gets its usual load from
+// all VMs together.
 func TestRateLimitOfAnEndpointHoldsForAllVMsTogether(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -95,7 +97,7 @@
 			begun := time.Now()
 			served, all := s.callSteadily(tc.method, tc.path, tc.model, 50*time.Millisecond, limitSettleTime+2*limitWindow)
 			most := maxArrivalsWithin(e.Arrivals(), begun.Add(limitSettleTime), limitWindow)
-			s.c.Check(most <= limitMaxArrivals, qt.IsTrue, qt.Commentf("%d requests in %s, %d allowed", most, limitWindow, limitMaxArrivals))
+			s.c.Check(most <= limitMaxArrivals, qt.IsTrue, qt.Commentf("got %d requests in %s, %d allowed", most, limitWindow, limitMaxArrivals))
 			s.c.Check(served, qt.Equals, all)
 		})
 	}
--- a/cmd/ggsnode/edge_retryafter_test.go
+++ b/cmd/ggsnode/edge_retryafter_test.go
@@ -12,13 +12,13 @@
 
 const (
 	testRetryAfter = 3 * time.Second
-	// retryAfterSettles is the time in which requests that are on their way arrive.
+	// retryAfterSettleTime is the time within which requests already in flight arrive.
 	retryAfterSettleTime = 500 * time.Millisecond
-	// retryAfterMost is what an endpoint may get from a VM all the same.
+	// retryAfterMaxRequests is the number of requests tolerated from each VM during the wait.
 	retryAfterMaxRequests = 2
 )
 
-// Guards against requests to an endpoint that refused one and asked for nothing until later.
+// Guards against requests to an endpoint during the Retry-After time of its refusal.
 func TestEndpointGetsNoRequestsDuringRetryAfter(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -47,7 +47,7 @@
 					early++
 				}
 			}
-			s.c.Check(early <= retryAfterMaxRequests*len(s.edges), qt.IsTrue, qt.Commentf("%d", early))
+			s.c.Check(early <= retryAfterMaxRequests*len(s.edges), qt.IsTrue, qt.Commentf("%d requests during the wait", early))
 			s.c.Check(again > 0, qt.IsTrue, qt.Commentf("no request after the wait"))
 			s.c.Check(served+later, qt.Equals, all+laterAll)
 		})
--- a/cmd/ggsnode/edge_store_test.go
+++ b/cmd/ggsnode/edge_store_test.go
@@ -17,8 +17,8 @@
 	"greengageslip/fakes/ggsfakesite"
 )
 
-// An operator names a new version of an adapter. Requests that begin after it is
-// known run on it.
+// Guards against requests that run on an old version of an adapter after an operator has set a
+// new one.
 func TestNewVersionOfAnAdapterIsServed(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -45,15 +45,15 @@
 	})
 }
 
-// A configuration moves a route. It is in force at once, and an older one that
-// arrives later changes nothing.
+// Guards against a configuration that takes effect late, and against an older or unreadable one
+// that replaces it.
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
 	served := func(path string) bool { return s.call(0, http.MethodPost, path, "", "Hola").status == http.StatusOK }
-	s.eventually("the first is in force", func() bool { return served("/chat/x") })
+	s.eventually("the first configuration is in force", func() bool { return served("/chat/x") })
 	s.site.Store.Put("op/config", ggsfakesite.Config(5, "/talk/"))
-	s.eventually("the second is in force", func() bool { return served("/talk/x") })
+	s.eventually("the second configuration is in force", func() bool { return served("/talk/x") })
 	for name, value := range map[string][]byte{"older": ggsfakesite.Config(3, "/chat/"), "unreadable": []byte("{")} {
 		s.site.Store.Put("op/config", value)
 		s.site.Store.Compact()
@@ -63,9 +63,9 @@
 	}
 }
 
-// One VM reads the list of endpoints for all and tells the others what has
-// changed. When the VMs read at long intervals that had fallen into step, a
-// leaving ledger went on getting requests for 4 s.
+// Guards against requests to a leaving endpoint. One VM reads the list of endpoints for all and
+// sends changes to the others: when the VMs read it themselves at long, synchronized intervals,
+// a leaving endpoint got requests for 4 s more.
 func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 3)
@@ -79,14 +79,14 @@
 		}
 	}
 	s.c.Assert(s.site.Endpoints["ledger-0"].Runs(), qt.HasLen, ran)
-	// Three VMs read their own records once a second each, and the list of
-	// endpoints once a second together.
+	// Each of three VMs reads its own records once per second; the list of endpoints is read
+	// once per second in total.
 	calls := s.site.Store.Calls("/greengageslip/kv-range") - before
-	s.c.Assert(calls < 20, qt.IsTrue, qt.Commentf("%d readings", calls))
+	s.c.Assert(calls < 20, qt.IsTrue, qt.Commentf("%d reads", calls))
 }
 
-// The store is away. What is resident is served on, and a change that was made
-// meanwhile is in force once it is back.
+// Guards against resident adapters that aren't served while the store is unavailable, and
+// against a change made meanwhile that isn't applied once the store is reachable again.
 func TestStoreUnavailable(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -104,8 +104,8 @@
 	s.eventually("the change is in force", func() bool { return served("/talk/x") })
 }
 
-// A VM starts while the store is away and knows no configuration. It says so,
-// and that nothing has run.
+// Guards against a VM that reports ready or answers with anything but 503 before it has a
+// configuration, because the store is unavailable at its start.
 func TestNoConfigurationYet(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 0)
@@ -120,9 +120,8 @@
 	s.c.Assert(s.ready(0), qt.Equals, http.StatusServiceUnavailable)
 }
 
-// The store is away while VMs are restarted one after the other. Each came back
-// without a configuration, and when the last had been restarted nobody was
-// served any more. A VM that starts asks another for what it goes by.
+// Guards against a rolling restart during a store outage that leaves all VMs without a
+// configuration. A VM that starts reads the state of a peer instead.
 func TestStartWhileTheStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -139,9 +138,9 @@
 	})
 }
 
-// A VM is restarted while the store is away, and learns from another that it gave
-// its runner orders before. The worker that it started for the runner ended with
-// the question to the other VM, 0.7 s later, and the runner got no orders again.
+// Guards against a runner that gets no orders after a VM restarts during a store outage. The VM
+// learns of its ownership from a peer; the runner's worker was bound to the context of that call
+// and ended with it after 0.7 s.
 func TestOrdersContinueAfterAStartWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
@@ -163,8 +162,8 @@
 	})
 }
 
-// A planned stop: the process says that it isn't ready, and the stream that it
-// is relaying ends whole.
+// Guards against a planned stop that cuts off a relayed stream or leaves the process reporting
+// ready.
 func TestPlannedStopCompletesStreams(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -176,15 +175,14 @@
 	r := <-done
 	s.c.Assert(r.status, qt.Equals, http.StatusOK)
 	s.c.Assert(r.complete, qt.IsTrue)
-	s.eventually("it isn't ready", func() bool {
+	s.eventually("the edge isn't ready", func() bool {
 		return s.ready(0) != http.StatusOK
 	})
 }
 
-// A VM's release of its runners takes effect seconds late, after its next process
-// has beaten and orders again. Another VM would claim them a turn after the
-// release, while the first may still order: so a release holds only while no
-// later beat was written.
+// Guards against two VMs giving orders: a release of runners that takes effect late, after the
+// VM's next process orders again, lets another VM claim them. The release therefore holds only
+// while the VM has written no later heartbeat.
 func TestReleaseIsConditionalOnTheLastHeartbeat(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -195,9 +193,8 @@
 	s.c.Assert(s.site.Store.Conditions(), qt.Contains, "greengageslip/vm/edge-0@"+s.edges[0].settings.Addr.String())
 }
 
-// Bytes that look like a second request stand inside another's body, or behind
-// one whose length is told in two ways. An endpoint must never see them as a
-// request of their own.
+// Guards against request smuggling: bytes in a body, or behind a request with ambiguous length,
+// that an endpoint parses as a request of their own.
 func TestSmuggledRequestsReachNoEndpoint(t *testing.T) {
 	t.Parallel()
 	inner := "POST /pay/2 HTTP/1.1\r\nHost: " + ggsfakesite.Host + "\r\nRequest-Id: smuggled\r\nContent-Length: 0\r\n\r\n"
--- a/cmd/ggsnode/edge_test.go
+++ b/cmd/ggsnode/edge_test.go
@@ -24,13 +24,13 @@
 	ggsdialect "greengageslip/platform"
 )
 
-// A siteTest is a site with edges in front of it, all in this process.
+// A siteTest is a fake site with edges in front of it, all in the test's process.
 type siteTest struct {
 	c     *qt.C
 	site  *ggsfakesite.Site
 	edges []*edgeTest
 	ids   atomic.Int64
-	// network is the third number of the site's addresses.
+	// network is the third octet of the site's addresses.
 	network byte
 }
 
@@ -43,8 +43,8 @@
 // waitTime bounds each wait for an event.
 const waitTime = 20 * time.Second
 
-// startSite starts a site in two zones with so many edges, and waits until they
-// are ready and all runners have someone who gives them orders.
+// startSite starts a site in two zones with the given number of edges, and waits until all edges
+// are ready and know the owner of each runner.
 func startSite(t *testing.T, edges int) *siteTest {
 	t.Helper()
 	c := qt.New(t)
@@ -67,13 +67,13 @@
 		s.eventually("edge is ready", func() bool { return s.ready(n) == http.StatusOK })
 	}
 	for n := range s.edges {
-		s.eventually("the edge knows who gives orders", func() bool { return s.knownOwners(n) == 2 })
+		s.eventually("the edge knows all owners", func() bool { return s.knownOwners(n) == 2 })
 	}
 	return s
 }
 
-// freeNetwork returns the third number of loopback addresses that no other test uses, also of
-// another checkout, until the test's end.
+// freeNetwork reserves a third octet of loopback addresses until the test's end, exclusive of
+// all tests on the machine, including those of other checkouts.
 func freeNetwork(t *testing.T) byte {
 	t.Helper()
 	const claimPort = 6999
@@ -85,7 +85,7 @@
 			return n
 		}
 	}
-	t.Fatal("no free loopback addresses")
+	t.Fatal("no free loopback network in 127.9.0.0/16")
 	return 0
 }
 
@@ -94,7 +94,7 @@
 	s.startEdgeWith(t, n, func(*ggsdialect.Settings) {})
 }
 
-// startEdgeWith starts an edge with its settings changed.
+// startEdgeWith starts an edge with settings modified by change.
 func (s *siteTest) startEdgeWith(t *testing.T, n int, change func(*ggsdialect.Settings)) {
 	t.Helper()
 	ip := netip.AddrFrom4([4]byte{127, 9, s.network, byte(10 + n)})
@@ -125,14 +125,13 @@
 	deadline := time.Now().Add(waitTime)
 	for !ok() {
 		if time.Now().After(deadline) {
-			s.c.Fatalf("waited in vain: %s", what)
+			s.c.Fatalf("timed out waiting: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// orderers returns the number of runners of which an edge knows who gives them
-// orders.
+// knownOwners returns the number of runners whose owner an edge knows.
 func (s *siteTest) knownOwners(n int) int {
 	known := 0
 	for _, e := range s.state(n).Endpoints {
@@ -143,7 +142,7 @@
 	return known
 }
 
-// state returns what an edge goes by, empty where it doesn't answer.
+// state returns the state of an edge, or an empty state if the edge doesn't answer.
 func (s *siteTest) state(n int) ggsedge.State {
 	r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+s.edges[n].settings.Ready.String()+"/state", nil)
 	s.c.Assert(err, qt.IsNil)
@@ -172,7 +171,7 @@
 	return resp.StatusCode
 }
 
-// A reply is what a caller got. Whole is false where the answer broke off.
+// A reply is a caller's answer; complete is false if the answer was cut off.
 type reply struct {
 	id       string
 	status   int
@@ -205,8 +204,7 @@
 	return reply{id: id, status: resp.StatusCode, body: string(b), header: resp.Header, complete: err == nil}
 }
 
-// setFault sets what goes wrong at all endpoints of a service, by the first
-// letters of their names.
+// setFault sets the fault of all endpoints whose names have a prefix.
 func (s *siteTest) setFault(prefix string, f func(ggsfakesite.Query) ggsfakesite.Fault) {
 	for id, e := range s.site.Endpoints {
 		if strings.HasPrefix(id, prefix) {
@@ -219,7 +217,7 @@
 	return func(ggsfakesite.Query) ggsfakesite.Fault { return f }
 }
 
-// first fails the first request that an endpoint gets.
+// failFirst applies a fault to the first request only.
 func failFirst(f ggsfakesite.Fault) func(ggsfakesite.Query) ggsfakesite.Fault {
 	var seen atomic.Bool
 	return func(ggsfakesite.Query) ggsfakesite.Fault {
@@ -239,7 +237,7 @@
 	s.c.Assert(strings.Count(r.body, "data: "+r.id), qt.Equals, 6)
 	s.c.Assert(r.header.Get("Server-Stamp"), qt.Not(qt.Equals), "")
 
-	// The other VM finds it where it is.
+	// The other VM routes to the endpoint where the adapter is resident.
 	other := s.call(1, http.MethodPost, "/chat/x", "m/a7", "Hola")
 	s.c.Assert(other.header.Get("Server-Stamp"), qt.Equals, r.header.Get("Server-Stamp"))
 
@@ -281,8 +279,8 @@
 	s.c.Assert(s.site.Runs()[r.id], qt.Equals, 0)
 }
 
-// A burst brings more requests than the process can hold. It refuses the rest at
-// once, and goes on serving those that it has.
+// Guards against a burst that exhausts the process's file descriptors. The process refuses the
+// excess at once and continues with the requests in flight.
 func TestBurstIsRefusedBeforeTheProcessIsFull(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 0)
@@ -308,9 +306,8 @@
 	s.c.Assert(ran > 0, qt.IsTrue)
 }
 
-// A deposit release reaches the ledger, which runs it; its answer is lost. Sent
-// again, the landlord would be paid twice; answered "not run", the caller would
-// send it again.
+// Guards against an unsafe request that runs twice: its endpoint runs it and the answer is lost.
+// A retry, or an answer that says that it hasn't run and makes the caller retry, runs it again.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakesite.Fault{
@@ -329,8 +326,8 @@
 	}
 }
 
-// A balance lookup meets an instance that fails. It may run twice, so the caller
-// gets the other instance's answer.
+// Guards against a safe request that fails with its first instance: it may run twice, so it is
+// retried at another instance.
 func TestSafeRequestGoesToAnotherInstance(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakesite.Fault{
@@ -351,8 +348,8 @@
 	}
 }
 
-// A lookup fails at an instance, and the other one has no room. The caller got
-// "502, it may have run" of the system's own in place of the first's answer.
+// Guards against a generated 502 in place of the first instance's answer, if a safe request
+// fails there and the retry is refused or fails too.
 func TestFirstFailureIsReturnedWhenTheRetryFails(t *testing.T) {
 	t.Parallel()
 	for name, other := range map[string]ggsfakesite.Fault{
@@ -377,8 +374,7 @@
 	}
 }
 
-// Every instance fails a release: the caller gets the instance's own answer, as
-// it came.
+// Guards against a changed or replaced answer if an instance itself answers with a failure.
 func TestEndpointsFailureIsPassedOn(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -389,8 +385,8 @@
 	s.c.Assert(r.header.Get("Server-Stamp"), qt.Not(qt.Equals), "")
 }
 
-// A runner crashes in the middle of a stream. The caller must not take what it
-// has for the whole answer.
+// Guards against a cut stream that its caller takes for complete, if a runner crashes in the
+// middle.
 func TestBrokenStreamIsIncompleteForTheCaller(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -400,8 +396,8 @@
 	s.c.Assert(r.complete, qt.IsFalse)
 }
 
-// A caller closes its connection while its request runs. The runner went on for
-// nobody until the request's deadline.
+// Guards against a run that continues until the request's deadline after its caller has closed
+// the connection.
 func TestRunEndsWhenItsCallerLeaves(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -421,8 +417,8 @@
 	})
 }
 
-// An instance answers nothing. The caller learns at the route's time limit that
-// its release may have run, and not that it hasn't.
+// Guards against an answer that says that a request hasn't run if its instance doesn't answer
+// within the route's timeout: the request may have run.
 func TestRouteTimeoutOfARunningRequest(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
--- a/cmd/ggsnode/fault_endpoint_test.go
+++ b/cmd/ggsnode/fault_endpoint_test.go
@@ -11,12 +11,12 @@
 	"greengageslip/fakes/ggsfakeengine"
 )
 
-// leavingWithin is how soon an endpoint that leaves gets no new work.
+// leavingBound limits the time until a dispatcher knows that an endpoint is leaving.
 const leavingBound = 3 * time.Second
 
-// The platform listed a runner as leaving, and some seconds later it was taken
-// away beneath requests that had been sent to it after that. Or its running
-// ones were cut off although it was still there.
+// Guards against requests that are dispatched to a runner after the platform has listed it as
+// leaving, and are cut off when its VM is removed; and against running requests that are cut off
+// while the VM still exists.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -39,7 +39,7 @@
 	b.vms[leaving].State = ggscore.VMLeaving
 	b.platform.SetVMs(append([]ggscore.VM(nil), b.vms...))
 	listed := time.Now()
-	b.eventually("the dispatcher knows", func() bool { return b.leaving(d, string(b.vms[leaving].ID)) })
+	b.eventually("the dispatcher knows that the endpoint is leaving", func() bool { return b.leaving(d, string(b.vms[leaving].ID)) })
 	c.Assert(time.Since(listed) < leavingBound, qt.IsTrue, qt.Commentf("%s", time.Since(listed)))
 
 	for i := range 12 {
@@ -52,9 +52,8 @@
 	c.Assert(engines[leaving].Stats().Done, qt.Equals, started)
 }
 
-// A runner restarted with nothing loaded, and the first loads after that
-// failed. Requests for its adapters were refused for good, or sent to it as if
-// the loads had succeeded, or answered by another adapter.
+// Guards against requests that are refused for good, dispatched without their adapter or answered
+// by another adapter, after a runner has restarted empty and its first loads fail.
 func TestEngineRestartsAndLoadsFail(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -73,7 +72,7 @@
 	for i := range 2 {
 		calls = append(calls, b.startChat(g, models[i], 5))
 	}
-	b.eventually("two requests wait", func() bool { return b.jobCount(d, "queued") == 2 })
+	b.eventually("two requests are queued", func() bool { return b.jobCount(d, "queued") == 2 })
 	e.SetFaults(ggsfakeengine.Faults{LoadFails: 3, LoseOrderAnswers: 1})
 	e.Restart()
 	for i := range 6 {
--- a/cmd/ggsnode/fault_gateway_test.go
+++ b/cmd/ggsnode/fault_gateway_test.go
@@ -20,12 +20,12 @@
 	"greengageslip/io/ggswire"
 )
 
-// linkPort is where links stand in for what they lead to.
+// linkPort is the port of the proxy links.
 const linkPort = 7400
 
-// A gateway's VM was lost while it relayed answers. Its requests held their
-// slots to ends that nobody read, so that others' callers waited; and a release
-// that was in progress was paid again when its caller repeated it elsewhere.
+// Guards against requests of a lost gateway that keep their slots until their unread answers
+// end, and against a non-idempotent call in progress that runs again when its caller repeats it
+// at another gateway.
 func TestGatewayKilled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -57,20 +57,19 @@
 	b.requireComplete(b.startChat(other, "deposits@v1", 5))
 }
 
-// A switch between gateway and dispatcher failed for a moment while an answer
-// was relayed. The caller's sentence lacked some words, or had some twice, or
-// ended short and looked whole.
+// Guards against an answer with missing or repeated chunks, or a truncated one that looks
+// complete, if the link between gateway and dispatcher fails while the answer is relayed.
 func TestCutBetweenGatewayAndDispatcher(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		fault ggsfakelink.Faults
-		// heals says that the link is good again while the gateway still tries.
+		// recovers reports whether the link works again while the gateway still retries.
 		recovers bool
 		want     string
 	}{
-		"broken for a moment":  {ggsfakelink.Faults{Refuse: true}, true, "done"},
-		"stalled for a moment": {ggsfakelink.Faults{Stall: true}, true, "done"},
-		"broken for long":      {ggsfakelink.Faults{Refuse: true}, false, "unknown"},
+		"refused briefly":  {ggsfakelink.Faults{Refuse: true}, true, "done"},
+		"stalled briefly":  {ggsfakelink.Faults{Stall: true}, true, "done"},
+		"refused for long": {ggsfakelink.Faults{Refuse: true}, false, "unknown"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -88,7 +87,7 @@
 			c.Assert(strings.HasPrefix(first, "data: "), qt.IsTrue)
 			l.SetFaults(tc.fault)
 			if tc.recovers {
-				// What the engine made during the cut waits at the dispatcher.
+				// The dispatcher buffers the chunks that the engine sends during the cut.
 				b.eventually("the engine ends the run", func() bool { return e.Stats().Done == 1 && b.counter(d, "done") == 1 })
 				l.SetFaults(ggsfakelink.Faults{})
 			}
@@ -105,8 +104,8 @@
 	}
 }
 
-// askRead sends a streamed chat request and returns once its first line is
-// here; the rest is read in the background.
+// startChatStream sends a streamed chat request and returns after its first line; the rest is
+// read in the background.
 func (b *testDeployment) startChatStream(g *node, model string, tokens int) (k *call, first string) {
 	b.c.Helper()
 	k = &call{model: model, tokens: tokens, done: make(chan reply, 1)}
@@ -140,14 +139,14 @@
 	select {
 	case first = <-lines:
 	case <-ctx.Done():
-		b.c.Fatalf("waited in vain for an answer's first line")
+		b.c.Fatalf("timed out waiting for an answer's first line")
 	}
 	return k, first
 }
 
-// A dispatcher was so busy that a gateway gave a submission up, withdrew it
-// over a new connection and told the caller that it had not run. Then the first
-// submission came out of a socket's buffer, and the release ran.
+// Guards against a withdrawn request that runs. A gateway abandons a submission to an overloaded
+// dispatcher, withdraws it over a new connection and answers notRun; then the dispatcher reads
+// the submission from the buffer of the first connection.
 func TestLateSubmissionOfWithdrawnRequest(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -179,7 +178,7 @@
 	c.Assert(f != nil, qt.IsTrue)
 	c.Assert(f.Outcome, qt.Equals, ggscore.OutcomeNotRun)
 
-	// What is submitted behind it runs, and the late copy has not.
+	// Later requests run, and the withdrawn request has not run.
 	r := b.await(b.startRelease(g, newKey()))
 	c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%s", r.text))
 	b.requireComplete(b.startChat(g, "deposits@v1", 5))
--- a/cmd/ggsnode/fault_owner_test.go
+++ b/cmd/ggsnode/fault_owner_test.go
@@ -17,13 +17,12 @@
 	"greengageslip/io/ggsengine"
 )
 
-// slowTokens makes answers long enough that a fault falls into them.
+// slowTokens makes answers long enough that a fault occurs during them.
 func slowTokens(o *ggsfakeengine.Options) { o.TokenInterval = 10 * time.Millisecond }
 
-// The VM of an endpoints' owner was lost while callers read their answers.
-// Some took the first half of an answer for the whole, the next owner evicted
-// adapters that the lost one's runs still used, and a release that was in
-// progress was paid a second time when its caller repeated it.
+// Guards against three failures if an owner is lost while it relays answers: truncated answers
+// that look complete, a next owner that evicts adapters that runs of the lost owner still use,
+// and a non-idempotent call in progress that runs again when its caller repeats it.
 func TestOwnerKilled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -45,7 +44,7 @@
 	for i := range 4 {
 		calls = append(calls, b.startChat(g, []string{"deposits@v1", "deposits@v2"}[i%2], 5))
 	}
-	b.eventually("four requests run and four wait", func() bool {
+	b.eventually("four requests run and four are queued", func() bool {
 		return b.jobCount(&first.node, "queued") == 4 && runsOf(ledger, key) == 1
 	})
 	first.signal(syscall.SIGKILL)
@@ -73,10 +72,9 @@
 	c.Check(e.Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
-// The process of an endpoints' owner was frozen past its lease and another
-// dispatcher took over. When the first woke, it went on where it had stopped:
-// it evicted an adapter that the new owner's requests were using, and sent
-// releases that their callers had meanwhile repeated at another gateway.
+// Guards against an owner that resumes after a freeze longer than its lease, when another has
+// taken over, and acts on its old state: it evicts an adapter in use by the new owner's requests,
+// or sends non-idempotent calls that callers have meanwhile repeated at another gateway.
 func TestFrozenOwnerResumes(t *testing.T) {
 	t.Parallel()
 	for name, checks := range map[string]bool{"engines check fences": true, "engines ignore fences": false} {
@@ -102,8 +100,8 @@
 	g := b.gateway(1, "a")
 	ledger.SetFaults(ggsfakeplain.Faults{Slow: 3 * time.Second})
 
-	// At the freeze, both adapters are in use, a third is to be loaded, and a
-	// fifth release waits behind four that run.
+	// At the freeze, both adapters are in use, the load of a third is pending, and a fifth
+	// release is queued behind four running ones.
 	calls := []*call{
 		b.startChat(g, "deposits@v1", 450), b.startChat(g, "deposits@v1", 450),
 		b.startChat(g, "disputes@v7", 150), b.startChat(g, "disputes@v7", 150),
@@ -116,18 +114,18 @@
 		keys = append(keys, newKey())
 		releases = append(releases, b.startRelease(g, keys[i]))
 	}
-	// A release whose claim is only being written at the freeze may end without
-	// a run. Here the four of them have begun.
-	b.eventually("requests run and wait at the first owner", func() bool {
+	// A release whose claim is still being written at the freeze may end without a run, so the
+	// freeze comes after the four releases have started.
+	b.eventually("requests run and are queued at the first owner", func() bool {
 		return len(ledger.Runs()) == 4 && b.jobCount(&first.node, "queued") == 4
 	})
 	first.signal(syscall.SIGSTOP)
 	ledger.SetFaults(ggsfakeplain.Faults{})
 	b.eventually("the other dispatcher takes over", func() bool { return b.ownsAll(second) })
 
-	// A gateway that starts now knows of the new owner alone. Of the adapters
-	// that the frozen one's runs use, deposits@v1 is idle at the new owner, and
-	// a third adapter is asked for.
+	// A gateway that starts now knows only the new owner. The frozen owner's runs use
+	// deposits@v1, which is idle at the new owner, while the new owner needs a slot for a third
+	// adapter.
 	other := b.gateway(2, "a")
 	for range 2 {
 		calls = append(calls, b.startChat(other, "disputes@v7", 300))
@@ -162,7 +160,7 @@
 	c.Check(e.Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
-// A gate is a weight store that gives nothing until it is opened.
+// A blockedFetcher is a weight store whose fetches block until opened is closed.
 type blockedFetcher struct{ opened chan struct{} }
 
 // Fetch implements ggsfakeengine.Fetcher.
@@ -175,10 +173,9 @@
 	}
 }
 
-// An owner had ordered an eviction, which waited behind a slow load when its
-// process was frozen. Another took over and ran requests on that adapter. The
-// first woke, the load ended, and the eviction went out beneath those requests:
-// the engine had seen no greater fencing number yet, so that it obeyed.
+// Guards against a stale eviction: it is queued behind a slow load when its owner freezes, and is
+// sent after another owner has taken over and runs requests on the adapter. The engine has seen
+// no greater fencing token yet and obeys.
 func TestFrozenOwnersQueuedOrder(t *testing.T) {
 	t.Parallel()
 	for name, checks := range map[string]bool{"engines check fences": true, "engines ignore fences": false} {
@@ -212,7 +209,7 @@
 	b.requireComplete(b.startChat(g, "disputes@v7", 5))
 
 	b.startChatAt(g, "resumenes", "deposits@v1", 5)
-	b.eventually("a load is under way", func() bool { return len(slow.Resident()) == 0 && b.loading(&first.node, "runner-2") })
+	b.eventually("a load is in progress", func() bool { return len(slow.Resident()) == 0 && b.loading(&first.node, "runner-2") })
 	waiting := b.startChat(g, "deposits@v2", 5)
 	b.eventually("an eviction is ordered", func() bool { return b.residentCount(&first.node, "runner-1") == 1 })
 	first.signal(syscall.SIGSTOP)
@@ -235,9 +232,9 @@
 	c.Check(e.Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
-// A new owner took an adapter for idle, since the engine's reports lag, and
-// evicted it beneath a run of the frozen owner, whose connection still stood.
-// The caller's answer broke off in the middle.
+// Guards against a new owner that evicts an adapter in use by a run of the frozen owner, whose
+// connection is still open, because the engine's lagging reports show the adapter idle. The
+// caller's answer is cut off.
 func TestNewOwnerKeepsAdaptersOfFrozenOwner(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -261,12 +258,12 @@
 
 	k := b.startChat(g, "deposits@v1", 350)
 	b.waitStarted(e, 2)
-	b.eventually("the run is known", func() bool { return b.jobCount(&first.node, "running") == 1 })
+	b.eventually("the run is reported", func() bool { return b.jobCount(&first.node, "running") == 1 })
 	first.signal(syscall.SIGSTOP)
 	b.eventually("the other dispatcher takes over", func() bool { return b.ownsAll(second) })
 	other := b.gateway(2, "a")
 	wanted := b.startChat(other, "deposits@v2", 5)
-	b.eventually("another adapter is asked for", func() bool { return b.counter(second, "submitted") > 0 })
+	b.eventually("another adapter is requested", func() bool { return b.counter(second, "submitted") > 0 })
 	b.requireComplete(b.startChat(other, "deposits@v1", 5))
 	first.signal(syscall.SIGCONT)
 	b.requireComplete(k)
--- a/cmd/ggsnode/fault_platform_test.go
+++ b/cmd/ggsnode/fault_platform_test.go
@@ -19,16 +19,15 @@
 
 const (
 	balancePath = "/v1/services/custodia/balance"
-	// refusedWithin is how soon what can't be done is refused.
+	// refusalBound limits the time until a request that can't run is refused.
 	refusalBound = 3 * time.Second
-	// inForceWithin is how soon an accepted change is in force after a cut.
+	// applyBound limits the time from the end of a cut until an accepted change is in force.
 	applyBound = 3 * time.Second
 )
 
-// A failure domain lost its link to the platform for longer than its owners'
-// leases. Lookups on adapters that were resident were refused with everything
-// else, a release ran without a claim or was held back for long, and after the
-// link was good again the domain went on with its old document.
+// Guards against three failures if a failure domain loses its link to the platform for longer
+// than its leases: refused requests on resident adapters, calls that run without a claim or aren't
+// refused at once, and an outdated document after the link has recovered.
 func TestDomainCutOffFromPlatform(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakelink.Faults{
@@ -69,9 +68,8 @@
 	}
 }
 
-// The platform was away for all domains and for longer than any lease. All
-// domains stopped with it; and a gateway or dispatcher that was replaced
-// meanwhile had no document and served nobody.
+// Guards against a platform outage, longer than any lease, that stops all domains, and against
+// gateways and dispatchers started during the outage that get no document and serve no requests.
 func TestPlatformUnavailableForAllDomains(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakeplatform.Faults{
@@ -99,8 +97,8 @@
 				b.checkServedWithoutPlatform(g, ledger, key)
 			}
 
-			// A dispatcher that starts now has only its settings' seed, and a
-			// gateway only that dispatcher: document and list come from peers.
+			// A dispatcher that starts now knows only the seed of its settings, and a gateway
+			// only that dispatcher, so document and list come from peers.
 			late := b.dispatcher(3, "a", shortLease, fmt.Sprintf("dispatchers = [%q]", nodes[0].addr))
 			b.eventually("the dispatcher has the document", func() bool { return b.counter(late, "revision") == 3 })
 			b.eventually("the dispatcher has the list of VMs", func() bool {
@@ -118,9 +116,9 @@
 	}
 }
 
-// While the platform was away the VM of an endpoints' owner was lost as well.
-// Its requests were answered short or held back, nobody took the endpoints over
-// when the platform was there again, and a release was paid twice.
+// Guards against three failures if an owner is lost during a platform outage: truncated or
+// delayed answers, endpoints without an owner after the outage, and a non-idempotent call that
+// runs twice.
 func TestOwnerKilledWhilePlatformUnavailable(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -142,7 +140,7 @@
 	c.Check(outcomeOf(c, k, b.await(k)), qt.Equals, "unknown")
 	c.Check(outcomeOf(c, paid, b.await(paid)), qt.Equals, "unknown")
 
-	// Nobody can take over; what comes now is refused at once.
+	// No dispatcher can take over, so new requests are refused at once.
 	began := time.Now()
 	r := b.await(b.startChat(g, "deposits@v1", 5))
 	c.Check(r.status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s", r.text))
@@ -164,7 +162,7 @@
 	c.Check(e.Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
-// linkedDispatcher starts a dispatcher that reaches the platform by the link.
+// dispatcherOverLink starts a dispatcher that reaches the platform over the link.
 func (b *testDeployment) dispatcherOverLink(n int, domain string) *node {
 	v := b.dispatcherVM(n, domain, shortLease)
 	v.platform = linkPort
@@ -172,7 +170,8 @@
 	return b.start(ggsnode.RunDispatcher, v)
 }
 
-// servesWhatItCan checks a gateway's answers while the platform is away.
+// checkServedWithoutPlatform checks that a gateway, while the platform is unreachable, serves
+// resident adapters and calls without a claim, and refuses a call that needs one.
 func (b *testDeployment) checkServedWithoutPlatform(g *node, ledger *ggsfakeplain.Service, key string) {
 	b.c.Helper()
 	b.requireComplete(b.startChat(g, "deposits@v1", 5))
@@ -188,17 +187,17 @@
 	b.c.Assert(runsOf(ledger, key), qt.Equals, 0)
 }
 
-// runsOnce repeats a refused non-idempotent call until it has run.
+// retryUntilRun repeats a refused non-idempotent call until it has run, and checks that it has
+// run once.
 func (b *testDeployment) retryUntilRun(g *node, ledger *ggsfakeplain.Service, key string) {
 	b.c.Helper()
 	b.eventually("the release runs", func() bool { return b.await(b.startRelease(g, key)).status == http.StatusOK })
 	b.c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
-// An owner alone lost its link to the platform for longer than its lease, and
-// another dispatcher took over. Both served: the new one evicted an adapter for
-// a request of its own, beneath the old one's runs, which went on with what was
-// resident.
+// Guards against a new owner that evicts an adapter in use by runs of the previous owner. The
+// previous owner alone has lost its link to the platform for longer than its lease, and continues
+// to serve resident adapters.
 func TestOwnerCutOffAlone(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -234,17 +233,16 @@
 	c.Check(e.Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
-// A landlord was paid twice: the claim of a release was written and the
-// answer to that write was lost, or came into effect only later. The claim was
-// taken for missing and made again, under which the release ran once more.
+// Guards against a non-idempotent call that runs twice: the answer to the write of its claim is
+// lost, or the write takes effect late, and the call runs again under a second claim.
 func TestLostAnswerToClaimsWrite(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakeplatform.Faults{
 		"answer lost":           {LoseWriteAnswers: 3, LosePrefix: "claims"},
-		"in effect later":       {DelayWrites: 3, Delay: 500 * time.Millisecond, LosePrefix: "claims"},
-		"in effect much later":  {DelayWrites: 1, Delay: 3 * time.Second, LosePrefix: "claims"},
-		"answers come slowly":   {Slow: time.Second},
-		"slow, and answer lost": {Slow: 500 * time.Millisecond, LoseWriteAnswers: 1, LosePrefix: "claims"},
+		"effective later":       {DelayWrites: 3, Delay: 500 * time.Millisecond, LosePrefix: "claims"},
+		"effective much later":  {DelayWrites: 1, Delay: 3 * time.Second, LosePrefix: "claims"},
+		"slow answers":          {Slow: time.Second},
+		"slow and lost answers": {Slow: 500 * time.Millisecond, LoseWriteAnswers: 1, LosePrefix: "claims"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/ggsnode/soak_check_test.go
+++ b/cmd/ggsnode/soak_check_test.go
@@ -24,14 +24,14 @@
 	soakDeadline = 4 * time.Second
 )
 
-// An outcome is what a client saw of a request.
+// An outcome is the result of one request as its client received it.
 type outcome struct {
 	id   string
 	path string
 	edge *soakEdge
 	from time.Time
 	to   time.Time
-	// status is zero where no answer came, whole says that it came to its end.
+	// status is zero without an answer; complete reports that the body was read to its end.
 	status   int
 	body     string
 	complete bool
@@ -39,7 +39,7 @@
 	err      error
 }
 
-// client sends requests over connections that it keeps, until the context ends.
+// client sends requests over kept-alive connections until the context ends.
 func (s *soak) client(ctx context.Context, r *rand.Rand) {
 	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}, Timeout: soakDeadline + time.Second}
 	defer h.CloseIdleConnections()
@@ -72,7 +72,7 @@
 	o := outcome{id: fmt.Sprintf("%08x", s.ids.Add(1)), path: path, edge: e, from: time.Now()}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.callers()+path, strings.NewReader("{}"))
 	s.c.Check(err, qt.IsNil)
-	r.GetBody = nil // the client sends nothing twice
+	r.GetBody = nil // prevents automatic retries by the HTTP client
 	r.Host = ggsfakesite.Host
 	r.Header.Set("Request-Id", o.id)
 	r.Header.Set("Deadline-Ms", strconv.FormatInt(soakDeadline.Milliseconds(), 10))
@@ -93,7 +93,7 @@
 	return o
 }
 
-// allServe reports whether each edge serves each kind of request.
+// allServe reports whether every edge serves every kind of request.
 func (s *soak) allServe() bool {
 	ctx, cancel := context.WithTimeout(s.ctx, soakDeadline)
 	defer cancel()
@@ -108,7 +108,7 @@
 	return true
 }
 
-// allCurrent reports whether each edge has the newest configuration in force.
+// allCurrent reports whether the newest configuration is in force at every edge.
 func (s *soak) allCurrent() bool {
 	s.mu.Lock()
 	version := uint64(s.version)
@@ -139,13 +139,13 @@
 	return d.Parts.Edge.Config
 }
 
-// recover waits until all is served again: nothing is broken any more.
-func (s *soak) awaitRecovery() {
-	s.await("each VM serves each kind of request after the faults", soakRecoveryBound, s.allServe)
-	s.await("the newest configuration is in force everywhere", soakApplyBound, s.allCurrent)
+// recover waits until every edge serves again after the last fault has ended.
+func (s *soak) recover() {
+	s.await("every VM serves every kind of request after the faults", soakRecoveryBound, s.allServe)
+	s.await("the newest configuration is in force at every edge", soakApplyBound, s.allCurrent)
 }
 
-// check checks what callers and endpoints saw.
+// check verifies the outcomes of all requests and the records of all endpoints.
 func (s *soak) check() {
 	runs := s.site.Runs()
 	counts := map[int]int{}
@@ -154,7 +154,7 @@
 		s.checkOutcome(o, runs[o.id])
 	}
 	s.t.Logf("%d requests by status: %v", len(s.outcomes), counts)
-	s.c.Check(counts[http.StatusOK] > len(s.outcomes)/4, qt.IsTrue, qt.Commentf("few are served: %v", counts))
+	s.c.Check(counts[http.StatusOK] > len(s.outcomes)/4, qt.IsTrue, qt.Commentf("at most a quarter of the requests served: %v", counts))
 	s.checkOrders()
 	s.checkDrains()
 	s.checkDepartures()
@@ -178,8 +178,7 @@
 	}
 }
 
-// wholeAnswer reports whether an answer is one endpoint's whole answer to the
-// request.
+// completeAnswer reports whether a body is the complete answer of one endpoint to the request.
 func completeAnswer(o outcome) bool {
 	if !strings.HasPrefix(o.path, "/chat") {
 		return strings.HasPrefix(o.body, "answer to "+o.id+" by ") && strings.Count(o.body, "\n") == 1 && strings.HasSuffix(o.body, "\n")
@@ -193,8 +192,8 @@
 	return o.body == want.String()
 }
 
-// cutByStop reports whether a request that had reached an endpoint was cut off by a
-// planned stop of its VM, with no other fault around.
+// cutByStop reports whether a planned stop of the VM cut off a request that had reached an
+// endpoint, with no unplanned fault within soakFaultFree.
 func (s *soak) cutByStop(o outcome) bool {
 	for _, u := range s.unplanned {
 		if u.from.Before(o.to) && u.to.After(o.from.Add(-soakFaultFree)) {
@@ -209,7 +208,8 @@
 	return false
 }
 
-// checkOrders checks that VMs gave an endpoint orders a turn apart.
+// checkOrders checks that an endpoint's orders from different VMs are at least
+// soakMinOrderGap apart and have increasing fencing tokens.
 func (s *soak) checkOrders() {
 	for id, e := range s.site.Endpoints {
 		var last ggsfakesite.Order
@@ -223,8 +223,8 @@
 	}
 }
 
-// checkDrains checks that endpoints that leave got nothing after the bound, where
-// nothing kept VMs from learning it.
+// checkDrains checks that leaving endpoints run no requests after the bound. Endpoints with an
+// unplanned fault around or after their departure are excluded, as it may delay the update.
 func (s *soak) checkDrains() {
 	for id, at := range s.drainedAt {
 		until := at.Add(soakDrainBound)
@@ -233,7 +233,7 @@
 			disturbed = disturbed || u.to.After(at.Add(-soakFaultFree))
 		}
 		if !disturbed {
-			s.c.Check(s.site.Endpoints[id].LastRun().After(until), qt.IsFalse, qt.Commentf("%s left at %s", id, at))
+			s.c.Check(s.site.Endpoints[id].LastRun().After(until), qt.IsFalse, qt.Commentf("%s ran a request after it left at %s", id, at))
 		}
 	}
 }
--- a/cmd/ggsnode/soak_test.go
+++ b/cmd/ggsnode/soak_test.go
@@ -194,7 +194,7 @@
 		faults = append(faults, soakFault{"store comes back from a copy", false, (*soak).restoreStore})
 	}
 	s.injectUntil(time.Now().Add(*soakLength), faults, &work)
-	s.awaitRecovery()
+	s.recover()
 	stop()
 	clients.Wait()
 	s.check()
