--- a/cmd/ggsnode/bench_test.go
+++ b/cmd/ggsnode/bench_test.go
@@ -104,12 +104,11 @@
 `
 )
 
-// A bench is a small deployment in one process: stand-ins on loopback and the
-// entry processes' own code. Each has an IP number of its own, so that ports
-// never collide.
+// A testDeployment is a small deployment in one process, with fakes on loopback addresses and the
+// code of the entry processes. Each has an IP address of its own, so that ports don't collide.
 type testDeployment struct {
 	c        *qt.C
-	ctx      context.Context //nolint:containedctx // a test's own, for its helpers
+	ctx      context.Context //nolint:containedctx // ends with the test, for its helpers
 	ip       netip.Addr
 	platform *ggsfakeplatform.Platform
 	store    *ggsplatform.Client
@@ -119,7 +118,7 @@
 	logs     *lockedBuffer
 }
 
-// A node is one running process of the bench.
+// A node is one running program of the deployment.
 type node struct {
 	stop  func() int
 	addr  netip.AddrPort
@@ -143,7 +142,7 @@
 	return l.b.String()
 }
 
-var deploymentCount atomic.Int32 //nolint:gochecknoglobals // gives each bench an IP number
+var deploymentCount atomic.Int32 //nolint:gochecknoglobals // gives each deployment an IP address
 
 func newTestDeployment(t *testing.T) *testDeployment {
 	c := qt.New(t)
@@ -180,14 +179,14 @@
 	b.c.Assert(err, qt.IsNil)
 }
 
-// document applies the bench's usual document.
+// document applies the default document.
 func (b *testDeployment) document() {
 	b.apply("services", servicesSection)
 	b.apply("policy", policySection)
 	b.apply("market/cr", marketSection)
 }
 
-// engine starts a model engine of a domain and lists it.
+// engine starts a model engine in a domain and adds it to the list of VMs.
 func (b *testDeployment) engine(id, domain string, change func(*ggsfakeengine.Options)) *ggsfakeengine.Engine {
 	o := ggsfakeengine.DefaultOptions()
 	o.ID, o.Slots, o.AdapterSlots, o.ChecksFence = ggscore.EndpointID(id), 4, 2, true
@@ -204,7 +203,7 @@
 	return e
 }
 
-// plain starts a plain service of a domain and lists it.
+// plain starts a plain service in a domain and adds it to the list of VMs.
 func (b *testDeployment) plain(id, domain string) *ggsfakeplain.Service {
 	s := ggsfakeplain.New(ggsfakeplain.Options{ID: ggscore.EndpointID(id)})
 	port := uint16(plainPort + len(b.plains))
@@ -214,7 +213,8 @@
 	return s
 }
 
-// dispatcher starts a dispatcher and lists it. More are further settings.
+// dispatcher starts a dispatcher and adds it to the list of VMs. The lines of more are added to
+// its settings.
 func (b *testDeployment) dispatcher(n int, domain string, more ...string) *node {
 	v := b.dispatcherVM(n, domain, more...)
 	b.list(v.vm, ggscore.RoleEntry, domain, v.port, "")
@@ -225,7 +225,7 @@
 	return entryVM{vm: fmt.Sprintf("%s-%d", domain, n), domain: domain, port: uint16(rpcPort + n), state: uint16(statePort + n), more: more}
 }
 
-// gateway starts a gateway and waits until it sees all owners.
+// gateway starts a gateway and waits until it is ready and knows all owners.
 func (b *testDeployment) gateway(n int, domain string) *node {
 	g := b.start(ggsnode.RunGateway, b.gatewayVM(n, domain))
 	b.ready(g)
@@ -236,7 +236,7 @@
 	return entryVM{vm: fmt.Sprintf("%s-%d", domain, n), domain: domain, port: uint16(callersPort + n), state: uint16(statePort + 20 + n), more: more}
 }
 
-// ready waits until a gateway sees all owners.
+// ready waits until a gateway is ready and knows all owners.
 func (b *testDeployment) ready(g *node) {
 	b.eventually("gateway is ready", func() bool {
 		status, _, _ := b.get("http://" + g.addr.String() + "/healthz")
@@ -244,7 +244,7 @@
 	})
 }
 
-// routed reports whether a gateway sees an owner for every listed endpoint.
+// routed reports whether a gateway knows an owner in full mode for every listed endpoint.
 func (b *testDeployment) routed(g *node) bool {
 	_, _, text := b.get("http://" + g.state.String() + "/state")
 	for _, v := range b.vms {
@@ -256,19 +256,19 @@
 	return true
 }
 
-// An entryVM is what a process of the bench is told.
+// An entryVM has the settings of one program of the deployment.
 type entryVM struct {
 	vm, domain string
 	port       uint16
 	state      uint16
-	// platform is the port of the platform's service as this VM reaches it;
-	// zero means the service itself.
+	// platform is the port at which this VM reaches the platform's service; zero means
+	// platformPort.
 	platform uint16
-	// more are further lines of the settings.
+	// more has additional lines of the settings.
 	more []string
 }
 
-// settings writes the settings file of a process.
+// settings writes the settings file of a program and returns its path.
 func (b *testDeployment) settings(v entryVM) string {
 	if v.platform == 0 {
 		v.platform = platformPort
@@ -312,7 +312,7 @@
 	b.c.Cleanup(func() { _ = s.Close() })
 }
 
-// eventually waits for an event, up to the deadline of all tests.
+// eventually polls a condition until it holds, at most for testDeadline.
 func (b *testDeployment) eventually(what string, f func() bool) {
 	b.c.Helper()
 	ctx, cancel := context.WithTimeout(b.ctx, testDeadline)
@@ -322,7 +322,7 @@
 	for !f() {
 		select {
 		case <-ctx.Done():
-			b.c.Fatalf("waited in vain: %s", what)
+			b.c.Fatalf("timed out waiting: %s", what)
 		case <-t.C:
 		}
 	}
@@ -334,7 +334,7 @@
 	return b.do(r)
 }
 
-// post sends a request to a gateway. Headers are pairs.
+// post sends a request to a gateway. Headers are pairs of name and value.
 func (b *testDeployment) post(g *node, path, body string, headers ...string) (int, http.Header, string) {
 	r, err := http.NewRequestWithContext(b.ctx, http.MethodPost, "http://"+g.addr.String()+path, strings.NewReader(body))
 	b.c.Assert(err, qt.IsNil)
@@ -359,8 +359,8 @@
 	return a.StatusCode, a.Header, string(text)
 }
 
-// open starts a request and returns its answer's body to read from, and what
-// hangs up.
+// open starts a request and returns the body of its answer and a function that closes the
+// caller's connection.
 func (b *testDeployment) open(g *node, path, body string) (*bufio.Reader, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(b.ctx)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.addr.String()+path, strings.NewReader(body))
@@ -376,7 +376,7 @@
 	return bufio.NewReader(a.Body), cancel
 }
 
-// serving is a deployment with one runner, one dispatcher and one gateway.
+// modelDeployment starts a deployment with one runner, one dispatcher and one gateway.
 func modelDeployment(t *testing.T, change func(*ggsfakeengine.Options)) (*qt.C, *testDeployment, *ggsfakeengine.Engine, *node) {
 	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", change)
@@ -385,7 +385,7 @@
 	return b.c, b, e, b.gateway(1, "a")
 }
 
-// paying is a deployment with one ledger, one dispatcher and one gateway.
+// plainDeployment starts a deployment with one ledger, one dispatcher and one gateway.
 func plainDeployment(t *testing.T) (*qt.C, *testDeployment, *ggsfakeplain.Service, *node) {
 	b := newTestDeployment(t)
 	s := b.plain("ledger-1", "a")
--- a/cmd/ggsnode/common.go
+++ b/cmd/ggsnode/common.go
@@ -16,17 +16,17 @@
 	"greengageslip/io/ggsvms"
 )
 
-// A role says how a program takes part.
+// A role is the program's name and the way it gets the document.
 type role struct {
 	program string
-	// peersOnly says that it follows the document through dispatchers alone.
+	// peersOnly makes the program read the document only from dispatchers, not from the store.
 	peersOnly bool
 }
 
-// A clock tells the time.
+// A clock returns the current time.
 type clock func() time.Time
 
-// common provides what both programs are made of.
+// common provides the parts that dispatcher and gateway share.
 func common(r role) fx.Option {
 	return fx.Options(
 		fx.Provide(
@@ -57,7 +57,8 @@
 	return ggsvms.New(c, ggsvms.NewPeers(p), ggsvms.Options{Interval: n.ListInterval}, t, l)
 }
 
-// startFollowers starts what brings the document, and shows it in the dump.
+// startFollowers starts following the document, and adds the document and the number of listed
+// VMs to the state dump.
 func startFollowers(
 	h host, n *ggssettings.Node, r role, m ggsconfig.MemberLister, f *ggsconfig.Follower, v *ggsvms.Follower, t *ggsstate.State,
 ) {
@@ -71,8 +72,8 @@
 	t.Count("revision", func() int64 { return int64(f.Head().Revision) })
 }
 
-// listedMembers are the entry VMs on the platform's list, or the dispatchers
-// of the settings while there is none.
+// A listedMembers lists the dispatchers on the platform's list of VMs, or those of the settings
+// while the list is unknown or empty.
 type listedMembers struct {
 	node *ggssettings.Node
 	vms  *ggsvms.Follower
--- a/cmd/ggsnode/dispatcher.go
+++ b/cmd/ggsnode/dispatcher.go
@@ -31,16 +31,15 @@
 
 const (
 	dispatcherProgram = "ggsdispatcher"
-	// The parts of the lease's time to live that are its margin and the times
-	// between renewals and between looks at the records of others.
+	// The lease's time to live divided by these gives its margin, and the intervals between
+	// renewals and between reads of the other owners' records.
 	leaseMarginDivisor = 4
 	leaseRenewDivisor  = 3
 	leasePollDivisor   = 6
 	releaseTimeout     = 3 * time.Second
 )
 
-// RunDispatcher runs a dispatcher until a signal or the context's end and
-// returns its exit code.
+// RunDispatcher runs a dispatcher until a signal or the context's end and returns its exit code.
 func RunDispatcher(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	c, code, ok := parse(dispatcherProgram, args, stdout, stderr)
 	if !ok {
@@ -66,8 +65,8 @@
 	return ggsschedule.New(ggsschedule.Options{Policy: s.Policy, Seed: uint64(c().UnixNano())})
 }
 
-// An incarnation names one life of a process. Later lives sort after earlier
-// ones.
+// An incarnation identifies one run of a process. It is a UUIDv7, so later incarnations sort after
+// earlier ones.
 type incarnation string
 
 func newIncarnation() (incarnation, error) {
@@ -75,8 +74,8 @@
 	return incarnation(u.String()), err
 }
 
-// newDispatcher makes the ownership and the dispatcher, which know each other:
-// the one guards what the other does, and asks it what is in progress.
+// newDispatcher returns the ownership and the dispatcher, which depend on each other: the ownership
+// authorizes the dispatcher's orders and asks the dispatcher which endpoints are busy.
 func newDispatcher(
 	s *ggssettings.Dispatcher, store ggscore.Store, i incarnation, k *ggsschedule.Scheduler,
 	c *ggsclaims.Committer, t clock, l log.Logger,
@@ -99,7 +98,7 @@
 	return o, d
 }
 
-// A dispatcherParts holds what startDispatcher starts.
+// A dispatcherParts holds the parts that startDispatcher starts.
 type dispatcherParts struct {
 	fx.In
 
@@ -140,9 +139,8 @@
 	h.Lifecycle.Append(fx.Hook{OnStop: func(ctx context.Context) error { return p.drain(ctx, h.Log) }})
 }
 
-// drain hands over the endpoints and then finishes what is in progress. A
-// platform that is away delays neither: another dispatcher then takes over once
-// the lease has lapsed.
+// drain hands over the endpoints and then waits for the requests in progress. An unavailable
+// platform delays neither: another dispatcher then takes over after the lease has expired.
 func (p *dispatcherParts) drain(ctx context.Context, l log.Logger) error {
 	p.handOver(ctx, l)
 	if err := p.Dispatcher.Drain(ctx); err != nil {
@@ -158,8 +156,8 @@
 	return p.Claims.Flush(flush)
 }
 
-// handOver takes no new work from now on and releases the endpoints, so that
-// another dispatcher takes them over at once.
+// handOver refuses new requests from now on and releases the endpoints, so that another dispatcher
+// can take them over at once.
 func (p *dispatcherParts) handOver(ctx context.Context, l log.Logger) {
 	p.Heartbeats.SetSelf(true, p.Document.Head().Revision)
 	p.Dispatcher.BeginDrain()
--- a/cmd/ggsnode/edge.go
+++ b/cmd/ggsnode/edge.go
@@ -35,55 +35,54 @@
 
 const edgeProgram = "ggsedge"
 
-// metricsPath is where the metrics are served.
+// metricsPath is the URL path of the metrics.
 const metricsPath = "/metrics"
 
 const (
-	// edgeHeaderTimeout bounds a caller's head. The configuration's own limit
-	// isn't known when the program starts to listen; callers that are cut stay
-	// well below both.
+	// edgeHeaderTimeout limits the time to read a request's header. The configuration's own
+	// limit isn't known when the program starts to listen; regular callers stay well below both.
 	edgeHeaderTimeout = 10 * time.Second
-	// edgeIdleTimeout is how long callers' connections are kept. Callers go by
-	// the configuration's limit of some 15 s, so theirs end first.
+	// edgeIdleTimeout is the idle time after which callers' connections are closed. Callers use
+	// the configuration's limit of about 15 s, so they close first.
 	edgeIdleTimeout = 40 * time.Second
-	// edgeHeaderBytes bounds a caller's head.
+	// edgeHeaderBytes limits the size of a request's header.
 	edgeHeaderBytes = 64 << 10
-	// leaveTime is how long a process that stops goes on taking connections:
-	// the balancer asks once a second and leaves it out after two misses.
+	// deregisterDelay is the time for which a stopping process accepts connections: the load
+	// balancer checks readiness once per second and removes the process after two failures.
 	deregisterDelay = 2300 * time.Millisecond
-	// graceMargin is the time before SIGKILL that is left for the last steps.
+	// graceMargin is the part of the grace period before SIGKILL reserved for the last steps.
 	graceMargin = 700 * time.Millisecond
-	// defaultFiles and defaultMemory stand in where the platform sets no limits:
-	// those of today's VMs.
+	// defaultFiles (descriptors) and defaultMemory (bytes) are the limits of the present VMs.
+	// They apply if the platform sets none.
 	defaultFiles  = 4100
 	defaultMemory = 284 << 20
-	// reservedFiles are the descriptors that the platform keeps for files.
+	// reservedFiles is the number of descriptors that the platform reserves for files.
 	reservedFiles = 200
-	// activeShare is the part of the other descriptors that requests under way may
-	// have for their callers: each may take one more for its endpoint, and a
-	// quarter is for idle connections.
+	// inFlightShare is the share of the other descriptors for the callers of requests in flight.
+	// Each request may use one more for its endpoint, and a quarter is for idle connections.
 	inFlightShare = 0.35
-	// bodiesShare is the part of the memory for bodies of requests under way.
+	// bodiesShare is the share of the memory for bodies of requests in flight.
 	bodiesShare = 0.25
-	// memoryShare is the part of a process's memory at which the collector
-	// works harder: the rest is for goroutines, buffers and the C library.
+	// memoryLimitShare is the share of a process's memory set as Go's soft memory limit, above
+	// which garbage collection runs more often. The rest is for goroutines, buffers and the C
+	// library.
 	memoryLimitShare = 0.75
 )
 
-// An edgeLine is the edge's command line.
+// An edgeCommandLine has the edge's options.
 type edgeCommandLine struct {
 	LogLevel string `long:"log-level" value-name:"LEVEL" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least level that is logged"`
-	// MetricsPort serves the metrics beside the address for readiness checks,
-	// whose port isn't known beforehand.
+	// MetricsPort serves the metrics at a known port, in addition to the address for readiness
+	// checks, whose port isn't known beforehand.
 	MetricsPort uint16 `long:"metrics-port" value-name:"PORT" description:"port of the VM that serves /metrics, beside the one for readiness"`
-	// Policy names a file that switches mechanisms off, for measurements.
+	// Policy is a file that switches off parts of the decisions, for measurements.
 	Policy string `long:"policy" value-name:"FILE" description:"TOML file that switches parts of the decisions off: off = [\"turns\"]"`
 }
 
 // RunEdge runs an edge until a signal or the context's end and returns its
 // exit code.
 func RunEdge(ctx context.Context, args []string, stdout, stderr io.Writer) int {
-	// A hang-up that arrives before the process listens for it would end the process.
+	// A SIGHUP that arrives before rereadSettings installs its handler would end the process.
 	signal.Ignore(syscall.SIGHUP)
 	var c edgeCommandLine
 	if code, ok := parseLine(edgeProgram, &c, args, stdout, stderr); !ok {
@@ -132,14 +131,14 @@
 	)
 }
 
-// edgeBeats is where an edge hears its peers' beats: UDP at the first port of
-// its range.
+// edgeDatagramAddr returns the UDP address at which an edge receives its peers' datagrams, with
+// the first port of its range.
 func edgeDatagramAddr(s *ggsdialect.Settings) netip.AddrPort {
 	return netip.AddrPortFrom(s.Addr, s.FirstPort)
 }
 
-// edgeCapacity compares VMs: the product of processor and link counts for passing on
-// datagrams, in thousandths of a core times Mbit/s.
+// edgeCapacity returns a VM's capacity to relay datagrams, for comparison with that of other VMs:
+// the product of processor and link, in thousandths of a core times Mbit/s.
 func edgeCapacity(s *ggsdialect.Settings) uint64 {
 	return uint64(1000 * s.CPUShare * float64(s.Cores) * s.LinkMbps)
 }
@@ -152,8 +151,8 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s.VM))
 	return ggsedge.New(ggsedge.Options{
-		// A VM that comes back under an old name at another address is another
-		// machine to those that take its orders.
+		// The address is part of the ID, so that endpoints distinguish a VM from an earlier one
+		// of the same name at another address.
 		Policy: policy,
 		VM:     s.VM + "@" + ggscore.VMID(s.Addr.String()),
 		Domain: s.Domain, Regions: s.Regions, Seed: h.Sum64() ^ uint64(t().UnixNano()),
@@ -196,8 +195,8 @@
 	}
 }
 
-// rereadSettings checks the settings file whenever it is said to have changed.
-// What a process is and where it listens holds until it starts again.
+// rereadSettings checks the settings file at each SIGHUP, which announces a change, and logs the
+// result. The process's identity and addresses change only at the next start.
 func rereadSettings(ctx context.Context, l log.Logger) error {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
@@ -213,9 +212,8 @@
 	}
 }
 
-// serveCallers serves callers. A planned stop first says that the process
-// isn't ready and goes on serving until callers' connections go elsewhere,
-// then waits for what is under way.
+// serveCallers serves callers. A planned stop first reports the process as not ready, continues to
+// serve until the load balancer has removed it, and then waits for the requests in flight.
 func serveCallers(h host, s *ggsdialect.Settings, e *ggsedge.Edge) {
 	v := &http.Server{
 		Handler: e, ReadHeaderTimeout: edgeHeaderTimeout, IdleTimeout: edgeIdleTimeout, MaxHeaderBytes: edgeHeaderBytes,
@@ -254,7 +252,7 @@
 	})
 }
 
-// edgeState serves readiness, metrics and the state's dump.
+// edgeState returns a handler for readiness, metrics and the state dump.
 func edgeState(s *ggsdialect.Settings, e *ggsedge.Edge, c clock) http.Handler {
 	t := ggsstate.New(edgeProgram, s.VM, c)
 	k := e.Stats()
--- a/cmd/ggsnode/endpoints.go
+++ b/cmd/ggsnode/endpoints.go
@@ -16,18 +16,18 @@
 	"greengageslip/io/ggsdispatch"
 )
 
-// endpointsInterval is how often changes of ownership are looked for besides
-// the events.
+// ownershipCheckInterval is the interval at which the ownership is read in addition to its change
+// events.
 const ownershipCheckInterval = time.Second
 
-// An endpoints keeps a dispatcher's endpoints up to date with the list of VMs,
-// the document and the ownership.
+// An endpointUpdater keeps a dispatcher's endpoints up to date with the list of VMs, the document
+// and the ownership.
 type endpointUpdater struct {
 	parts   dispatcherParts
 	changed chan struct{}
 	share   ggscore.LoadShare
 	log     log.Logger
-	// leaving says that the endpoints were handed over.
+	// leaving reports whether the endpoints have been handed over.
 	leaving bool
 }
 
@@ -67,9 +67,9 @@
 
 // listedLeaving reports whether the platform lists this VM as leaving.
 //
-// Gateways send nothing to a listed one. If it kept its endpoints until it is
-// stopped, which may be minutes later, they would get no work meanwhile; it
-// hands them over at once and only finishes what is in progress.
+// Gateways send no requests to a dispatcher listed as leaving. Endpoints that it kept until its
+// stop, which may come minutes later, would get no requests meanwhile. The dispatcher therefore
+// hands them over at once and only finishes the requests in progress.
 func (e *endpointUpdater) listedLeaving() bool {
 	vms, _ := e.parts.VMs.List()
 	return slices.ContainsFunc(vms, func(v ggscore.VM) bool {
@@ -77,7 +77,7 @@
 	})
 }
 
-// adopt brings the scheduler up to a new document.
+// applyDocument sets the scheduler's markets and policy from a new document.
 func (e *endpointUpdater) applyDocument(d *ggscore.Document) {
 	e.parts.Dispatcher.Schedule(func(_ ggscore.Scheduler, now time.Time) []ggscore.Order {
 		s := e.parts.Scheduler
@@ -86,7 +86,8 @@
 	})
 }
 
-// set passes on what is known of endpoints and dispatchers.
+// update passes the current endpoints, owner candidates and load share to the ownership and the
+// dispatcher.
 func (e *endpointUpdater) update() {
 	p := &e.parts
 	p.Heartbeats.SetSelf(false, p.Document.Head().Revision)
@@ -110,7 +111,7 @@
 	p.Dispatcher.SetEndpoints(owned)
 }
 
-// owned says what may be done with an endpoint now.
+// ownedEndpoint returns an endpoint with its present mode and pins.
 func (e *endpointUpdater) ownedEndpoint(n *ggscore.Endpoint) ggsdispatch.OwnedEndpoint {
 	p := &e.parts
 	o := ggsdispatch.OwnedEndpoint{Endpoint: *n, Mode: p.Owners.Mode(p.Clock(), n.ID), Pins: p.Owners.Pins(n.ID)}
@@ -120,12 +121,12 @@
 	return o
 }
 
-// usable returns what an endpoint serves while its owner's lease is not
-// confirmed: its resident adapters that the owner's record protects.
+// servableAdapters returns the adapters that an endpoint serves while its owner's lease is not
+// confirmed: the resident adapters that the owner's record protects.
 //
-// The scheduler serves only protected adapters in that mode. An owner that
-// passed on just the pins of earlier owners would refuse all requests once the
-// platform had been away for longer than its lease.
+// The scheduler serves only protected adapters in that mode. An owner that passed on just the pins
+// of earlier owners would refuse all requests after the platform has been unavailable for longer
+// than the lease.
 func (e *endpointUpdater) servableAdapters(n *ggscore.Endpoint) []ggscore.AdapterRef {
 	if n.Kind == ggscore.KindPlain {
 		return []ggscore.AdapterRef{{}}
@@ -154,8 +155,8 @@
 	return w
 }
 
-// setShare sets the share of the weight store's limits before the endpoints
-// are set: without one, nothing is loaded.
+// setShare sets the share of the weight store's limits. It precedes the update of the endpoints,
+// since nothing is loaded without a share.
 func (e *endpointUpdater) setShare(h ggscore.LoadShare) {
 	if h == e.share {
 		return
@@ -166,8 +167,8 @@
 	})
 }
 
-// shareOf is a domain's equal share of the weight store's limits. The shares'
-// sum never passes them, whoever is cut off from whom.
+// loadShareOf returns a domain's equal share of the weight store's limits. The sum of the shares
+// doesn't exceed the limits under any network partition.
 func loadShareOf(vms []ggscore.VM, d *ggscore.Document) ggscore.LoadShare {
 	domains := make(map[ggscore.Domain]bool)
 	for i := range vms {
@@ -185,11 +186,11 @@
 	}
 }
 
-// candidates are the live dispatchers that may own endpoints.
+// ownerCandidates returns the live dispatchers that may own endpoints.
 //
-// Gateways know dispatchers by the platform's list, which lags. One that is not
-// yet listed would be heard of by its domain at once and take endpoints over
-// that no gateway can then reach, until it is listed; it is left out until then.
+// Gateways know dispatchers by the platform's list, which lags behind heartbeats. A dispatcher that
+// took over endpoints before it is listed would make them unreachable for gateways, so it is left
+// out until then.
 func ownerCandidates(ms []ggsmember.Member, vms []ggscore.VM) []ggsowner.Holder {
 	listed := make(map[ggscore.VMID]bool, len(vms))
 	for i := range vms {
--- a/cmd/ggsnode/endpoints_test.go
+++ b/cmd/ggsnode/endpoints_test.go
@@ -9,9 +9,9 @@
 	"greengageslip/core/ggsmember"
 )
 
-// One domain loaded at the whole weight store's rate while the others had their
-// thirds: its dispatcher had adopted the document before it knew the list of
-// VMs, took itself for the only domain and kept that share.
+// Guards against a domain that keeps the whole load rate of the weight store while the others have
+// their shares: its dispatcher applied the document before it knew the list of VMs, and counted
+// itself as the only domain.
 func TestLoadShareRequiresTheListOfVMs(t *testing.T) {
 	t.Parallel()
 	d := &ggscore.Document{Policy: ggscore.PolicySpec{LoadsPerSecond: 6, LoadsInTransit: 24}}
@@ -36,9 +36,9 @@
 	}
 }
 
-// Endpoints were out of reach for seconds after a VM was replaced: the new VM's
-// dispatcher was heard of and took them over before the platform listed it, and
-// gateways follow listed dispatchers only.
+// Guards against endpoints that are unreachable for seconds after the replacement of a VM: the new
+// dispatcher is known by its heartbeats and takes them over before the platform lists it, and
+// gateways know only listed dispatchers.
 func TestUnlistedDispatcherIsNoOwnerCandidate(t *testing.T) {
 	t.Parallel()
 	member := func(id ggscore.VMID, leaving bool, incarnation string) ggsmember.Member {
@@ -52,11 +52,11 @@
 		member ggsmember.Member
 		want   int
 	}{
-		"listed":     {member("listed", false, "1"), 1},
-		"unlisted":   {member("new", false, "1"), 0},
-		"leaving":    {member("listed", true, "1"), 0},
-		"not heard":  {member("listed", false, ""), 0},
-		"no entryVM": {member("runner", false, "1"), 0},
+		"listed":       {member("listed", false, "1"), 1},
+		"unlisted":     {member("new", false, "1"), 0},
+		"leaving":      {member("listed", true, "1"), 0},
+		"no heartbeat": {member("listed", false, ""), 0},
+		"no entry VM":  {member("runner", false, "1"), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/ggsnode/errors.go
+++ b/cmd/ggsnode/errors.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// An UnwantedArgumentError says that a program takes no such argument.
+// An UnwantedArgumentError reports a positional argument, which no program takes.
 type UnwantedArgumentError struct{ Argument string }
 
 // Error implements error.
 func (e *UnwantedArgumentError) Error() string {
-	return fmt.Sprintf("unwanted argument %q", e.Argument)
+	return fmt.Sprintf("unexpected argument %q", e.Argument)
 }
 
-// A NotReadyError says why a process doesn't serve.
+// A NotReadyError reports why a process isn't ready to serve.
 type NotReadyError struct{ Reason string }
 
 // Error implements error.
--- a/cmd/ggsnode/fault_owner_test.go
+++ b/cmd/ggsnode/fault_owner_test.go
@@ -35,7 +35,7 @@
 	ledger.SetFaults(ggsfakeplain.Faults{Slow: 2 * time.Second})
 
 	key := newKey()
-	paid := b.startRelease(g, key)
+	released := b.startRelease(g, key)
 	var calls []*call
 	for i := range 4 {
 		calls = append(calls, b.startChat(g, []string{"deposits@v1", "disputes@v7"}[i%2], 2000))
@@ -59,7 +59,7 @@
 			c.Check(e.Runs()[r.header.Get("X-Request-Id")], qt.Equals, 0)
 		}
 	}
-	c.Check(outcomeOf(c, paid, b.await(paid)), qt.Equals, "unknown")
+	c.Check(outcomeOf(c, released, b.await(released)), qt.Equals, "unknown")
 	for range 2 {
 		r := b.await(b.startRelease(g, key))
 		c.Check(r.status, qt.Equals, http.StatusConflict, qt.Commentf("%s", r.text))
--- a/cmd/ggsnode/fault_platform_test.go
+++ b/cmd/ggsnode/fault_platform_test.go
@@ -131,14 +131,14 @@
 	ledger.SetFaults(ggsfakeplain.Faults{Slow: 5 * time.Second})
 
 	key := newKey()
-	paid := b.startRelease(g, key)
+	released := b.startRelease(g, key)
 	b.eventually("the release runs", func() bool { return runsOf(ledger, key) == 1 })
 	k := b.startChat(g, "deposits@v1", 2000)
 	b.waitStarted(e, 1)
 	b.platform.SetFaults(ggsfakeplatform.Faults{Outage: true})
 	first.signal(syscall.SIGKILL)
 	c.Check(outcomeOf(c, k, b.await(k)), qt.Equals, "unknown")
-	c.Check(outcomeOf(c, paid, b.await(paid)), qt.Equals, "unknown")
+	c.Check(outcomeOf(c, released, b.await(released)), qt.Equals, "unknown")
 
 	// No dispatcher can take over, so new requests are refused at once.
 	began := time.Now()
--- a/cmd/ggsnode/fault_process_test.go
+++ b/cmd/ggsnode/fault_process_test.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// programVariable names the program that the test binary is to be.
+	// programVariable is the environment variable with the program that the test binary runs.
 	programVariable   = "GGSNODE_TEST_PROGRAM"
 	dispatcherProgram = "ggsdispatcher"
 	gatewayProgram    = "ggsgateway"
@@ -31,8 +31,8 @@
 	shortLease = `leaseTtl = "2s"`
 )
 
-// TestMain lets the test binary be one of the programs, so that tests can kill
-// and freeze real processes.
+// TestMain runs the test binary as one of the programs if programVariable is set, so that tests
+// can kill and freeze real processes.
 func TestMain(m *testing.M) {
 	programs := map[string]func(context.Context, []string, io.Writer, io.Writer) int{
 		dispatcherProgram: ggsnode.RunDispatcher,
@@ -43,7 +43,7 @@
 	if run == nil {
 		os.Exit(m.Run())
 	}
-	// The end of the standard input is the end of the test that started this.
+	// The standard input is closed when the test process ends; the child then ends too.
 	go func() {
 		_, _ = io.Copy(io.Discard, os.Stdin)
 		os.Exit(1)
@@ -51,21 +51,21 @@
 	os.Exit(run(context.Background(), os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// A process is a node that runs as a process of its own.
+// A process is a node in a child process.
 type process struct {
 	node
 	c   *qt.C
 	cmd *exec.Cmd
 }
 
-// dispatcherProcess starts a dispatcher as a process of its own and lists it.
+// dispatcherProcess starts a dispatcher in a child process and adds it to the list of VMs.
 func (b *testDeployment) dispatcherProcess(n int, domain string, more ...string) *process {
 	v := b.dispatcherVM(n, domain, more...)
 	b.list(v.vm, ggscore.RoleEntry, domain, v.port, "")
 	return b.spawn(dispatcherProgram, v)
 }
 
-// gatewayProcess starts a gateway as a process of its own.
+// gatewayProcess starts a gateway in a child process and waits until it is ready.
 func (b *testDeployment) gatewayProcess(n int, domain string) *process {
 	p := b.spawn(gatewayProgram, b.gatewayVM(n, domain))
 	b.ready(&p.node)
@@ -97,7 +97,7 @@
 	p.c.Assert(p.cmd.Process.Signal(s), qt.IsNil)
 }
 
-// A dispatcherDump is what these tests read of a dispatcher's dump.
+// A dispatcherDump has the parts of a dispatcher's state dump that these tests read.
 type dispatcherDump struct {
 	Parts struct {
 		Dispatcher struct {
@@ -133,7 +133,7 @@
 	return d
 }
 
-// owns reports whether a dispatcher may do all with its endpoints.
+// ownsAll reports whether a dispatcher is in full mode at all of its endpoints.
 func (b *testDeployment) ownsAll(n *node) bool {
 	es := b.dump(n).Parts.Dispatcher.Endpoints
 	for i := range es {
@@ -144,7 +144,7 @@
 	return len(es) > 0
 }
 
-// resident counts the adapters that a dispatcher takes for resident.
+// residentCount returns the number of adapters that a dispatcher has as resident at an endpoint.
 func (b *testDeployment) residentCount(n *node, id string) int {
 	for _, e := range b.dump(n).Parts.Dispatcher.Endpoints {
 		if e.ID == id {
@@ -154,7 +154,7 @@
 	return 0
 }
 
-// loading reports whether a dispatcher has a load under way at an endpoint.
+// loading reports whether a dispatcher has a load in progress at an endpoint.
 func (b *testDeployment) loading(n *node, id string) bool {
 	for _, e := range b.dump(n).Parts.Dispatcher.Endpoints {
 		if e.ID == id {
@@ -164,7 +164,7 @@
 	return false
 }
 
-// leaving reports whether a dispatcher takes an endpoint for one that leaves.
+// leaving reports whether a dispatcher has an endpoint as leaving.
 func (b *testDeployment) leaving(n *node, id string) bool {
 	for _, e := range b.dump(n).Parts.Dispatcher.Endpoints {
 		if e.ID == id {
@@ -174,7 +174,7 @@
 	return false
 }
 
-// jobs counts a dispatcher's requests in a state.
+// jobCount returns the number of a dispatcher's requests in a state.
 func (b *testDeployment) jobCount(n *node, state string) int {
 	k := 0
 	for _, j := range b.dump(n).Parts.Dispatcher.Jobs {
@@ -185,7 +185,7 @@
 	return k
 }
 
-// counter reads one of a process's counters.
+// counter returns the value of a counter of a node.
 func (b *testDeployment) counter(n *node, name string) int64 {
 	var v struct {
 		Counters map[string]int64 `json:"greengageslip"`
@@ -196,9 +196,9 @@
 	return v.Counters[name]
 }
 
-// twoOwners starts a dispatcher of domain a as a process, which owns the
-// domain's endpoints, and then another that is to follow it. More are further
-// settings of the first.
+// ownerAndStandby starts a dispatcher of domain a in a child process, waits until it owns the
+// domain's endpoints, and then starts a second one in the test's process. The lines of more are
+// added to the settings of the first.
 func (b *testDeployment) ownerAndStandby(lease string, more ...string) (*process, *node) {
 	first := b.dispatcherProcess(1, "a", append(more, lease)...)
 	b.eventually("the first dispatcher owns the endpoints", func() bool { return b.ownsAll(&first.node) })
@@ -210,7 +210,7 @@
 	return first, second
 }
 
-// link starts a link to a port of the bench.
+// link starts a proxy link from one port of the deployment to another.
 func (b *testDeployment) link(port, target uint16) *ggsfakelink.Link {
 	l := ggsfakelink.New(b.addr(target))
 	n, err := (&net.ListenConfig{}).Listen(b.ctx, "tcp", b.addr(port).String())
@@ -228,21 +228,21 @@
 	return l
 }
 
-// A reply is what a caller got.
+// A reply is a caller's answer.
 type reply struct {
 	status int
 	header http.Header
 	text   string
 }
 
-// A call is a request that a test's caller waits for.
+// A call is a request in progress; model and tokens say which answer is expected.
 type call struct {
 	model  string
 	tokens int
 	done   chan reply
 }
 
-// ask sends a streamed chat request in the background.
+// startChat sends a streamed chat request in the background.
 func (b *testDeployment) startChat(g *node, model string, tokens int) *call {
 	return b.startChatAt(g, "asistente", model, tokens)
 }
@@ -257,7 +257,7 @@
 	return k
 }
 
-// release sends a non-idempotent call in the background.
+// startRelease sends a non-idempotent call, a deposit release, in the background.
 func (b *testDeployment) startRelease(g *node, key string, headers ...string) *call {
 	k := &call{done: make(chan reply, 1)}
 	go func() {
@@ -276,12 +276,12 @@
 	case r := <-k.done:
 		return r
 	case <-ctx.Done():
-		b.c.Fatalf("waited in vain for an answer")
+		b.c.Fatalf("timed out waiting for an answer")
 		return reply{}
 	}
 }
 
-// whole waits for a call and checks that its answer is whole.
+// requireComplete waits for a call and checks that its answer is complete.
 func (b *testDeployment) requireComplete(k *call) {
 	b.c.Helper()
 	r := b.await(k)
@@ -289,9 +289,8 @@
 	checkComplete(b.c, r.header, r.text, k.model, k.tokens)
 }
 
-// outcomeOf returns the outcome that a caller was told: done where the answer
-// is whole, otherwise that of its error event or its refusal. An answer that
-// is neither fails the test.
+// outcomeOf returns the outcome that a caller got: done for a complete answer, otherwise that of
+// the error event or the refusal. The test fails if the answer has none of these.
 func outcomeOf(c *qt.C, k *call, r reply) string {
 	c.Helper()
 	if r.status == http.StatusOK && (k.model == "" || strings.HasSuffix(r.text, "data: [DONE]\n\n")) {
@@ -304,14 +303,13 @@
 	if r.status == http.StatusOK {
 		const event = "event: error\ndata: "
 		at := strings.Index(text, event)
-		c.Assert(at > 0, qt.IsTrue, qt.Commentf("a short answer without an error: %s", text))
+		c.Assert(at > 0, qt.IsTrue, qt.Commentf("truncated answer without an error event: %s", text))
 		text = text[at+len(event):]
 	}
 	return failureOf(c, text).Error.Outcome
 }
 
-// running waits until an engine runs so many requests that began after the
-// first ones.
+// waitStarted waits until an engine has started a number of requests in total.
 func (b *testDeployment) waitStarted(e *ggsfakeengine.Engine, started uint64) {
 	b.c.Helper()
 	b.eventually("the requests run", func() bool { return e.Stats().Started >= started })
--- a/cmd/ggsnode/gateway.go
+++ b/cmd/ggsnode/gateway.go
@@ -22,8 +22,7 @@
 
 const gatewayProgram = "ggsgateway"
 
-// RunGateway runs a gateway until a signal or the context's end and returns
-// its exit code.
+// RunGateway runs a gateway until a signal or the context's end and returns its exit code.
 func RunGateway(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	c, code, ok := parse(gatewayProgram, args, stdout, stderr)
 	if !ok {
@@ -49,7 +48,7 @@
 	}, ggsgateway.Parts{Document: f.Current, Caller: p, Clock: t, Log: l})
 }
 
-// newGatewayMembers makes the dispatchers known to the document's follower.
+// newGatewayMembers returns the dispatchers from which the document's follower reads.
 func newGatewayMembers(n *ggssettings.Node, v *ggsvms.Follower) ggsconfig.MemberLister {
 	return &listedMembers{node: n, vms: v}
 }
--- a/cmd/ggsnode/hooks.go
+++ b/cmd/ggsnode/hooks.go
@@ -17,7 +17,7 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// A host starts and stops the parts of a process.
+// A host adds the parts of a process to its fx lifecycle.
 type host struct {
 	fx.In
 
@@ -26,8 +26,7 @@
 	Log        log.Logger
 }
 
-// background runs f from the process's start until its stop. Its failure ends
-// the process.
+// background runs f from the process's start until its stop. An error of f ends the process.
 func (h *host) background(name string, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -54,8 +53,8 @@
 	})
 }
 
-// serveHTTP serves from the process's start. At its stop it takes no new
-// connections and waits for the requests in progress.
+// serveHTTP serves HTTP from the process's start. At the stop it accepts no new connections and
+// waits for the requests in progress.
 func (h *host) serveHTTP(name string, addr netip.AddrPort, handler http.Handler) {
 	s := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 	h.Lifecycle.Append(fx.Hook{
@@ -82,7 +81,7 @@
 	return l, errors.Wrapf(err, "listening on %s", addr)
 }
 
-// serveRPC answers other processes from the process's start until its stop.
+// serveRPC serves RPC calls of other processes from the process's start until its stop.
 func (h *host) serveRPC(addr netip.AddrPort, register func(context.Context, *ggsrpc.Server) error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/cmd/ggsnode/members.go
+++ b/cmd/ggsnode/members.go
@@ -14,8 +14,8 @@
 	"greengageslip/io/ggsvms"
 )
 
-// A dispatcherMembers lists the dispatchers of the own domain by heartbeats and
-// those of others by the platform's list.
+// A dispatcherMembers lists the dispatchers of the own domain by their heartbeats and those of other
+// domains by the platform's list.
 type dispatcherMembers struct {
 	heartbeats *ggsheartbeat.Server
 	listed     listedMembers
@@ -42,8 +42,8 @@
 	return ms
 }
 
-// newHeartbeats opens the socket of heartbeats, which has the number of the
-// dispatcher's address.
+// newHeartbeats opens the UDP socket of heartbeats, which has the port of the dispatcher's RPC
+// address.
 func newHeartbeats(s *ggssettings.Dispatcher, i incarnation, t clock, l log.Logger) (*ggsheartbeat.Server, error) {
 	c, err := ggsheartbeat.Listen(context.Background(), s.Listen)
 	if err != nil {
@@ -55,8 +55,8 @@
 	return h, nil
 }
 
-// seeds are the dispatchers of the settings, which are asked before the
-// platform's list is known. Their names come with their heartbeats.
+// seeds returns the dispatchers of the settings, which get heartbeats before the platform's list is
+// known. Their VM IDs are learned from their heartbeats.
 func seeds(s *ggssettings.Dispatcher) []ggscore.VM {
 	vms := make([]ggscore.VM, 0, len(s.Dispatchers))
 	for _, a := range s.Dispatchers {
--- a/cmd/ggsnode/readers.go
+++ b/cmd/ggsnode/readers.go
@@ -10,10 +10,10 @@
 	"greengageslip/io/ggsvms"
 )
 
-// listReaders is the number of VMs of a domain that read the platform's list.
+// readersPerDomain is the number of VMs of a domain that read the platform's list.
 const readersPerDomain = 2
 
-// A readers tells who reads the platform's list of VMs: those of a domain's
+// A listMembership selects the readers of the platform's list of VMs: those of a domain's
 // dispatchers that also watch the document.
 type listMembership struct {
 	node    *ggssettings.Node
@@ -40,14 +40,14 @@
 	return !r.role.peersOnly && slices.Contains(r.readerIDs(), r.node.VM)
 }
 
-// first returns the domain's dispatchers that read the list.
+// readerIDs returns the domain's dispatchers that read the list.
 func (r *listMembership) readerIDs() []ggscore.VMID {
 	var ids []ggscore.VMID
 	if !r.role.peersOnly {
 		ids = append(ids, r.node.VM)
 	}
 	for _, m := range r.members.Members() {
-		// Dispatchers of the settings have no names until they are heard of.
+		// Dispatchers of the settings have their address as ID until their first heartbeat.
 		if m.Domain == r.node.Domain && m.VM != ggscore.VMID(m.Addr.String()) {
 			ids = append(ids, m.VM)
 		}
--- a/cmd/ggsnode/run.go
+++ b/cmd/ggsnode/run.go
@@ -25,23 +25,22 @@
 
 const (
 	startTimeout = 15 * time.Second
-	// stopMargin is the time for what follows the draining.
+	// stopMargin is the time for the steps of a stop after the draining.
 	stopMargin = 10 * time.Second
 )
 
-// A commandLine is what both programs take.
+// A commandLine has the options of dispatcher and gateway.
 type commandLine struct {
 	Settings string `long:"settings" value-name:"FILE" description:"TOML file with the process's settings" required:"true"`
 }
 
-// parse reads the command line. ok is false where the program is to end with
-// the code.
+// parse reads the command line. If ok is false, the program must end with the code.
 func parse(program string, args []string, stdout, stderr io.Writer) (c commandLine, code int, ok bool) {
 	code, ok = parseLine(program, &c, args, stdout, stderr)
 	return c, code, ok
 }
 
-// parseLine reads a command line into a struct of options.
+// parseLine reads a command line into c, a pointer to a struct of options.
 func parseLine(program string, c any, args []string, stdout, stderr io.Writer) (code int, ok bool) {
 	p := flags.NewNamedParser(program, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := p.AddGroup("Options", "", c); err != nil {
@@ -63,13 +62,13 @@
 	return exitOK, true
 }
 
-// runNode runs the parts of a process with settings of our own.
+// runNode runs the parts of a dispatcher or gateway until a signal or the context's end.
 func runNode(ctx context.Context, n *ggssettings.Node, l log.Logger, options ...fx.Option) int {
 	return runApp(ctx, n.DrainTimeout+stopMargin, l, append(options, fx.Supply(n))...)
 }
 
-// runApp runs the parts until a signal or the context's end. A stop may take the
-// time.
+// runApp runs the parts until a signal or the context's end, and returns the exit code. stopTime
+// limits the time of a stop.
 func runApp(ctx context.Context, stopTime time.Duration, l log.Logger, options ...fx.Option) int {
 	app := fx.New(append(options,
 		fx.Provide(func() log.Logger { return l }),
--- a/cmd/ggsnode/soak_answers_test.go
+++ b/cmd/ggsnode/soak_answers_test.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// soakLimitSettles is the time in which all VMs are to follow an endpoint's limit, and
-	// soakLimitWindow the time over which the endpoint counts.
+	// soakLimitSettleTime is the time within which all VMs must apply an endpoint's limit, and
+	// soakLimitWindow the time over which arrivals are counted.
 	soakLimitSettleTime = 3 * time.Second
 	soakLimitWindow     = 4 * time.Second
 	soakLimitExcess     = 1.5
 	soakLimitSlack      = 5
 )
 
-// A soakLimit is a time in which an endpoint named a limit.
+// A soakLimit is a period in which an endpoint announced a rate limit.
 type soakLimit struct {
 	span
 	endpoint  string
 	perSecond float64
 }
 
-// answerFaults returns what endpoints may say of themselves in answers.
+// answerFaults returns the faults that endpoints announce in their answers.
 func answerFaults() []soakFault {
 	return []soakFault{
 		{"endpoint is limited", true, (*soak).limitRate},
-		{"endpoint leaves by its answers", true, (*soak).leaveInAnswers},
-		{"endpoint wants nothing for a while", true, (*soak).shedRequests},
+		{"endpoint leaves in its answers", true, (*soak).leaveInAnswers},
+		{"endpoint refuses with Retry-After", true, (*soak).shedRequests},
 	}
 }
 
-// limit has an endpoint name a limit for long enough to count. It names one at a time: the end
-// of another's would lift it early.
+// limitRate makes an endpoint announce a rate limit for long enough to count arrivals. An
+// endpoint has one limit at a time, as the end of another would lift it early.
 func (s *soak) limitRate(r *rand.Rand, d time.Duration) {
 	l := soakLimit{endpoint: s.endpoint(r, ""), perSecond: float64(2 + r.IntN(8)), span: span{from: time.Now()}}
 	if _, busy := s.limiting.LoadOrStore(l.endpoint, true); busy {
@@ -53,7 +53,8 @@
 	s.limited = append(s.limited, l)
 }
 
-// depart has an endpoint say in its answers that it leaves, and in its entry only later.
+// leaveInAnswers makes an endpoint report in its answers that it is leaving, and in its entry
+// only later.
 func (s *soak) leaveInAnswers(r *rand.Rand, d time.Duration) {
 	prefix := []string{"runner", "ledger"}[r.IntN(2)]
 	id := s.endpoint(r, prefix)
@@ -72,7 +73,7 @@
 	s.site.Drain(id)
 }
 
-// pause has an endpoint refuse all requests for some time, which it names.
+// shedRequests makes an endpoint refuse all requests for a time that it sends as Retry-After.
 func (s *soak) shedRequests(r *rand.Rand, d time.Duration) {
 	e := s.site.Endpoints[s.endpoint(r, "")]
 	e.SetRetryAfter(d)
@@ -82,7 +83,8 @@
 	e.SetRetryAfter(0)
 }
 
-// disturbedWithin reports whether an edge's process did not run all the while between two times.
+// disturbedWithin reports whether an edge's process was down or frozen at some time between from
+// and to.
 func (e *soakEdge) disturbedWithin(from, to time.Time) bool {
 	for _, d := range e.disturbed {
 		if d.from.Before(to) && d.to.After(from) {
@@ -92,13 +94,13 @@
 	return false
 }
 
-// by reports whether an outcome is an endpoint's whole answer.
+// answeredBy reports whether an outcome is the complete answer of an endpoint.
 func (o *outcome) answeredBy(endpoint string) bool {
 	return o.complete && strings.Contains(o.body, " by "+endpoint+"\n")
 }
 
-// checkDepartures checks that an edge that passed on an answer that says that its endpoint
-// leaves sent it nothing new after the bound.
+// checkDepartures checks that an edge that has relayed an answer of a leaving endpoint sends the
+// endpoint no new requests after the bound.
 func (s *soak) checkDepartures() {
 	for id, at := range s.leavingSince {
 		leavingSeen := map[*soakEdge]time.Time{}
@@ -110,13 +112,14 @@
 		for _, o := range s.outcomes {
 			t, ok := leavingSeen[o.edge]
 			late := ok && o.answeredBy(id) && o.from.Sub(t) > soakDrainBound && !o.edge.disturbedWithin(t, o.from)
-			s.c.Check(late, qt.IsFalse, qt.Commentf("%s of %s reached %s, whose answer at %s said that it leaves",
+			s.c.Check(late, qt.IsFalse, qt.Commentf("request %s sent at %s reached %s, whose answer at %s reported that it is leaving",
 				o.id, o.from.Format("05.000"), id, t.Format("05.000")))
 		}
 	}
 }
 
-// checkLimits checks that the edges that ran all the while kept to endpoints' limits together.
+// checkLimits checks that the edges together keep to endpoints' limits. Requests of edges that
+// were down or frozen since the limit's start don't count.
 func (s *soak) checkLimits() {
 	edges := map[string]*soakEdge{}
 	for _, o := range s.outcomes {
--- a/cmd/ggsnode/soak_faults_test.go
+++ b/cmd/ggsnode/soak_faults_test.go
@@ -13,15 +13,15 @@
 	"greengageslip/fakes/ggsfakesite"
 )
 
-// A soakFault breaks something for some time and mends it.
+// A soakFault causes a fault for some time and then ends it.
 type soakFault struct {
 	name string
-	// planned says that it must not cost callers a request.
+	// planned reports whether callers must not lose any request by the fault.
 	planned bool
 	run     func(s *soak, r *rand.Rand, d time.Duration)
 }
 
-// soakFaults returns what may go wrong.
+// soakFaults returns the faults of every run.
 func soakFaults() []soakFault {
 	return []soakFault{
 		{"kill", false, (*soak).kill},
@@ -30,9 +30,9 @@
 		{"hangup", true, (*soak).hangup},
 		{"store link", false, (*soak).breakStoreLink},
 		{"endpoint link", false, (*soak).breakEndpointLink},
-		{"store away", false, (*soak).storeUnavailable},
+		{"store unavailable", false, (*soak).storeUnavailable},
 		{"store loses answers", false, (*soak).storeLosesAnswers},
-		{"store forgets", false, func(s *soak, _ *rand.Rand, _ time.Duration) { s.site.Store.Compact() }},
+		{"store compacts its history", false, func(s *soak, _ *rand.Rand, _ time.Duration) { s.site.Store.Compact() }},
 		{"endpoints fail", false, (*soak).failEndpoints},
 		{"endpoint leaves", true, (*soak).drain},
 		{"configuration", true, (*soak).configure},
@@ -40,8 +40,8 @@
 	}
 }
 
-// injectUntil breaks things at random, several at once and in series, and returns
-// when all is mended.
+// injectUntil starts random faults, which may overlap, until end and returns after all of them
+// have ended.
 func (s *soak) injectUntil(end time.Time, faults []soakFault, work *sync.WaitGroup) {
 	var running sync.WaitGroup
 	for time.Now().Before(end) {
@@ -78,7 +78,8 @@
 	s.restart(e, d/4)
 }
 
-// disturb notes that an edge's process did not run all the while from a time until now.
+// recordDisturbed records that an edge's process was down or frozen at some time between from
+// and now.
 func (s *soak) recordDisturbed(e *soakEdge, from time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,15 +109,15 @@
 	e.signal(syscall.SIGCONT)
 }
 
-// hangup sends a hang-up to a process that has started: the soak doesn't start it again, as
-// the platform would, where it ends before its first instruction.
+// hangup sends SIGHUP to a process that has a configuration. A SIGHUP before the process ignores
+// the signal would end it, and the soak, unlike the platform, wouldn't restart it.
 func (s *soak) hangup(r *rand.Rand, _ time.Duration) {
 	if e := s.edge(r); s.configOf(e) > 0 {
 		e.signal(syscall.SIGHUP)
 	}
 }
 
-// harm returns a way to harm a link.
+// linkFault returns a random fault of a link.
 func linkFault(r *rand.Rand) ggsfakelink.Faults {
 	return []ggsfakelink.Faults{
 		{Stall: true},
@@ -139,7 +140,7 @@
 	l.SetFaults(ggsfakelink.Faults{})
 }
 
-// endpoint returns the name of an endpoint with a prefix.
+// endpoint returns the name of a random endpoint with a prefix.
 func (s *soak) endpoint(r *rand.Rand, prefix string) string {
 	var ids []string
 	for id := range s.site.Endpoints {
@@ -180,8 +181,7 @@
 	e.SetFault(func(ggsfakesite.Query) ggsfakesite.Fault { return ggsfakesite.FaultNone })
 }
 
-// drain has one runner and one ledger leave in a play at most, so that others
-// serve.
+// drain makes at most one runner and one ledger leave in a run, so that others still serve.
 func (s *soak) drain(r *rand.Rand, _ time.Duration) {
 	prefix := []string{"runner", "ledger"}[r.IntN(2)]
 	id := s.endpoint(r, prefix)
@@ -196,7 +196,7 @@
 	s.drainedAt[id] = time.Now()
 }
 
-// configure writes a newer configuration, a small or a large one.
+// configure writes a newer configuration, either small or large.
 func (s *soak) configure(r *rand.Rand, _ time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -210,9 +210,8 @@
 	s.site.Store.Put(key, value)
 }
 
-// storeReturns has the store come back from a copy, at times from the same one again soon
-// after. Writes are held back meanwhile and carried out later; endpoints and operators write
-// again what was lost.
+// restoreStore restores the store from a copy, sometimes twice in short succession. Writes are
+// held meanwhile and applied later; endpoints and operators rewrite the lost entries.
 func (s *soak) restoreStore(r *rand.Rand, d time.Duration) {
 	k := s.site.Store.Copy()
 	s.sleep(d)
@@ -234,7 +233,7 @@
 	}
 }
 
-// bump names a new version of an adapter.
+// changeVersion sets a new version of an adapter.
 func (s *soak) changeVersion(r *rand.Rand, _ time.Duration) {
 	a := fmt.Sprintf("a%d", r.IntN(soakAdapters))
 	s.mu.Lock()
--- a/cmd/ggsnode/soak_test.go
+++ b/cmd/ggsnode/soak_test.go
@@ -24,40 +24,40 @@
 	"greengageslip/fakes/ggsfakesite"
 )
 
-// The soak runs edges as processes of their own before a stand-in of the users'
-// platform, and breaks what is around them at random: processes are killed,
-// stopped, frozen and restarted, links are cut, delayed and reset by a proxy, the
-// store goes away, loses answers and its history, endpoints fail and leave, and
-// operators change the configuration meanwhile. Clients keep their connections. What
-// callers and endpoints saw is checked at the end.
+// The soak test runs edges as child processes against a fake of the users' platform and injects
+// random faults: processes are killed, stopped, frozen and restarted, links are cut, delayed and
+// reset by a proxy, the store is unavailable, loses answers and compacts its history, endpoints
+// fail and leave, and operators change the configuration. Clients keep their connections alive.
+// The outcomes of all requests and the records of all endpoints are checked at the end.
 //
 //	go test ./cmd/ggsnode -run TestSoak -soak.seeds 50 -soak.length 25s
 //	go test ./cmd/ggsnode -run TestSoak -soak.seed 7 -soak.length 25s -v
 //
 //nolint:gochecknoglobals // flags of the test
 var (
-	soakSeed     = flag.Uint64("soak.seed", 0, "play this seed only")
-	soakSeeds    = flag.Int("soak.seeds", 0, "play so many fresh seeds")
-	soakAnswers  = flag.Bool("soak.answers", true, "endpoints also say in answers that they leave, are limited or want nothing for a while")
-	soakRestores = flag.Bool("soak.returns", true, "the store also comes back from copies of itself")
-	soakLength   = flag.Duration("soak.length", 6*time.Second, "time of faults in each play")
+	soakSeed     = flag.Uint64("soak.seed", 0, "run this seed only")
+	soakSeeds    = flag.Int("soak.seeds", 0, "run this number of random seeds")
+	soakAnswers  = flag.Bool("soak.answers", true, "endpoints also report in answers that they are leaving, are limited or refuse requests for a time")
+	soakRestores = flag.Bool("soak.returns", true, "the store is also restored from copies of itself")
+	soakLength   = flag.Duration("soak.length", 6*time.Second, "duration of the faults in each run")
 )
 
-// soakCases are seeds that are always played, with what each is for.
+// soakCases are the seeds of every run of the test, by what each covers.
 //
 //nolint:gochecknoglobals // a table of cases
 var soakCases = map[string]soakCase{
 	"an ordinary mix": {seed: 1},
-	// A VM behind a thin link never took over a configuration of 1 MB.
+	// Guards against a VM on a slow link that never applies a configuration of 1 MB.
 	"a large configuration":         {seed: 2944054447},
 	"what endpoints say in answers": {seed: 2, answers: true},
 	"a store that comes back":       {seed: 3, answers: true, restores: true},
-	// Two limits of one endpoint at a time: the end of the first lifted the second.
+	// Guards against overlapping limits of one endpoint, where the end of the first lifts the
+	// second.
 	"limits that overlap": {seed: 1075990872, answers: true, restores: true},
 }
 
-// A soakCase is a play. Faults of answers and returns of the store are other sets to draw from,
-// so that a seed found without them plays the same.
+// A soakCase is one run. Faults of answers and restores of the store are optional, so that a seed
+// found without them draws the same faults.
 type soakCase struct {
 	seed     uint64
 	answers  bool
@@ -68,21 +68,22 @@
 	soakEdges       = 4
 	soakClients     = 16
 	soakMinOrderGap = 3 * time.Second
-	// soakThinLink is 10 Mbit/s in bytes a second.
+	// soakSlowLink is 10 Mbit/s in bytes per second.
 	soakSlowLink = 10_000_000 / 8
-	// soakRoutes make a configuration of nearly the 1 MB that a value may hold.
+	// soakRoutes is a number of routes whose configuration is just below the store's value
+	// limit of 1 MB.
 	soakRoutes = 4800
-	// soakApply is the time after the faults within which the newest configuration is in
-	// force everywhere.
+	// soakApplyBound limits the time from the end of the faults until the newest configuration
+	// is in force at every edge.
 	soakApplyBound = 4 * time.Second
-	// soakCalm is the time after the faults in which all has to be served again.
+	// soakRecoveryBound limits the time from the end of the faults until every edge serves.
 	soakRecoveryBound = 20 * time.Second
-	// soakDrain is the time after which a leaving endpoint gets nothing more.
+	// soakDrainBound is the time after which a leaving endpoint must get no new requests.
 	soakDrainBound = 2500 * time.Millisecond
-	// soakRewrite is the time within which what a store has lost is written again.
+	// soakRewriteBound is the time within which entries lost in a restore are rewritten.
 	soakRewriteBound = 2 * time.Second
-	// soakQuiet is the time without other faults around a planned stop in which no
-	// request may be cut off.
+	// soakFaultFree is the time after an unplanned fault for which planned stops and departures
+	// aren't checked.
 	soakFaultFree = 3 * time.Second
 )
 
@@ -94,7 +95,7 @@
 	case *soakSeeds > 0:
 		for range *soakSeeds {
 			seed := rand.Uint64N(1 << 32)
-			//nolint:paralleltest // plays one after the other, so that timing is each one's own
+			//nolint:paralleltest // runs are sequential, so that they don't disturb each other's timing
 			t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSoak(t, soakCase{seed, *soakAnswers, *soakRestores}) })
 		}
 	default:
@@ -105,55 +106,55 @@
 	}
 }
 
-var soaks atomic.Int32 //nolint:gochecknoglobals // gives each play an address of its own
+var soaks atomic.Int32 //nolint:gochecknoglobals // gives each run its own addresses
 
-// A soak is one play.
+// A soak is the state of one run.
 type soak struct {
 	t     *testing.T
 	c     *qt.C
-	ctx   context.Context //nolint:containedctx // the play's, which ends all of it
+	ctx   context.Context //nolint:containedctx // ends everything of the run
 	rng   *rand.Rand
 	site  *ggsfakesite.Site
 	edges []*soakEdge
-	// links are the ways to endpoints, by their names.
+	// links are the proxy links to endpoints, by the endpoints' names.
 	links map[string]*ggsfakelink.Link
 	log   *os.File
 
 	mu sync.Mutex
-	// unplanned are the times of faults that nobody planned, drained when endpoints
-	// began to leave.
+	// unplanned are the periods of unplanned faults, drainedAt the times when endpoints began to
+	// leave.
 	unplanned []span
 	drainedAt map[string]time.Time
-	// departed are when endpoints began to say in answers that they leave, limited the
-	// times in which they named a limit.
+	// leavingSince are the times when endpoints began to report in answers that they are leaving,
+	// limited the periods in which they announced a limit.
 	leavingSince map[string]time.Time
 	limited      []soakLimit
-	// limiting are the endpoints that name a limit now.
+	// limiting has the endpoints that announce a limit at present.
 	limiting sync.Map
 	outcomes []outcome
-	// version is the configuration's, versions are the adapters'.
+	// version is the configuration's version, versions are those of the adapters.
 	version  int
 	versions map[string]uint64
-	// written are the operators' entries as they were written last.
+	// written has the latest values of the operators' entries, by key.
 	written map[string][]byte
 	ids     atomic.Int64
 }
 
 type span struct{ from, to time.Time }
 
-// A soakEdge is a VM: its process, and its way to the store.
+// A soakEdge is a VM with its process and its link to the store.
 type soakEdge struct {
 	ip       netip.Addr
 	settings string
 	store    *ggsfakelink.Link
-	// bandwidth is that of the way to the store in bytes a second, zero for unlimited.
+	// bandwidth is that of the link to the store in bytes per second; zero means unlimited.
 	bandwidth int
-	// life is held while the process is ended and started again.
+	// restartMu is held while the process is ended and restarted.
 	restartMu sync.Mutex
 	mu        sync.Mutex
 	cmd       *exec.Cmd
-	// stopping are the times of planned stops, disturbed those in which the process did not
-	// run all the while. soak.mu guards both.
+	// stopping are the periods of planned stops, disturbed those in which the process was down
+	// or frozen. soak.mu guards both.
 	stopping  []span
 	disturbed []span
 }
@@ -191,7 +192,7 @@
 		faults = append(faults, answerFaults()...)
 	}
 	if k.restores {
-		faults = append(faults, soakFault{"store comes back from a copy", false, (*soak).restoreStore})
+		faults = append(faults, soakFault{"store restored from a copy", false, (*soak).restoreStore})
 	}
 	s.injectUntil(time.Now().Add(*soakLength), faults, &work)
 	s.recover()
@@ -200,8 +201,7 @@
 	s.check()
 }
 
-// start starts the stand-in, the links and the processes, and waits until all are
-// ready.
+// start starts the fake platform, the links and the edges, and waits until every edge serves.
 func (s *soak) start(work *sync.WaitGroup) {
 	network := byte(soaks.Add(1))
 	p := os.Getpid()
@@ -253,13 +253,13 @@
 		s.edges = append(s.edges, e)
 		s.spawn(e)
 	}
-	s.await("all serve", soakRecoveryBound, s.allServe)
+	s.await("every edge serves", soakRecoveryBound, s.allServe)
 	for _, e := range s.edges {
 		e.clearFirstStart(s.c)
 	}
 }
 
-// startedOnce has the settings say that the deployment has started before.
+// clearFirstStart marks in an edge's settings that the deployment has started before.
 func (e *soakEdge) clearFirstStart(c *qt.C) {
 	b, err := os.ReadFile(e.settings)
 	c.Assert(err, qt.IsNil)
@@ -274,7 +274,7 @@
 	return l
 }
 
-// keepLog keeps the processes' log of a play that failed.
+// keepLog moves the edges' log of a failed run out of the test's directory.
 func (s *soak) keepLog(dir string) {
 	_ = s.log.Close()
 	if s.t.Failed() {
@@ -305,12 +305,12 @@
 	}
 }
 
-// restart waits for the process's end and starts the next. soakEdge.life is held.
+// restart waits for the process's end and starts the next. soakEdge.restartMu is held.
 func (s *soak) restart(e *soakEdge, pause time.Duration) {
 	e.mu.Lock()
 	cmd := e.cmd
 	e.mu.Unlock()
-	_ = cmd.Wait() // it was killed or told to stop
+	_ = cmd.Wait() // a kill or stop makes this an error
 	s.sleep(pause)
 	if s.ctx.Err() == nil {
 		s.spawn(e)
@@ -329,7 +329,7 @@
 	end := time.Now().Add(limit)
 	for !ok() {
 		if time.Now().After(end) {
-			s.c.Fatalf("waited %s in vain: %s", limit, what)
+			s.c.Fatalf("timed out after %s waiting: %s", limit, what)
 		}
 		s.sleep(50 * time.Millisecond)
 	}
--- a/cmd/ggsnode/state.go
+++ b/cmd/ggsnode/state.go
@@ -5,7 +5,7 @@
 	"greengageslip/io/ggsowners"
 )
 
-// An ownerState is one group in a dump.
+// An ownerState is one group of endpoints in the state dump.
 type ownerState struct {
 	Group    int    `json:"group"`
 	Mode     string `json:"mode"`
@@ -15,7 +15,7 @@
 	Pins     int    `json:"pins"`
 }
 
-// A memberState is one dispatcher of the domain in a dump.
+// A memberState is one dispatcher of the domain in the state dump.
 type memberState struct {
 	VM       string `json:"vm"`
 	Addr     string `json:"addr"`
--- a/cmd/ggsnode/system_test.go
+++ b/cmd/ggsnode/system_test.go
@@ -29,7 +29,7 @@
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, model, tokens)
 }
 
-// A failureBody is the body of a refusal.
+// A failureBody is the JSON body of a refusal or an error event.
 type failureBody struct {
 	Error struct {
 		Type      string `json:"type"`
@@ -44,8 +44,7 @@
 	return f
 }
 
-// checkWhole checks that a streamed answer is whole, in order, and the
-// caller's own.
+// checkComplete checks that a streamed answer is complete, in order and of the caller's request.
 func checkComplete(c *qt.C, h http.Header, text, adapter string, tokens int) {
 	c.Assert(h.Get("X-Served-Model"), qt.Equals, adapter, qt.Commentf("%s", text))
 	id := h.Get("X-Request-Id")
@@ -71,9 +70,8 @@
 	}
 }
 
-// Callers got each other's answers: two requests in progress at once shared a
-// connection between gateway and dispatcher, and the pieces of one were passed
-// to the other.
+// Guards against callers that get each other's answers, because requests in progress share a
+// connection between gateway and dispatcher and their chunks are mixed up.
 func TestManyCallersGetTheirOwnCompleteAnswers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -98,8 +96,8 @@
 	w.Wait()
 }
 
-// An operator made v2 the current version and it was accepted, but requests
-// went on getting v1.
+// Guards against requests that are served by v1 after the change of the current version to v2 has
+// been accepted.
 func TestVersionChangeComesIntoForce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -180,8 +178,8 @@
 	return n
 }
 
-// A landlord was paid twice: the property manager's client repeated a deposit
-// release over another gateway while the first was in progress.
+// Guards against a non-idempotent call that runs twice, because its caller repeats it at another
+// gateway while the first is in progress.
 func TestNonIdempotentCallRunsOnceOverAllGateways(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -202,7 +200,7 @@
 	w.Wait()
 	c.Assert(runsOf(ledgers[0], key)+runsOf(ledgers[1], key), qt.Equals, 1)
 
-	// Once recorded, the outcome is replayed at either gateway.
+	// After it has been recorded, the outcome is replayed at either gateway.
 	for _, g := range gateways {
 		b.eventually("the outcome is replayed", func() bool {
 			status, _, _ := b.post(g, releasePath, `{"deposit":1}`, "Idempotency-Key", key)
@@ -215,8 +213,8 @@
 	c.Assert(failureOf(c, text).Error.Type, qt.Equals, "keyReused")
 }
 
-// A landlord was paid twice: the ledger ran a release and its answer was lost.
-// The caller was told that it had not run, and repeated it.
+// Guards against a non-idempotent call that runs twice: the answer of its endpoint is lost, and
+// an outcome of notRun makes the caller repeat the call.
 func TestLostAnswerIsUnknownAndNeverRunsAgain(t *testing.T) {
 	t.Parallel()
 	c, b, ledger, g := plainDeployment(t)
@@ -233,8 +231,8 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
-// A ledger that refused a release without running it was asked again under the
-// same claim, and the caller got the answer of the one run.
+// Guards against a call that stays without an answer or runs twice, if its endpoint refuses it
+// without running it. The call is retried under the same claim and runs once.
 func TestRefusedCallIsSentAgainUnderItsClaim(t *testing.T) {
 	t.Parallel()
 	c, b, ledger, g := plainDeployment(t)
@@ -250,8 +248,8 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
-// The platform's service was away, a release could not be claimed, and it ran
-// all the same; or lookups, which need no claim, were refused with it.
+// Guards against a non-idempotent call that runs without a claim while the platform is
+// unavailable, and against calls that need no claim being refused with it.
 func TestPlatformOutageRefusesOnlyCallsThatNeedAClaim(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -269,7 +267,7 @@
 	status, h, text := b.post(g, releasePath, `{"deposit":1}`, "Idempotency-Key", key, "Idempotency-First-Send", "true")
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s", text))
 	c.Assert(failureOf(c, text).Error.Outcome, qt.Equals, "notRun")
-	// Without the caller's word an earlier sending may have run.
+	// Without the first-send header, an earlier attempt may have run.
 	status, _, text = b.post(g, releasePath, `{"deposit":1}`, "Idempotency-Key", newKey())
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s", text))
 	c.Assert(failureOf(c, text).Error.Outcome, qt.Equals, "unknown")
@@ -290,8 +288,8 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
-// A summary stopped in the middle of a sentence and looked complete: the
-// engine's connection broke and the answer was ended as if it were whole.
+// Guards against a truncated answer that looks complete, because the engine's connection breaks
+// and the stream ends without an error event.
 func TestCutStreamEndsInAnErrorEvent(t *testing.T) {
 	t.Parallel()
 	c, b, e, g := modelDeployment(t, nil)
@@ -307,8 +305,8 @@
 	c.Assert(f.Error.Outcome, qt.Equals, "unknown")
 }
 
-// A cold start: an engine restarted with nothing loaded while its owner
-// believed its adapters resident. Requests were refused as long as it did.
+// Guards against refused requests after an engine has restarted empty, while its owner still has
+// its adapters as resident.
 func TestColdStartIsServed(t *testing.T) {
 	t.Parallel()
 	c, b, e, g := modelDeployment(t, nil)
@@ -320,8 +318,8 @@
 	}
 }
 
-// A caller hung up during a long answer, and its slot was used to the end of
-// the answer that nobody read.
+// Guards against a slot that stays in use until the end of a long answer whose caller has closed
+// the connection.
 func TestCancelledCallerFreesItsSlot(t *testing.T) {
 	t.Parallel()
 	c, b, e, g := modelDeployment(t, func(o *ggsfakeengine.Options) {
@@ -334,8 +332,8 @@
 	b.eventually("the run is cancelled", func() bool { return e.Stats().Cancelled == 1 })
 }
 
-// A planned stop of a dispatcher cut off the answers that it was relaying, and
-// requests that waited in its queue were lost.
+// Guards against a planned stop of a dispatcher that cuts off relayed answers or loses queued
+// requests.
 func TestDispatcherDrains(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -366,7 +364,7 @@
 	c.Assert(b.engines["runner-1"].Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
-// A planned stop of a gateway cut off the answers of its callers.
+// Guards against a planned stop of a gateway that cuts off its callers' answers.
 func TestGatewayDrains(t *testing.T) {
 	t.Parallel()
 	c, b, e, g := modelDeployment(t, func(o *ggsfakeengine.Options) { o.TokenInterval = 5 * time.Millisecond })
@@ -381,8 +379,8 @@
 	w.Wait()
 }
 
-// A region whose runners were all gone refused its callers although another
-// region could serve them.
+// Guards against a region without runners that refuses its callers although another region can
+// serve them.
 func TestAnotherRegionServes(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -397,9 +395,8 @@
 	checkComplete(c, h, text, "deposits@v1", 8)
 }
 
-// Lookups stalled when the platform announced the replacement of an entry VM:
-// gateways sent nothing more to its dispatcher, which was listed as leaving, but
-// it went on owning its runners until it was stopped.
+// Guards against requests that stall before the replacement of an entry VM. Gateways send nothing
+// to a dispatcher that is listed as leaving, so it must hand over its runners before its stop.
 func TestListedLeavingDispatcherHandsOver(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -409,7 +406,7 @@
 	first := b.dispatcher(1, "a")
 	g := b.gateway(1, "a")
 	second := b.dispatcher(2, "a")
-	b.eventually("the second is heard of", func() bool {
+	b.eventually("the first dispatcher knows the second", func() bool {
 		_, _, text := b.get("http://" + first.state.String() + "/state")
 		return strings.Contains(text, `"vm": "a-2"`)
 	})
@@ -427,7 +424,7 @@
 	}
 	b.platform.SetVMs(append([]ggscore.VM(nil), b.vms...))
 	listed := time.Now()
-	b.eventually("the second serves", func() bool {
+	b.eventually("the second dispatcher serves", func() bool {
 		status, _, _ := b.post(g, chatPath, chat("deposits"))
 		return status == http.StatusOK && b.counter(second, "submitted") > 0
 	})
