--- a/cmd/ggsnode/dispatcher.go
+++ b/cmd/ggsnode/dispatcher.go
@@ -31,16 +31,15 @@
 
 const (
 	dispatcherProgram = "ggsdispatcher"
-	// The parts of the lease's time to live that are its margin and the times
-	// between renewals and between looks at the records of others.
-	leaseMarginPart = 4
-	leaseRenewPart  = 3
-	leasePollPart   = 6
-	releaseTimeout  = 3 * time.Second
+	// The lease's time to live divided by these gives its margin, and the intervals between
+	// renewals and between reads of the other owners' records.
+	leaseMarginDivisor = 4
+	leaseRenewDivisor  = 3
+	leasePollDivisor   = 6
+	releaseTimeout     = 3 * time.Second
 )
 
-// RunDispatcher runs a dispatcher until a signal or the context's end and
-// returns its exit code.
+// RunDispatcher runs a dispatcher until a signal or the context's end and returns its exit code.
 func RunDispatcher(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	c, code, ok := parse(dispatcherProgram, args, stdout, stderr)
 	if !ok {
@@ -66,8 +65,8 @@
 	return ggsschedule.New(ggsschedule.Options{Policy: s.Policy, Seed: uint64(c().UnixNano())})
 }
 
-// An incarnation names one life of a process. Later lives sort after earlier
-// ones.
+// An incarnation identifies one run of a process. It is a UUIDv7, so later incarnations sort after
+// earlier ones.
 type incarnation string
 
 func newIncarnation() (incarnation, error) {
@@ -75,17 +74,17 @@
 	return incarnation(u.String()), err
 }
 
-// newDispatcher makes the ownership and the dispatcher, which know each other:
-// the one guards what the other does, and asks it what is in progress.
+// newDispatcher returns the ownership and the dispatcher, which depend on each other: the ownership
+// authorizes the dispatcher's orders and asks the dispatcher which endpoints are busy.
 func newDispatcher(
 	s *ggssettings.Dispatcher, store ggscore.Store, i incarnation, k *ggsschedule.Scheduler,
 	c *ggsclaims.Committer, t clock, l log.Logger,
 ) (*ggsowners.Owners, *ggsdispatch.Dispatcher) {
 	var d *ggsdispatch.Dispatcher
 	q := ggsowners.DefaultOptions(s.Domain)
-	q.Limits.TTL, q.Limits.Margin = s.LeaseTTL, s.LeaseTTL/leaseMarginPart
-	q.RenewInterval, q.PollInterval = s.LeaseTTL/leaseRenewPart, s.LeaseTTL/leasePollPart
-	q.CallTimeout = s.LeaseTTL / leaseMarginPart
+	q.Limits.TTL, q.Limits.Margin = s.LeaseTTL, s.LeaseTTL/leaseMarginDivisor
+	q.RenewInterval, q.PollInterval = s.LeaseTTL/leaseRenewDivisor, s.LeaseTTL/leasePollDivisor
+	q.CallTimeout = s.LeaseTTL / leaseMarginDivisor
 	q.Busy = func(ids []ggscore.EndpointID) bool { return d.Busy(ids) }
 	o := ggsowners.New(store, t, ggsowner.Holder{VM: s.VM, Incarnation: string(i)}, q, l)
 	e := ggsengine.NewClient(ggsengine.DefaultSettings())
@@ -99,7 +98,7 @@
 	return o, d
 }
 
-// A dispatcherParts holds what startDispatcher starts.
+// A dispatcherParts holds the parts that startDispatcher starts.
 type dispatcherParts struct {
 	fx.In
 
@@ -121,7 +120,7 @@
 	h.background("owners", p.Owners.Run)
 	h.background("claims", p.Claims.Run)
 	h.background("dispatcher", p.Dispatcher.Run)
-	h.background("endpoints", newEndpoints(p, h.Log).run)
+	h.background("endpoints", newEndpointUpdater(p, h.Log).run)
 	h.serveRPC(p.Settings.Listen, func(ctx context.Context, s *ggsrpc.Server) error {
 		if err := s.Register(ggsconfig.ServiceName, ggsconfig.NewService(p.Document)); err != nil {
 			return err
@@ -131,7 +130,7 @@
 		}
 		return s.Register("Dispatch", ggsdispatch.NewService(ctx, p.Dispatcher))
 	})
-	countDispatcher(p.State, p.Dispatcher.Stats())
+	registerDispatcherCounters(p.State, p.Dispatcher.Stats())
 	p.State.Add("dispatcher", func() any { return p.Dispatcher.State() })
 	p.State.Add("owners", func() any { return ownerStates(p.Owners.Status(p.Clock())) })
 	p.State.Add("members", func() any { return memberStates(p.Heartbeats.Members()) })
@@ -140,9 +139,8 @@
 	h.Lifecycle.Append(fx.Hook{OnStop: func(ctx context.Context) error { return p.drain(ctx, h.Log) }})
 }
 
-// drain hands over the endpoints and then finishes what is in progress. A
-// platform that is away delays neither: another dispatcher then takes over once
-// the lease has lapsed.
+// drain hands over the endpoints and then waits for the requests in progress. An unavailable
+// platform delays neither: another dispatcher then takes over after the lease has expired.
 func (p *dispatcherParts) drain(ctx context.Context, l log.Logger) error {
 	p.handOver(ctx, l)
 	if err := p.Dispatcher.Drain(ctx); err != nil {
@@ -158,8 +156,8 @@
 	return p.Claims.Flush(flush)
 }
 
-// handOver takes no new work from now on and releases the endpoints, so that
-// another dispatcher takes them over at once.
+// handOver refuses new requests from now on and releases the endpoints, so that another dispatcher
+// can take them over at once.
 func (p *dispatcherParts) handOver(ctx context.Context, l log.Logger) {
 	p.Heartbeats.SetSelf(true, p.Document.Head().Revision)
 	p.Dispatcher.BeginDrain()
@@ -170,7 +168,7 @@
 	}
 }
 
-func countDispatcher(t *ggsstate.State, k *ggsdispatch.Stats) {
+func registerDispatcherCounters(t *ggsstate.State, k *ggsdispatch.Stats) {
 	t.Count("submitted", k.Submitted.Load)
 	t.Count("done", k.Done.Load)
 	t.Count("notRun", k.NotRun.Load)
--- a/cmd/ggsnode/endpoints_test.go
+++ b/cmd/ggsnode/endpoints_test.go
@@ -9,10 +9,10 @@
 	"greengageslip/core/ggsmember"
 )
 
-// One domain loaded at the whole weight store's rate while the others had their
-// thirds: its dispatcher had adopted the document before it knew the list of
-// VMs, took itself for the only domain and kept that share.
-func TestShareNeedsTheListOfVMs(t *testing.T) {
+// Guards against a domain that keeps the whole load rate of the weight store while the others have
+// their shares: its dispatcher applied the document before it knew the list of VMs, and counted
+// itself as the only domain.
+func TestLoadShareRequiresTheListOfVMs(t *testing.T) {
 	t.Parallel()
 	d := &ggscore.Document{Policy: ggscore.PolicySpec{LoadsPerSecond: 6, LoadsInTransit: 24}}
 	vm := func(r ggscore.VMRole, n ggscore.Domain) ggscore.VM { return ggscore.VM{Role: r, Domain: n} }
@@ -31,18 +31,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			qt.New(t).Assert(shareOf(tc.vms, d), qt.Equals, tc.want)
+			qt.New(t).Assert(loadShareOf(tc.vms, d), qt.Equals, tc.want)
 		})
 	}
 }
 
-// Endpoints were out of reach for seconds after a VM was replaced: the new VM's
-// dispatcher was heard of and took them over before the platform listed it, and
-// gateways follow listed dispatchers only.
-func TestUnlistedDispatcherTakesNothingOver(t *testing.T) {
+// Guards against endpoints that are unreachable for seconds after the replacement of a VM: the new
+// dispatcher is known by its heartbeats and takes them over before the platform lists it, and
+// gateways know only listed dispatchers.
+func TestUnlistedDispatcherIsNoOwnerCandidate(t *testing.T) {
 	t.Parallel()
-	member := func(id ggscore.VMID, leaving bool, life string) ggsmember.Member {
-		return ggsmember.Member{VM: id, Leaving: leaving, Incarnation: life}
+	member := func(id ggscore.VMID, leaving bool, incarnation string) ggsmember.Member {
+		return ggsmember.Member{VM: id, Leaving: leaving, Incarnation: incarnation}
 	}
 	vms := []ggscore.VM{
 		{ID: "listed", Role: ggscore.RoleEntry},
@@ -52,15 +52,15 @@
 		member ggsmember.Member
 		want   int
 	}{
-		"listed":     {member("listed", false, "1"), 1},
-		"unlisted":   {member("new", false, "1"), 0},
-		"leaving":    {member("listed", true, "1"), 0},
-		"not heard":  {member("listed", false, ""), 0},
-		"no entryVM": {member("runner", false, "1"), 0},
+		"listed":       {member("listed", false, "1"), 1},
+		"unlisted":     {member("new", false, "1"), 0},
+		"leaving":      {member("listed", true, "1"), 0},
+		"no heartbeat": {member("listed", false, ""), 0},
+		"no entry VM":  {member("runner", false, "1"), 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			qt.New(t).Assert(candidates([]ggsmember.Member{tc.member}, vms), qt.HasLen, tc.want)
+			qt.New(t).Assert(ownerCandidates([]ggsmember.Member{tc.member}, vms), qt.HasLen, tc.want)
 		})
 	}
 }
--- a/cmd/ggsnode/fault_gateway_test.go
+++ b/cmd/ggsnode/fault_gateway_test.go
@@ -20,16 +20,16 @@
 	"greengageslip/io/ggswire"
 )
 
-// linkPort is where links stand in for what they lead to.
+// linkPort is the port of the proxy links.
 const linkPort = 7400
 
-// A gateway's VM was lost while it relayed answers. Its requests held their
-// slots to ends that nobody read, so that others' callers waited; and a release
-// that was in progress was paid again when its caller repeated it elsewhere.
+// Guards against requests of a lost gateway that keep their slots until their unread answers
+// end, and against a non-idempotent call in progress that runs again when its caller repeats it
+// at another gateway.
 func TestGatewayKilled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", slowTokens)
 	ledger := b.plain("ledger-1", "a")
 	b.document()
@@ -39,43 +39,42 @@
 	ledger.SetFaults(ggsfakeplain.Faults{Slow: 2 * time.Second})
 
 	key := newKey()
-	b.release(&lost.node, key)
+	b.startRelease(&lost.node, key)
 	for i := range 4 {
-		b.ask(&lost.node, []string{"deposits@v1", "disputes@v7"}[i%2], 100000)
+		b.startChat(&lost.node, []string{"deposits@v1", "disputes@v7"}[i%2], 100000)
 	}
-	b.running(e, 4)
+	b.waitStarted(e, 4)
 	b.eventually("the release runs", func() bool { return runsOf(ledger, key) == 1 })
 	lost.signal(syscall.SIGKILL)
 
 	b.eventually("the release ends", func() bool { return b.counter(d, "done") == 1 })
-	r := b.await(b.release(other, key))
+	r := b.await(b.startRelease(other, key))
 	c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%s", r.text))
 	c.Assert(strings.Contains(r.text, key), qt.IsTrue, qt.Commentf("%s", r.text))
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 
 	b.eventually("the slots are free", func() bool { return e.Stats().Cancelled == 4 })
-	b.whole(b.ask(other, "deposits@v1", 5))
+	b.requireComplete(b.startChat(other, "deposits@v1", 5))
 }
 
-// A switch between gateway and dispatcher failed for a moment while an answer
-// was relayed. The caller's sentence lacked some words, or had some twice, or
-// ended short and looked whole.
+// Guards against an answer with missing or repeated chunks, or a truncated one that looks
+// complete, if the link between gateway and dispatcher fails while the answer is relayed.
 func TestCutBetweenGatewayAndDispatcher(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		fault ggsfakelink.Faults
-		// heals says that the link is good again while the gateway still tries.
-		heals bool
-		want  string
+		// recovers reports whether the link works again while the gateway still retries.
+		recovers bool
+		want     string
 	}{
-		"broken for a moment":  {ggsfakelink.Faults{Refuse: true}, true, "done"},
-		"stalled for a moment": {ggsfakelink.Faults{Stall: true}, true, "done"},
-		"broken for long":      {ggsfakelink.Faults{Refuse: true}, false, "unknown"},
+		"refused briefly":  {ggsfakelink.Faults{Refuse: true}, true, "done"},
+		"stalled briefly":  {ggsfakelink.Faults{Stall: true}, true, "done"},
+		"refused for long": {ggsfakelink.Faults{Refuse: true}, false, "unknown"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			b := newBench(t)
+			b := newTestDeployment(t)
 			e := b.engine("runner-1", "a", slowTokens)
 			b.document()
 			l := b.link(linkPort, rpcPort+1)
@@ -84,30 +83,30 @@
 			g := b.gateway(1, "a")
 
 			const tokens = 200
-			k, first := b.askRead(g, "deposits@v1", tokens)
+			k, first := b.startChatStream(g, "deposits@v1", tokens)
 			c.Assert(strings.HasPrefix(first, "data: "), qt.IsTrue)
 			l.SetFaults(tc.fault)
-			if tc.heals {
-				// What the engine made during the cut waits at the dispatcher.
+			if tc.recovers {
+				// The dispatcher buffers the chunks that the engine sends during the cut.
 				b.eventually("the engine ends the run", func() bool { return e.Stats().Done == 1 && b.counter(d, "done") == 1 })
 				l.SetFaults(ggsfakelink.Faults{})
 			}
 			c.Assert(outcomeOf(c, k, b.await(k)), qt.Equals, tc.want)
 			l.SetFaults(ggsfakelink.Faults{})
-			if tc.heals && tc.fault.Refuse {
+			if tc.recovers && tc.fault.Refuse {
 				c.Assert(b.counter(g, "resumed") > 0, qt.IsTrue)
 			}
 			b.eventually("requests are served", func() bool {
-				k := b.ask(g, "deposits@v1", 5)
+				k := b.startChat(g, "deposits@v1", 5)
 				return outcomeOf(c, k, b.await(k)) == "done"
 			})
 		})
 	}
 }
 
-// askRead sends a streamed chat request and returns once its first line is
-// here; the rest is read in the background.
-func (b *bench) askRead(g *node, model string, tokens int) (k *call, first string) {
+// startChatStream sends a streamed chat request and returns after its first line; the rest is
+// read in the background.
+func (b *testDeployment) startChatStream(g *node, model string, tokens int) (k *call, first string) {
 	b.c.Helper()
 	k = &call{model: model, tokens: tokens, done: make(chan reply, 1)}
 	lines := make(chan string, 1)
@@ -140,18 +139,18 @@
 	select {
 	case first = <-lines:
 	case <-ctx.Done():
-		b.c.Fatalf("waited in vain for an answer's first line")
+		b.c.Fatalf("timed out waiting for an answer's first line")
 	}
 	return k, first
 }
 
-// A dispatcher was so busy that a gateway gave a submission up, withdrew it
-// over a new connection and told the caller that it had not run. Then the first
-// submission came out of a socket's buffer, and the release ran.
+// Guards against a withdrawn request that runs. A gateway abandons a submission to an overloaded
+// dispatcher, withdraws it over a new connection and answers notRun; then the dispatcher reads
+// the submission from the buffer of the first connection.
 func TestLateSubmissionOfWithdrawnRequest(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", func(o *ggsfakeengine.Options) { o.FirstToken = 0 })
 	ledger := b.plain("ledger-1", "a")
 	b.document()
@@ -168,21 +167,21 @@
 	}
 	var known ggswire.SummaryReply
 	c.Assert(p.Call(b.ctx, d.addr, ggswire.MethodSummary, &ggswire.SummaryArgs{}, &known), qt.IsNil)
-	life := known.Summary.Incarnation
+	incarnation := known.Summary.Incarnation
 	var withdrawn ggswire.WithdrawReply
-	c.Assert(p.Call(b.ctx, d.addr, ggswire.MethodWithdraw, &ggswire.WithdrawArgs{Incarnation: life, ID: "late"}, &withdrawn), qt.IsNil)
+	c.Assert(p.Call(b.ctx, d.addr, ggswire.MethodWithdraw, &ggswire.WithdrawArgs{Incarnation: incarnation, ID: "late"}, &withdrawn), qt.IsNil)
 	c.Assert(ggscore.Outcome(withdrawn.Outcome), qt.Equals, ggscore.OutcomeNotRun)
-	args := ggswire.SubmitArgs{Incarnation: life, Request: ggswire.FromRequest(late, 5*time.Second)}
+	args := ggswire.SubmitArgs{Incarnation: incarnation, Request: ggswire.FromRequest(late, 5*time.Second)}
 	var submitted ggswire.SubmitReply
 	c.Assert(p.Call(b.ctx, d.addr, ggswire.MethodSubmit, &args, &submitted), qt.IsNil)
 	f := submitted.Failure.Failure()
 	c.Assert(f != nil, qt.IsTrue)
 	c.Assert(f.Outcome, qt.Equals, ggscore.OutcomeNotRun)
 
-	// What is submitted behind it runs, and the late copy has not.
-	r := b.await(b.release(g, newKey()))
+	// Later requests run, and the withdrawn request has not run.
+	r := b.await(b.startRelease(g, newKey()))
 	c.Assert(r.status, qt.Equals, http.StatusOK, qt.Commentf("%s", r.text))
-	b.whole(b.ask(g, "deposits@v1", 5))
+	b.requireComplete(b.startChat(g, "deposits@v1", 5))
 	c.Assert(runsOf(ledger, key), qt.Equals, 0)
 	c.Assert(e.Stats().Started, qt.Equals, uint64(1))
 }
--- a/cmd/ggsnode/readers.go
+++ b/cmd/ggsnode/readers.go
@@ -10,52 +10,52 @@
 	"greengageslip/io/ggsvms"
 )
 
-// listReaders is the number of VMs of a domain that read the platform's list.
-const listReaders = 2
+// readersPerDomain is the number of VMs of a domain that read the platform's list.
+const readersPerDomain = 2
 
-// A readers tells who reads the platform's list of VMs: those of a domain's
+// A listMembership selects the readers of the platform's list of VMs: those of a domain's
 // dispatchers that also watch the document.
-type readers struct {
+type listMembership struct {
 	node    *ggssettings.Node
 	role    role
 	members ggsconfig.MemberLister
 }
 
-var _ ggsvms.Membership = (*readers)(nil)
+var _ ggsvms.Membership = (*listMembership)(nil)
 
 // Others implements ggsvms.Membership.
-func (r *readers) Others() []ggsvms.Peer {
-	first := r.first()
-	return r.peers(func(m ggsconfig.Member) bool { return !slices.Contains(first, m.VM) })
+func (r *listMembership) Others() []ggsvms.Peer {
+	readers := r.readerIDs()
+	return r.peers(func(m ggsconfig.Member) bool { return !slices.Contains(readers, m.VM) })
 }
 
 // Readers implements ggsvms.Membership.
-func (r *readers) Readers() []ggsvms.Peer {
-	first := r.first()
-	return r.peers(func(m ggsconfig.Member) bool { return slices.Contains(first, m.VM) })
+func (r *listMembership) Readers() []ggsvms.Peer {
+	readers := r.readerIDs()
+	return r.peers(func(m ggsconfig.Member) bool { return slices.Contains(readers, m.VM) })
 }
 
 // IsReader implements ggsvms.Membership.
-func (r *readers) IsReader() bool {
-	return !r.role.peersOnly && slices.Contains(r.first(), r.node.VM)
+func (r *listMembership) IsReader() bool {
+	return !r.role.peersOnly && slices.Contains(r.readerIDs(), r.node.VM)
 }
 
-// first returns the domain's dispatchers that read the list.
-func (r *readers) first() []ggscore.VMID {
+// readerIDs returns the domain's dispatchers that read the list.
+func (r *listMembership) readerIDs() []ggscore.VMID {
 	var ids []ggscore.VMID
 	if !r.role.peersOnly {
 		ids = append(ids, r.node.VM)
 	}
 	for _, m := range r.members.Members() {
-		// Dispatchers of the settings have no names until they are heard of.
+		// Dispatchers of the settings have their address as ID until their first heartbeat.
 		if m.Domain == r.node.Domain && m.VM != ggscore.VMID(m.Addr.String()) {
 			ids = append(ids, m.VM)
 		}
 	}
-	return ggsdocument.Watchers(r.node.Domain, ids, listReaders)
+	return ggsdocument.Watchers(r.node.Domain, ids, readersPerDomain)
 }
 
-func (r *readers) peers(wanted func(ggsconfig.Member) bool) []ggsvms.Peer {
+func (r *listMembership) peers(wanted func(ggsconfig.Member) bool) []ggsvms.Peer {
 	var ps []ggsvms.Peer
 	for _, m := range r.members.Members() {
 		if (r.role.peersOnly || m.VM != r.node.VM) && wanted(m) {
--- a/cmd/ggsnode/soak_answers_test.go
+++ b/cmd/ggsnode/soak_answers_test.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// soakLimitSettles is the time in which all VMs are to follow an endpoint's limit, and
-	// soakLimitWindow the time over which the endpoint counts.
-	soakLimitSettles = 3 * time.Second
-	soakLimitWindow  = 4 * time.Second
-	soakLimitExcess  = 1.5
-	soakLimitSlack   = 5
+	// soakLimitSettleTime is the time within which all VMs must apply an endpoint's limit, and
+	// soakLimitWindow the time over which arrivals are counted.
+	soakLimitSettleTime = 3 * time.Second
+	soakLimitWindow     = 4 * time.Second
+	soakLimitExcess     = 1.5
+	soakLimitSlack      = 5
 )
 
-// A soakLimit is a time in which an endpoint named a limit.
+// A soakLimit is a period in which an endpoint announced a rate limit.
 type soakLimit struct {
 	span
 	endpoint  string
 	perSecond float64
 }
 
-// answerFaults returns what endpoints may say of themselves in answers.
+// answerFaults returns the faults that endpoints announce in their answers.
 func answerFaults() []soakFault {
 	return []soakFault{
-		{"endpoint is limited", true, (*soak).limit},
-		{"endpoint leaves by its answers", true, (*soak).depart},
-		{"endpoint wants nothing for a while", true, (*soak).pause},
+		{"endpoint is limited", true, (*soak).limitRate},
+		{"endpoint leaves in its answers", true, (*soak).leaveInAnswers},
+		{"endpoint refuses with Retry-After", true, (*soak).shedRequests},
 	}
 }
 
-// limit has an endpoint name a limit for long enough to count. It names one at a time: the end
-// of another's would lift it early.
-func (s *soak) limit(r *rand.Rand, d time.Duration) {
+// limitRate makes an endpoint announce a rate limit for long enough to count arrivals. An
+// endpoint has one limit at a time, as the end of another would lift it early.
+func (s *soak) limitRate(r *rand.Rand, d time.Duration) {
 	l := soakLimit{endpoint: s.endpoint(r, ""), perSecond: float64(2 + r.IntN(8)), span: span{from: time.Now()}}
 	if _, busy := s.limiting.LoadOrStore(l.endpoint, true); busy {
 		return
@@ -45,7 +45,7 @@
 	defer s.limiting.Delete(l.endpoint)
 	e := s.site.Endpoints[l.endpoint]
 	e.SetRateLimit(l.perSecond)
-	s.sleep(soakLimitSettles + soakLimitWindow + d)
+	s.sleep(soakLimitSettleTime + soakLimitWindow + d)
 	l.to = time.Now()
 	e.SetRateLimit(0)
 	s.mu.Lock()
@@ -53,27 +53,28 @@
 	s.limited = append(s.limited, l)
 }
 
-// depart has an endpoint say in its answers that it leaves, and in its entry only later.
-func (s *soak) depart(r *rand.Rand, d time.Duration) {
+// leaveInAnswers makes an endpoint report in its answers that it is leaving, and in its entry
+// only later.
+func (s *soak) leaveInAnswers(r *rand.Rand, d time.Duration) {
 	prefix := []string{"runner", "ledger"}[r.IntN(2)]
 	id := s.endpoint(r, prefix)
 	s.mu.Lock()
-	for o := range s.drained {
+	for o := range s.drainedAt {
 		if strings.HasPrefix(o, prefix) {
 			s.mu.Unlock()
 			return
 		}
 	}
-	s.drained[id] = time.Now().Add(d)
-	s.departed[id] = time.Now()
+	s.drainedAt[id] = time.Now().Add(d)
+	s.leavingSince[id] = time.Now()
 	s.mu.Unlock()
 	s.site.Endpoints[id].SetLeaving(true)
 	s.sleep(d)
 	s.site.Drain(id)
 }
 
-// pause has an endpoint refuse all requests for some time, which it names.
-func (s *soak) pause(r *rand.Rand, d time.Duration) {
+// shedRequests makes an endpoint refuse all requests for a time that it sends as Retry-After.
+func (s *soak) shedRequests(r *rand.Rand, d time.Duration) {
 	e := s.site.Endpoints[s.endpoint(r, "")]
 	e.SetRetryAfter(d)
 	e.SetFault(func(ggsfakesite.Query) ggsfakesite.Fault { return ggsfakesite.FaultShed })
@@ -82,7 +83,8 @@
 	e.SetRetryAfter(0)
 }
 
-// disturbedWithin reports whether an edge's process did not run all the while between two times.
+// disturbedWithin reports whether an edge's process was down or frozen at some time between from
+// and to.
 func (e *soakEdge) disturbedWithin(from, to time.Time) bool {
 	for _, d := range e.disturbed {
 		if d.from.Before(to) && d.to.After(from) {
@@ -92,31 +94,32 @@
 	return false
 }
 
-// by reports whether an outcome is an endpoint's whole answer.
-func (o *outcome) by(endpoint string) bool {
-	return o.whole && strings.Contains(o.body, " by "+endpoint+"\n")
+// answeredBy reports whether an outcome is the complete answer of an endpoint.
+func (o *outcome) answeredBy(endpoint string) bool {
+	return o.complete && strings.Contains(o.body, " by "+endpoint+"\n")
 }
 
-// checkDepartures checks that an edge that passed on an answer that says that its endpoint
-// leaves sent it nothing new after the bound.
+// checkDepartures checks that an edge that has relayed an answer of a leaving endpoint sends the
+// endpoint no new requests after the bound.
 func (s *soak) checkDepartures() {
-	for id, at := range s.departed {
-		told := map[*soakEdge]time.Time{}
+	for id, at := range s.leavingSince {
+		leavingSeen := map[*soakEdge]time.Time{}
 		for _, o := range s.outcomes {
-			if t, ok := told[o.edge]; o.by(id) && o.from.After(at) && (!ok || o.to.Before(t)) {
-				told[o.edge] = o.to
+			if t, ok := leavingSeen[o.edge]; o.answeredBy(id) && o.from.After(at) && (!ok || o.to.Before(t)) {
+				leavingSeen[o.edge] = o.to
 			}
 		}
 		for _, o := range s.outcomes {
-			t, ok := told[o.edge]
-			late := ok && o.by(id) && o.from.Sub(t) > soakDrain && !o.edge.disturbedWithin(t, o.from)
-			s.c.Check(late, qt.IsFalse, qt.Commentf("%s of %s reached %s, whose answer at %s said that it leaves",
+			t, ok := leavingSeen[o.edge]
+			late := ok && o.answeredBy(id) && o.from.Sub(t) > soakDrainBound && !o.edge.disturbedWithin(t, o.from)
+			s.c.Check(late, qt.IsFalse, qt.Commentf("request %s sent at %s reached %s, whose answer at %s reported that it is leaving",
 				o.id, o.from.Format("05.000"), id, t.Format("05.000")))
 		}
 	}
 }
 
-// checkLimits checks that the edges that ran all the while kept to endpoints' limits together.
+// checkLimits checks that the edges together keep to endpoints' limits. Requests of edges that
+// were down or frozen since the limit's start don't count.
 func (s *soak) checkLimits() {
 	edges := map[string]*soakEdge{}
 	for _, o := range s.outcomes {
@@ -126,7 +129,7 @@
 		var at []time.Time
 		for _, a := range s.site.Endpoints[l.endpoint].Arrivals() {
 			e := edges[a.ID]
-			if e != nil && a.At.Sub(l.from) > soakLimitSettles && a.At.Before(l.to) && !e.disturbedWithin(l.from, a.At) {
+			if e != nil && a.At.Sub(l.from) > soakLimitSettleTime && a.At.Before(l.to) && !e.disturbedWithin(l.from, a.At) {
 				at = append(at, a.At)
 			}
 		}
--- a/cmd/ggsnode/soak_check_test.go
+++ b/cmd/ggsnode/soak_check_test.go
@@ -24,22 +24,22 @@
 	soakDeadline = 4 * time.Second
 )
 
-// An outcome is what a client saw of a request.
+// An outcome is the result of one request as its client received it.
 type outcome struct {
 	id   string
 	path string
 	edge *soakEdge
 	from time.Time
 	to   time.Time
-	// status is zero where no answer came, whole says that it came to its end.
-	status int
-	body   string
-	whole  bool
-	wait   time.Duration
-	err    error
+	// status is zero without an answer; complete reports that the body was read to its end.
+	status   int
+	body     string
+	complete bool
+	wait     time.Duration
+	err      error
 }
 
-// client sends requests over connections that it keeps, until the context ends.
+// client sends requests over kept-alive connections until the context ends.
 func (s *soak) client(ctx context.Context, r *rand.Rand) {
 	h := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}, Timeout: soakDeadline + time.Second}
 	defer h.CloseIdleConnections()
@@ -72,7 +72,7 @@
 	o := outcome{id: fmt.Sprintf("%08x", s.ids.Add(1)), path: path, edge: e, from: time.Now()}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.callers()+path, strings.NewReader("{}"))
 	s.c.Check(err, qt.IsNil)
-	r.GetBody = nil // the client sends nothing twice
+	r.GetBody = nil // prevents automatic retries by the HTTP client
 	r.Host = ggsfakesite.Host
 	r.Header.Set("Request-Id", o.id)
 	r.Header.Set("Deadline-Ms", strconv.FormatInt(soakDeadline.Milliseconds(), 10))
@@ -86,14 +86,14 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	o.to, o.status, o.body, o.whole, o.err = time.Now(), resp.StatusCode, string(b), err == nil, err
+	o.to, o.status, o.body, o.complete, o.err = time.Now(), resp.StatusCode, string(b), err == nil, err
 	if w, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
 		o.wait = time.Duration(w * float64(time.Second))
 	}
 	return o
 }
 
-// allServe reports whether each edge serves each kind of request.
+// allServe reports whether every edge serves every kind of request.
 func (s *soak) allServe() bool {
 	ctx, cancel := context.WithTimeout(s.ctx, soakDeadline)
 	defer cancel()
@@ -108,7 +108,7 @@
 	return true
 }
 
-// allCurrent reports whether each edge has the newest configuration in force.
+// allCurrent reports whether the newest configuration is in force at every edge.
 func (s *soak) allCurrent() bool {
 	s.mu.Lock()
 	version := uint64(s.version)
@@ -139,13 +139,13 @@
 	return d.Parts.Edge.Config
 }
 
-// recover waits until all is served again: nothing is broken any more.
+// recover waits until every edge serves again after the last fault has ended.
 func (s *soak) recover() {
-	s.await("each VM serves each kind of request after the faults", soakCalm, s.allServe)
-	s.await("the newest configuration is in force everywhere", soakApply, s.allCurrent)
+	s.await("every VM serves every kind of request after the faults", soakRecoveryBound, s.allServe)
+	s.await("the newest configuration is in force at every edge", soakApplyBound, s.allCurrent)
 }
 
-// check checks what callers and endpoints saw.
+// check verifies the outcomes of all requests and the records of all endpoints.
 func (s *soak) check() {
 	runs := s.site.Runs()
 	counts := map[int]int{}
@@ -154,7 +154,7 @@
 		s.checkOutcome(o, runs[o.id])
 	}
 	s.t.Logf("%d requests by status: %v", len(s.outcomes), counts)
-	s.c.Check(counts[http.StatusOK] > len(s.outcomes)/4, qt.IsTrue, qt.Commentf("few are served: %v", counts))
+	s.c.Check(counts[http.StatusOK] > len(s.outcomes)/4, qt.IsTrue, qt.Commentf("at most a quarter of the requests served: %v", counts))
 	s.checkOrders()
 	s.checkDrains()
 	s.checkDepartures()
@@ -170,34 +170,33 @@
 		}
 	}
 	s.c.Check(o.status == http.StatusNotFound || o.status == http.StatusBadRequest, qt.IsFalse, what)
-	if o.status == http.StatusOK && o.whole {
-		s.c.Check(wholeAnswer(o), qt.IsTrue, what)
+	if o.status == http.StatusOK && o.complete {
+		s.c.Check(completeAnswer(o), qt.IsTrue, what)
 	}
-	if (o.status == 0 || !o.whole) && runs > 0 {
+	if (o.status == 0 || !o.complete) && runs > 0 {
 		s.c.Check(s.cutByStop(o), qt.IsFalse, what)
 	}
 }
 
-// wholeAnswer reports whether an answer is one endpoint's whole answer to the
-// request.
-func wholeAnswer(o outcome) bool {
+// completeAnswer reports whether a body is the complete answer of one endpoint to the request.
+func completeAnswer(o outcome) bool {
 	if !strings.HasPrefix(o.path, "/chat") {
 		return strings.HasPrefix(o.body, "answer to "+o.id+" by ") && strings.Count(o.body, "\n") == 1 && strings.HasSuffix(o.body, "\n")
 	}
-	_, by, _ := strings.Cut(o.body, " by ")
-	by, _, _ = strings.Cut(by, "\n")
+	_, endpoint, _ := strings.Cut(o.body, " by ")
+	endpoint, _, _ = strings.Cut(endpoint, "\n")
 	var want strings.Builder
 	for n := range soakEvents {
-		fmt.Fprintf(&want, "id: %d\ndata: %s by %s\n\n", n+1, o.id, by)
+		fmt.Fprintf(&want, "id: %d\ndata: %s by %s\n\n", n+1, o.id, endpoint)
 	}
 	return o.body == want.String()
 }
 
-// cutByStop reports whether a request that had reached an endpoint was cut off by a
-// planned stop of its VM, with no other fault around.
+// cutByStop reports whether a planned stop of the VM cut off a request that had reached an
+// endpoint, with no unplanned fault within soakFaultFree.
 func (s *soak) cutByStop(o outcome) bool {
 	for _, u := range s.unplanned {
-		if u.from.Before(o.to) && u.to.After(o.from.Add(-soakQuiet)) {
+		if u.from.Before(o.to) && u.to.After(o.from.Add(-soakFaultFree)) {
 			return false
 		}
 	}
@@ -209,13 +208,14 @@
 	return false
 }
 
-// checkOrders checks that VMs gave an endpoint orders a turn apart.
+// checkOrders checks that an endpoint's orders from different VMs are at least
+// soakMinOrderGap apart and have increasing fencing tokens.
 func (s *soak) checkOrders() {
 	for id, e := range s.site.Endpoints {
 		var last ggsfakesite.Order
 		for _, o := range e.Orders() {
 			if last.Holder != "" && last.Holder != o.Holder {
-				s.c.Check(o.At.Sub(last.At) >= soakTurn && o.Fence > last.Fence, qt.IsTrue,
+				s.c.Check(o.At.Sub(last.At) >= soakMinOrderGap && o.Fence > last.Fence, qt.IsTrue,
 					qt.Commentf("%s: %s at %s, %s at %s", id, last.Holder, last.At, o.Holder, o.At))
 			}
 			last = o
@@ -223,17 +223,17 @@
 	}
 }
 
-// checkDrains checks that endpoints that leave got nothing after the bound, where
-// nothing kept VMs from learning it.
+// checkDrains checks that leaving endpoints run no requests after the bound. Endpoints with an
+// unplanned fault around or after their departure are excluded, as it may delay the update.
 func (s *soak) checkDrains() {
-	for id, at := range s.drained {
-		until := at.Add(soakDrain)
-		harmed := false
+	for id, at := range s.drainedAt {
+		until := at.Add(soakDrainBound)
+		disturbed := false
 		for _, u := range s.unplanned {
-			harmed = harmed || u.to.After(at.Add(-soakQuiet))
+			disturbed = disturbed || u.to.After(at.Add(-soakFaultFree))
 		}
-		if !harmed {
-			s.c.Check(s.site.Endpoints[id].LastRun().After(until), qt.IsFalse, qt.Commentf("%s left at %s", id, at))
+		if !disturbed {
+			s.c.Check(s.site.Endpoints[id].LastRun().After(until), qt.IsFalse, qt.Commentf("%s ran a request after it left at %s", id, at))
 		}
 	}
 }
--- a/cmd/ggsnode/system_test.go
+++ b/cmd/ggsnode/system_test.go
@@ -29,7 +29,7 @@
 	return fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hola"}]}`, model, tokens)
 }
 
-// A failureBody is the body of a refusal.
+// A failureBody is the JSON body of a refusal or an error event.
 type failureBody struct {
 	Error struct {
 		Type      string `json:"type"`
@@ -44,9 +44,8 @@
 	return f
 }
 
-// checkWhole checks that a streamed answer is whole, in order, and the
-// caller's own.
-func checkWhole(c *qt.C, h http.Header, text, adapter string, tokens int) {
+// checkComplete checks that a streamed answer is complete, in order and of the caller's request.
+func checkComplete(c *qt.C, h http.Header, text, adapter string, tokens int) {
 	c.Assert(h.Get("X-Served-Model"), qt.Equals, adapter, qt.Commentf("%s", text))
 	id := h.Get("X-Request-Id")
 	c.Assert(id, qt.Not(qt.Equals), "")
@@ -63,21 +62,20 @@
 
 func TestStreamedAnswer(t *testing.T) {
 	t.Parallel()
-	c, b, _, g := serving(t, nil)
+	c, b, _, g := modelDeployment(t, nil)
 	for model, want := range map[string]string{"deposits": "deposits@v1", "deposits@v2": "deposits@v2", "disputes@v7": "disputes@v7"} {
 		status, h, text := b.post(g, chatPath, chat(model))
 		c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-		checkWhole(c, h, text, want, 8)
+		checkComplete(c, h, text, want, 8)
 	}
 }
 
-// Callers got each other's answers: two requests in progress at once shared a
-// connection between gateway and dispatcher, and the pieces of one were passed
-// to the other.
-func TestManyCallersGetTheirOwnWholeAnswers(t *testing.T) {
+// Guards against callers that get each other's answers, because requests in progress share a
+// connection between gateway and dispatcher and their chunks are mixed up.
+func TestManyCallersGetTheirOwnCompleteAnswers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "a", nil)
 	b.engine("runner-2", "a", nil)
 	b.document()
@@ -91,19 +89,19 @@
 			status, h, text := b.post(gateways[i%2], chatPath, chatOf(m, 5+i%7))
 			c.Check(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 			if status == http.StatusOK {
-				checkWhole(c, h, text, m, 5+i%7)
+				checkComplete(c, h, text, m, 5+i%7)
 			}
 		})
 	}
 	w.Wait()
 }
 
-// An operator made v2 the current version and it was accepted, but requests
-// went on getting v1.
+// Guards against requests that are served by v1 after the change of the current version to v2 has
+// been accepted.
 func TestVersionChangeComesIntoForce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "a", nil)
 	b.document()
 	b.dispatcher(1, "a")
@@ -124,7 +122,7 @@
 
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "a", nil)
 	b.plain("ledger-1", "a")
 	b.document()
@@ -180,12 +178,12 @@
 	return n
 }
 
-// A landlord was paid twice: the property manager's client repeated a deposit
-// release over another gateway while the first was in progress.
+// Guards against a non-idempotent call that runs twice, because its caller repeats it at another
+// gateway while the first is in progress.
 func TestNonIdempotentCallRunsOnceOverAllGateways(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	ledgers := []*ggsfakeplain.Service{b.plain("ledger-1", "a"), b.plain("ledger-2", "b")}
 	b.document()
 	b.dispatcher(1, "a")
@@ -202,7 +200,7 @@
 	w.Wait()
 	c.Assert(runsOf(ledgers[0], key)+runsOf(ledgers[1], key), qt.Equals, 1)
 
-	// Once recorded, the outcome is replayed at either gateway.
+	// After it has been recorded, the outcome is replayed at either gateway.
 	for _, g := range gateways {
 		b.eventually("the outcome is replayed", func() bool {
 			status, _, _ := b.post(g, releasePath, `{"deposit":1}`, "Idempotency-Key", key)
@@ -215,11 +213,11 @@
 	c.Assert(failureOf(c, text).Error.Type, qt.Equals, "keyReused")
 }
 
-// A landlord was paid twice: the ledger ran a release and its answer was lost.
-// The caller was told that it had not run, and repeated it.
+// Guards against a non-idempotent call that runs twice: the answer of its endpoint is lost, and
+// an outcome of notRun makes the caller repeat the call.
 func TestLostAnswerIsUnknownAndNeverRunsAgain(t *testing.T) {
 	t.Parallel()
-	c, b, ledger, g := paying(t)
+	c, b, ledger, g := plainDeployment(t)
 	ledger.SetFaults(ggsfakeplain.Faults{LoseAnswers: 1})
 	key := newKey()
 	status, _, text := b.post(g, releasePath, `{"deposit":1}`, "Idempotency-Key", key)
@@ -233,11 +231,11 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
-// A ledger that refused a release without running it was asked again under the
-// same claim, and the caller got the answer of the one run.
+// Guards against a call that stays without an answer or runs twice, if its endpoint refuses it
+// without running it. The call is retried under the same claim and runs once.
 func TestRefusedCallIsSentAgainUnderItsClaim(t *testing.T) {
 	t.Parallel()
-	c, b, ledger, g := paying(t)
+	c, b, ledger, g := plainDeployment(t)
 	ledger.SetFaults(ggsfakeplain.Faults{Refuse: 1})
 	key := newKey()
 	b.eventually("the call is answered", func() bool {
@@ -250,12 +248,12 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
-// The platform's service was away, a release could not be claimed, and it ran
-// all the same; or lookups, which need no claim, were refused with it.
-func TestPlatformAwayRefusesOnlyWhatNeedsIt(t *testing.T) {
+// Guards against a non-idempotent call that runs without a claim while the platform is
+// unavailable, and against calls that need no claim being refused with it.
+func TestPlatformOutageRefusesOnlyCallsThatNeedAClaim(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	ledger := b.plain("ledger-1", "a")
 	b.engine("runner-1", "a", nil)
 	b.document()
@@ -269,7 +267,7 @@
 	status, h, text := b.post(g, releasePath, `{"deposit":1}`, "Idempotency-Key", key, "Idempotency-First-Send", "true")
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s", text))
 	c.Assert(failureOf(c, text).Error.Outcome, qt.Equals, "notRun")
-	// Without the caller's word an earlier sending may have run.
+	// Without the first-send header, an earlier attempt may have run.
 	status, _, text = b.post(g, releasePath, `{"deposit":1}`, "Idempotency-Key", newKey())
 	c.Assert(status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf("%s", text))
 	c.Assert(failureOf(c, text).Error.Outcome, qt.Equals, "unknown")
@@ -278,7 +276,7 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 0)
 	status, h, text = b.post(g, chatPath, chat("deposits"))
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-	checkWhole(c, h, text, "deposits@v1", 8)
+	checkComplete(c, h, text, "deposits@v1", 8)
 	status, _, text = b.post(g, "/v1/services/custodia/balance", "{}")
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 
@@ -290,11 +288,11 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
-// A summary stopped in the middle of a sentence and looked complete: the
-// engine's connection broke and the answer was ended as if it were whole.
+// Guards against a truncated answer that looks complete, because the engine's connection breaks
+// and the stream ends without an error event.
 func TestCutStreamEndsInAnErrorEvent(t *testing.T) {
 	t.Parallel()
-	c, b, e, g := serving(t, nil)
+	c, b, e, g := modelDeployment(t, nil)
 	status, _, text := b.post(g, chatPath, chat("deposits"))
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 	e.SetFaults(ggsfakeengine.Faults{CutStreamAfter: 3})
@@ -307,24 +305,24 @@
 	c.Assert(f.Error.Outcome, qt.Equals, "unknown")
 }
 
-// A cold start: an engine restarted with nothing loaded while its owner
-// believed its adapters resident. Requests were refused as long as it did.
+// Guards against refused requests after an engine has restarted empty, while its owner still has
+// its adapters as resident.
 func TestColdStartIsServed(t *testing.T) {
 	t.Parallel()
-	c, b, e, g := serving(t, nil)
+	c, b, e, g := modelDeployment(t, nil)
 	for range 3 {
 		status, h, text := b.post(g, chatPath, chat("deposits"))
 		c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-		checkWhole(c, h, text, "deposits@v1", 8)
+		checkComplete(c, h, text, "deposits@v1", 8)
 		e.Restart()
 	}
 }
 
-// A caller hung up during a long answer, and its slot was used to the end of
-// the answer that nobody read.
+// Guards against a slot that stays in use until the end of a long answer whose caller has closed
+// the connection.
 func TestCancelledCallerFreesItsSlot(t *testing.T) {
 	t.Parallel()
-	c, b, e, g := serving(t, func(o *ggsfakeengine.Options) {
+	c, b, e, g := modelDeployment(t, func(o *ggsfakeengine.Options) {
 		o.TokenInterval = 5 * time.Millisecond
 	})
 	r, cancel := b.open(g, chatPath, chatOf("deposits", 100000))
@@ -334,12 +332,12 @@
 	b.eventually("the run is cancelled", func() bool { return e.Stats().Cancelled == 1 })
 }
 
-// A planned stop of a dispatcher cut off the answers that it was relaying, and
-// requests that waited in its queue were lost.
+// Guards against a planned stop of a dispatcher that cuts off relayed answers or loses queued
+// requests.
 func TestDispatcherDrains(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "a", func(o *ggsfakeengine.Options) { o.TokenInterval = 10 * time.Millisecond })
 	b.document()
 	nodes := []*node{b.dispatcher(1, "a"), b.dispatcher(2, "a")}
@@ -350,7 +348,7 @@
 			status, h, text := b.post(g, chatPath, chatOf("deposits@v1", 100))
 			c.Check(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
 			if status == http.StatusOK {
-				checkWhole(c, h, text, "deposits@v1", 100)
+				checkComplete(c, h, text, "deposits@v1", 100)
 			}
 		})
 	}
@@ -366,27 +364,27 @@
 	c.Assert(b.engines["runner-1"].Stats().BrokenByUnload, qt.Equals, uint64(0))
 }
 
-// A planned stop of a gateway cut off the answers of its callers.
+// Guards against a planned stop of a gateway that cuts off its callers' answers.
 func TestGatewayDrains(t *testing.T) {
 	t.Parallel()
-	c, b, e, g := serving(t, func(o *ggsfakeengine.Options) { o.TokenInterval = 5 * time.Millisecond })
+	c, b, e, g := modelDeployment(t, func(o *ggsfakeengine.Options) { o.TokenInterval = 5 * time.Millisecond })
 	var w sync.WaitGroup
 	w.Go(func() {
 		status, h, text := b.post(g, chatPath, chatOf("deposits@v1", 100))
 		c.Check(status, qt.Equals, http.StatusOK)
-		checkWhole(c, h, text, "deposits@v1", 100)
+		checkComplete(c, h, text, "deposits@v1", 100)
 	})
 	b.eventually("the request runs", func() bool { return e.Stats().Started == 1 })
 	c.Assert(g.stop(), qt.Equals, 0)
 	w.Wait()
 }
 
-// A region whose runners were all gone refused its callers although another
-// region could serve them.
+// Guards against a region without runners that refuses its callers although another region can
+// serve them.
 func TestAnotherRegionServes(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	b.engine("runner-1", "b", nil)
 	b.document()
 	b.dispatcher(1, "a")
@@ -394,22 +392,21 @@
 	g := b.gateway(1, "a")
 	status, h, text := b.post(g, chatPath, chat("deposits"))
 	c.Assert(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-	checkWhole(c, h, text, "deposits@v1", 8)
+	checkComplete(c, h, text, "deposits@v1", 8)
 }
 
-// Lookups stalled when the platform announced the replacement of an entry VM:
-// gateways sent nothing more to its dispatcher, which was listed as leaving, but
-// it went on owning its runners until it was stopped.
+// Guards against requests that stall before the replacement of an entry VM. Gateways send nothing
+// to a dispatcher that is listed as leaving, so it must hand over its runners before its stop.
 func TestListedLeavingDispatcherHandsOver(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(t)
+	b := newTestDeployment(t)
 	e := b.engine("runner-1", "a", func(o *ggsfakeengine.Options) { o.TokenInterval = 10 * time.Millisecond })
 	b.document()
 	first := b.dispatcher(1, "a")
 	g := b.gateway(1, "a")
 	second := b.dispatcher(2, "a")
-	b.eventually("the second is heard of", func() bool {
+	b.eventually("the first dispatcher knows the second", func() bool {
 		_, _, text := b.get("http://" + first.state.String() + "/state")
 		return strings.Contains(text, `"vm": "a-2"`)
 	})
@@ -417,7 +414,7 @@
 	w.Go(func() {
 		status, h, text := b.post(g, chatPath, chatOf("deposits@v1", 100))
 		c.Check(status, qt.Equals, http.StatusOK, qt.Commentf("%s", text))
-		checkWhole(c, h, text, "deposits@v1", 100)
+		checkComplete(c, h, text, "deposits@v1", 100)
 	})
 	b.eventually("a request runs", func() bool { return e.Stats().Started == 1 })
 	for i := range b.vms {
@@ -427,7 +424,7 @@
 	}
 	b.platform.SetVMs(append([]ggscore.VM(nil), b.vms...))
 	listed := time.Now()
-	b.eventually("the second serves", func() bool {
+	b.eventually("the second dispatcher serves", func() bool {
 		status, _, _ := b.post(g, chatPath, chat("deposits"))
 		return status == http.StatusOK && b.counter(second, "submitted") > 0
 	})
