--- a/fakes/ggsfakesite/endpoint.go
+++ b/fakes/ggsfakesite/endpoint.go
@@ -19,30 +19,31 @@
 	DefaultLoadTime = 30 * time.Millisecond
 )
 
-// An EndpointOptions sets an Endpoint. Zero fields take their defaults; Now is
-// to be set.
+// EndpointOptions configure an Endpoint. Zero fields take their defaults, except that
+// Now is required.
 type EndpointOptions struct {
 	ID      string
 	Service string
-	// Engine makes it a runner of DefaultModel.
+	// Engine makes the endpoint a runner of DefaultModel.
 	Engine       bool
 	AdapterSlots int
 	LoadTime     time.Duration
-	// Events is the number of events of a stream, EventTime the time of each.
+	// Events is the number of events in a stream, EventTime the interval between them.
 	Events    int
 	EventTime time.Duration
-	// Now is the clock that loads go by.
+	// Now is the clock that times loads.
 	Now func() time.Time
 }
 
-// A Query is a request as faults are decided on.
+// A Query describes a request to the function that chooses its fault. Number counts the
+// requests of the endpoint from one on.
 type Query struct {
 	ID     string
 	Path   string
 	Number int
 }
 
-// A Fault is what an endpoint does with a request.
+// A Fault is a failure that an endpoint simulates for a request.
 type Fault int
 
 // The faults.
@@ -50,15 +51,15 @@
 	FaultNone Fault = iota
 	// FaultReset runs the request and closes the connection without an answer.
 	FaultReset
-	// FaultShed doesn't run it and says so.
+	// FaultShed answers 503 without running the request and marks the answer as not run.
 	FaultShed
-	// FaultCut runs it and breaks the answer off.
+	// FaultCut runs the request and truncates the answer.
 	FaultCut
-	// FaultError runs it and answers 500.
+	// FaultError runs the request and answers 500.
 	FaultError
-	// FaultHang runs it and answers nothing until the caller leaves.
+	// FaultHang runs the request and sends no answer until the caller disconnects.
 	FaultHang
-	// FaultUnsigned answers 200 without the endpoint's mark.
+	// FaultUnsigned runs the request and answers 200 without the Server-Stamp header.
 	FaultUnsigned
 )
 
@@ -66,27 +67,27 @@
 type Endpoint struct {
 	options EndpointOptions
 
-	mu       sync.Mutex
-	sequence uint64
-	held     map[string]uint64
-	coming   map[string]time.Time
-	versions map[string]uint64
-	fault    func(Query) Fault
-	runs     map[string]int
-	bodies   map[string]string
-	orders   []Order
-	left     int
-	number   int
-	lastRun  time.Time
-	// limit is what answers name as the rate limit, empty for none.
-	limit   string
-	leaving bool
-	// retryAfter is what refusals ask for, zero for nothing.
+	mu           sync.Mutex
+	sequence     uint64
+	resident     map[string]uint64
+	loading      map[string]time.Time
+	versions     map[string]uint64
+	fault        func(Query) Fault
+	runs         map[string]int
+	bodies       map[string]string
+	orders       []Order
+	callersLeft  int
+	requestCount int
+	lastRun      time.Time
+	// rateLimit is the Server-Limit header of answers in requests per second, empty for none.
+	rateLimit string
+	leaving   bool
+	// retryAfter is the Retry-After header of requests refused by FaultShed, zero for none.
 	retryAfter time.Duration
 	arrivals   []Arrival
 }
 
-// An Order is one that the endpoint was given.
+// An Order is a load or unload order that the endpoint received.
 type Order struct {
 	Operation string  `json:"operation"`
 	Model     string  `json:"model"`
@@ -95,17 +96,17 @@
 	Expected  *uint64 `json:"expected"`
 	Holder    string  `json:"holder"`
 	Fence     uint64  `json:"fencingToken"`
-	// At is when it was accepted.
+	// At is the time at which the endpoint accepted the order.
 	At time.Time `json:"-"`
 }
 
-// An Arrival is a request that arrived, run or not.
+// An Arrival records a received request, whether or not the request was run.
 type Arrival struct {
 	ID string
 	At time.Time
 }
 
-// NewEndpoint returns an endpoint that holds its model and no adapters.
+// NewEndpoint returns an endpoint with its model loaded and without adapters.
 func NewEndpoint(o EndpointOptions) *Endpoint {
 	if o.AdapterSlots == 0 {
 		o.AdapterSlots = 4
@@ -114,7 +115,7 @@
 		o.LoadTime = DefaultLoadTime
 	}
 	return &Endpoint{
-		options: o, held: map[string]uint64{}, coming: map[string]time.Time{}, versions: map[string]uint64{},
+		options: o, resident: map[string]uint64{}, loading: map[string]time.Time{}, versions: map[string]uint64{},
 		fault: func(Query) Fault { return FaultNone }, runs: map[string]int{}, bodies: map[string]string{},
 	}
 }
@@ -131,53 +132,54 @@
 		e.options.Service, addr, zone, DefaultSlots, state, e.models(), e.sequence))
 }
 
-// SetFault sets what goes wrong.
+// SetFault sets the function that chooses the fault of each request.
 func (e *Endpoint) SetFault(f func(Query) Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = f
 }
 
-// SetRateLimit has answers name a limit of requests a second, or none for zero.
+// SetRateLimit sets the requests per second that answers give as the rate limit. Zero
+// removes the limit.
 func (e *Endpoint) SetRateLimit(perSecond float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.limit = ""
+	e.rateLimit = ""
 	if perSecond > 0 {
-		e.limit = strconv.FormatFloat(perSecond, 'f', -1, 64)
+		e.rateLimit = strconv.FormatFloat(perSecond, 'f', -1, 64)
 	}
 }
 
-// SetLeaving sets whether answers say that the endpoint leaves. Its entry in the store is
-// another matter.
+// SetLeaving sets whether answers carry the Server-Leaving header. The endpoint's entry in
+// the store doesn't change.
 func (e *Endpoint) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// SetRetryAfter has requests that FaultShed refuses told when to come back.
+// SetRetryAfter sets the Retry-After header of requests that FaultShed refuses.
 func (e *Endpoint) SetRetryAfter(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.retryAfter = d
 }
 
-// Arrivals returns the requests that arrived, those that were refused included.
+// Arrivals returns the received requests, refused ones included.
 func (e *Endpoint) Arrivals() []Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.arrivals)
 }
 
-// SetVersion names an adapter's newest version.
+// SetVersion sets the newest version of an adapter.
 func (e *Endpoint) SetVersion(adapter string, version uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.versions[adapter] = version
 }
 
-// Runs returns how often each request was run.
+// Runs returns the number of runs by request ID.
 func (e *Endpoint) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -188,32 +190,32 @@
 	return m
 }
 
-// Body returns the body that a request came with.
+// Body returns the body of the request with the given ID.
 func (e *Endpoint) Body(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.bodies[id]
 }
 
-// Orders returns the orders that were accepted.
+// Orders returns the accepted orders.
 func (e *Endpoint) Orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Order(nil), e.orders...)
 }
 
-// LastRun returns when the last request began to run.
+// LastRun returns the time at which the last request began to run.
 func (e *Endpoint) LastRun() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.lastRun
 }
 
-// Left returns the number of requests whose callers left.
+// Left returns the number of requests whose callers disconnected before the answer ended.
 func (e *Endpoint) Left() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.left
+	return e.callersLeft
 }
 
 // ServeHTTP implements http.Handler.
@@ -241,51 +243,52 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settle()
+	e.finishLoads()
 	o.At = e.options.Now()
-	_, holds := e.held[o.Adapter]
-	_, coming := e.coming[o.Adapter]
+	_, isResident := e.resident[o.Adapter]
+	_, loading := e.loading[o.Adapter]
 	wanted := max(o.Version, e.versions[o.Adapter], 1)
 	switch {
-	case coming && o.Operation == "load":
+	case loading && o.Operation == "load":
 		w.WriteHeader(http.StatusAccepted)
 	case o.Expected != nil && *o.Expected != e.sequence:
 		w.WriteHeader(http.StatusConflict)
-	case o.Operation == "load" && (o.Adapter == "" || holds && e.held[o.Adapter] == wanted),
-		o.Operation == "unload" && !holds:
+	case o.Operation == "load" && (o.Adapter == "" || isResident && e.resident[o.Adapter] == wanted),
+		o.Operation == "unload" && !isResident:
 		w.WriteHeader(http.StatusOK)
 	case o.Operation == "unload":
 		e.sequence++
 		e.orders = append(e.orders, o)
-		delete(e.held, o.Adapter)
+		delete(e.resident, o.Adapter)
 		w.WriteHeader(http.StatusOK)
 	default:
 		e.sequence++
 		e.orders = append(e.orders, o)
-		delete(e.held, o.Adapter)
+		delete(e.resident, o.Adapter)
 		e.versions[o.Adapter] = wanted
-		e.coming[o.Adapter] = e.options.Now().Add(e.options.LoadTime)
+		e.loading[o.Adapter] = e.options.Now().Add(e.options.LoadTime)
 		w.WriteHeader(http.StatusAccepted)
 	}
 }
 
-// settle takes in what has arrived. The lock is held.
-func (e *Endpoint) settle() {
-	for a, t := range e.coming {
+// finishLoads makes adapters resident whose load time has passed. The lock is held.
+func (e *Endpoint) finishLoads() {
+	for a, t := range e.loading {
 		if !e.options.Now().Before(t) {
-			delete(e.coming, a)
-			e.held[a] = e.versions[a]
+			delete(e.loading, a)
+			e.resident[a] = e.versions[a]
 		}
 	}
 }
 
-// models returns what the endpoint holds, as in its entry. The lock is held.
+// models returns the resident models and adapters as the JSON of the endpoint's entry. The
+// lock is held.
 func (e *Endpoint) models() string {
 	if !e.options.Engine {
 		return "[]"
 	}
 	l := []string{}
-	for a, v := range e.held {
+	for a, v := range e.resident {
 		l = append(l, fmt.Sprintf("%q", a+"@"+strconv.FormatUint(v, 10)))
 	}
 	return fmt.Sprintf(`[{"name":%q,"version":1,"adapters":[%s]}]`, DefaultModel, strings.Join(l, ","))
@@ -294,19 +297,20 @@
 func (e *Endpoint) report(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.settle()
+	e.finishLoads()
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = fmt.Fprintf(w, `{"stage":"both","models":%s,"busy":false,"seq":%d,"waiting":0,"running":0}`, e.models(), e.sequence)
 }
 
-// missing reports whether the request needs an adapter that isn't there.
+// missing reports whether the request needs an adapter or a version that isn't resident.
+// The lock is held.
 func (e *Endpoint) missing(r *http.Request) bool {
 	_, a, _ := strings.Cut(r.Header.Get("Model"), "/")
 	if !e.options.Engine || a == "" {
 		return false
 	}
-	e.settle()
-	v, ok := e.held[a]
+	e.finishLoads()
+	v, ok := e.resident[a]
 	want := r.Header.Get("Expect-Version")
 	return !ok || want != "" && want != strconv.FormatUint(v, 10)
 }
@@ -318,16 +322,16 @@
 		return
 	}
 	e.mu.Lock()
-	e.number++
+	e.requestCount++
 	e.arrivals = append(e.arrivals, Arrival{ID: id, At: e.options.Now()})
-	f := e.fault(Query{ID: id, Path: r.URL.Path, Number: e.number})
+	f := e.fault(Query{ID: id, Path: r.URL.Path, Number: e.requestCount})
 	missing := e.missing(r)
 	if f != FaultShed && !missing {
 		e.runs[id]++
 		e.lastRun = e.options.Now()
 		e.bodies[id] = string(b)
 	}
-	e.describe(w.Header(), f)
+	e.setStatusHeaders(w.Header(), f)
 	e.mu.Unlock()
 	h := w.Header()
 	h.Set("Request-Id", id)
@@ -343,7 +347,7 @@
 		panic(http.ErrAbortHandler)
 	case f == FaultHang:
 		<-r.Context().Done()
-		e.leave()
+		e.recordCallerLeft()
 		panic(http.ErrAbortHandler)
 	}
 	if f != FaultUnsigned {
@@ -357,10 +361,10 @@
 	e.answer(w, r, id, f)
 }
 
-// describe sets what answers say of the endpoint. The lock is held.
-func (e *Endpoint) describe(h http.Header, f Fault) {
-	if e.limit != "" {
-		h.Set("Server-Limit", e.limit)
+// setStatusHeaders sets the headers that describe the endpoint. The lock is held.
+func (e *Endpoint) setStatusHeaders(h http.Header, f Fault) {
+	if e.rateLimit != "" {
+		h.Set("Server-Limit", e.rateLimit)
 	}
 	if e.leaving {
 		h.Set("Server-Leaving", "1")
@@ -393,14 +397,14 @@
 		case <-t.C:
 		case <-r.Context().Done():
 			t.Stop()
-			e.leave()
+			e.recordCallerLeft()
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-func (e *Endpoint) leave() {
+func (e *Endpoint) recordCallerLeft() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.left++
+	e.callersLeft++
 }
--- a/fakes/ggsfakesite/site.go
+++ b/fakes/ggsfakesite/site.go
@@ -11,34 +11,35 @@
 	"time"
 )
 
-// The names of a Site's services and the host of its routes.
+// Names of a Site's services, and the host name of its routes.
 const (
 	Models = "models"
 	Ledger = "ledger"
 	Host   = "site.example"
 )
 
-// entryInterval is how often a Site's endpoints write their entries.
+// entryInterval is the interval at which a Site's endpoints write their entries.
 const entryInterval = 200 * time.Millisecond
 
-// A SiteOptions sets a Site. Zero fields mean one runner and one ledger a zone.
+// SiteOptions configure a Site. With zero Runners each zone has one runner. Each zone has
+// one ledger.
 type SiteOptions struct {
-	// Listen is the store's address; endpoints get the ports after it.
+	// Listen is the store's address. Endpoints listen on the ports that follow it.
 	Listen  netip.AddrPort
 	Zones   []string
 	Runners int
 	Events  int
-	// EventTime is the time of each event of a stream.
+	// EventTime is the interval between the events of a stream.
 	EventTime time.Duration
 	Now       func() time.Time
-	// Advertised are addresses that entries name in place of the endpoints' own,
-	// such as those of links before them.
+	// Advertised maps endpoint IDs to the addresses in their entries, such as those of
+	// simulated links. Endpoints without one advertise their own address.
 	Advertised map[string]netip.AddrPort
 }
 
-// A Site is a store with the endpoints and the configuration of a small
-// deployment: streams below /chat/, answers that may not be repeated below
-// /pay/, and such that may below /look/.
+// A Site is a small deployment: a store, its endpoints and its configuration. Requests
+// below /chat/ are streams, those below /pay/ must not be retried, and those below /look/
+// may be retried.
 type Site struct {
 	Store     *Store
 	Endpoints map[string]*Endpoint
@@ -48,14 +49,14 @@
 	zones   map[string]string
 	servers []*http.Server
 
-	// mu guards draining and quietUntil, and is a leaf.
+	// mu is a leaf lock and guards draining and entriesPausedUntil.
 	mu       sync.Mutex
 	draining map[string]bool
-	// quietUntil is when endpoints write their entries again.
-	quietUntil time.Time
+	// entriesPausedUntil is the time until which endpoints don't write their entries.
+	entriesPausedUntil time.Time
 }
 
-// NewSite returns a site that doesn't run yet.
+// NewSite returns a site that isn't running.
 func NewSite(o SiteOptions) *Site {
 	s := &Site{
 		Store: NewStore(), Endpoints: map[string]*Endpoint{}, options: o,
@@ -79,7 +80,8 @@
 	return s
 }
 
-// Config returns a version of the configuration, with streams below a prefix.
+// Config returns the configuration with the given version. The path prefix of streams is
+// chat.
 func Config(version int, chat string) []byte {
 	return []byte(fmt.Sprintf(`{"version":%d,"routes":[
 		{"name":"chat","hostname":%q,"pathPrefix":%q,"routeType":"streaming","timeoutMs":5000,"targetLatencyMs":800,"service":%q,"maxAttempts":1},
@@ -91,23 +93,24 @@
 		version, Host, chat, Models, Host, Ledger, Host, Ledger, Models, DefaultModel, Ledger))
 }
 
-// LargeConfig returns a version of the configuration with so many routes besides those
-// of Config.
+// LargeConfig returns the configuration of Config with the given number of additional
+// routes.
 func LargeConfig(version int, chat string, routes int) []byte {
-	const first = `"routes":[`
+	const routesKey = `"routes":[`
 	var b strings.Builder
-	b.WriteString(first)
+	b.WriteString(routesKey)
 	for n := range routes {
 		fmt.Fprintf(&b, `{"name":"extra-%d","hostname":%q,"pathPrefix":"/extra-%d/","routeType":"safe","timeoutMs":1200,`+
 			`"targetLatencyMs":200,"priority":2,"service":%q,"maxAttempts":2,"resumable":false,"gapAimMs":0},`, n, Host, n, Ledger)
 	}
-	return []byte(strings.Replace(string(Config(version, chat)), first, b.String(), 1))
+	return []byte(strings.Replace(string(Config(version, chat)), routesKey, b.String(), 1))
 }
 
 // Addr returns an endpoint's own address.
 func (s *Site) Addr(id string) netip.AddrPort { return s.addrs[id] }
 
-// Run serves until the context ends.
+// Run serves the store and the endpoints until the context is done. It returns an error if
+// an address can't be listened on.
 //
 // Site.mu is never held while Store.mu or Endpoint.mu is locked.
 func (s *Site) Run(ctx context.Context) error {
@@ -122,7 +125,7 @@
 		}
 		v := &http.Server{Handler: h, ReadHeaderTimeout: entryInterval * 25}
 		s.servers = append(s.servers, v)
-		// The server's end is the context's.
+		// Run closes the server when the context is done.
 		go func() { _ = v.Serve(l) }()
 	}
 	defer func() {
@@ -134,7 +137,7 @@
 	defer t.Stop()
 	for {
 		for id := range s.Endpoints {
-			s.announce(id)
+			s.writeEntry(id)
 		}
 		select {
 		case <-t.C:
@@ -144,37 +147,37 @@
 	}
 }
 
-// Drain makes an endpoint say that it leaves. It goes on serving.
+// Drain sets the state of an endpoint's entry to draining. The endpoint continues to serve.
 func (s *Site) Drain(id string) {
 	s.mu.Lock()
 	s.draining[id] = true
 	s.mu.Unlock()
-	s.announce(id)
+	s.writeEntry(id)
 }
 
-// Return has the store come back from a copy; endpoints write their entries again after some
-// time.
+// Return restores the store from a copy. Endpoints don't write their entries for the given
+// time after the restore.
 func (s *Site) Return(c Copy, after time.Duration) {
 	s.mu.Lock()
-	s.quietUntil = s.options.Now().Add(after)
+	s.entriesPausedUntil = s.options.Now().Add(after)
 	s.mu.Unlock()
 	s.Store.Return(c)
 }
 
-// Rewrite has endpoints write their entries again.
+// Rewrite ends the pause that Return began: endpoints write their entries again.
 func (s *Site) Rewrite() {
 	s.mu.Lock()
-	s.quietUntil = time.Time{}
+	s.entriesPausedUntil = time.Time{}
 	s.mu.Unlock()
 }
 
-// announce writes an endpoint's entry.
-func (s *Site) announce(id string) {
+// writeEntry writes an endpoint's entry to the store, unless entries are paused.
+func (s *Site) writeEntry(id string) {
 	s.mu.Lock()
 	draining := s.draining[id]
-	quiet := s.options.Now().Before(s.quietUntil)
+	paused := s.options.Now().Before(s.entriesPausedUntil)
 	s.mu.Unlock()
-	if quiet {
+	if paused {
 		return
 	}
 	addr, ok := s.options.Advertised[id]
@@ -184,7 +187,7 @@
 	s.Store.Put("servers/"+id, s.Endpoints[id].Entry(addr.String(), s.zones[id], draining))
 }
 
-// Runs returns how often each request was run by any endpoint.
+// Runs returns the number of runs by request ID, summed over the endpoints.
 func (s *Site) Runs() map[string]int {
 	all := map[string]int{}
 	for _, e := range s.Endpoints {
--- a/fakes/ggsfakesite/store.go
+++ b/fakes/ggsfakesite/store.go
@@ -12,36 +12,37 @@
 	"time"
 )
 
-// A Store is the platform's metadata store.
+// A Store is a test double of the platform's metadata store, a key-value store with
+// revisions, watches and conditional transactions.
 type Store struct {
 	mu sync.Mutex
-	// era counts the times that the store came back from a copy, from one on.
-	era      uint64
-	revision uint64
-	items    map[string]item
-	history  []item
-	changed  chan struct{}
-	away     bool
-	// lose is the number of writes that are done and not answered.
-	lose  int
-	calls map[string]int
-	// snapshots counts the readings of all items below a prefix.
+	// era starts at one and increases each time that the store is restored from a copy.
+	era         uint64
+	revision    uint64
+	items       map[string]item
+	history     []item
+	changed     chan struct{}
+	unavailable bool
+	// loseAnswers is the number of further writes that are applied without an answer.
+	loseAnswers int
+	calls       map[string]int
+	// snapshots counts the list calls by prefix.
 	snapshots map[string]int
-	// conditions are the keys of the last transaction's conditions.
+	// conditions are the keys in the conditions of the last transaction.
 	conditions []string
-	// hold is the number of writes that are to be held back, held those that are.
-	hold int
-	held []transaction
+	// holdWrites is the number of further writes to hold, heldWrites the writes held so far.
+	holdWrites int
+	heldWrites []transaction
 }
 
-// A Copy is a store's state at a moment.
+// A Copy is a backup of a store's state.
 type Copy struct {
 	revision uint64
 	items    map[string]item
 	history  []item
 }
 
-// eraHeader names the store's era in all its answers.
+// eraHeader carries the store's era in every answer.
 const eraHeader = "Store-Era"
 
 type item struct {
@@ -51,14 +52,14 @@
 	CreateRev uint64 `json:"createRev,omitempty"`
 	Lease     uint64 `json:"lease,omitempty"`
 	Tombstone bool   `json:"tombstone,omitempty"`
-	// encoded is the item as JSON. It is encoded once: large ones are answered often.
+	// encoded is the item as JSON. Items are encoded once, since large ones are read often.
 	encoded []byte
 }
 
 func (i item) encode() item {
 	b, err := json.Marshal(i)
 	if err != nil {
-		panic(err) // no field of an item can fail
+		panic(err) // unreachable: every field of an item can be encoded
 	}
 	i.encoded = b
 	return i
@@ -71,66 +72,66 @@
 	}
 }
 
-// Copy returns a copy of the store.
+// Copy returns a backup of the store.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Copy{revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history)}
 }
 
-// Without returns a copy from before any key below a prefix was written.
+// Without returns the copy without the keys below a prefix.
 func (c Copy) Without(prefix string) Copy {
 	c.items = maps.Clone(c.items)
 	maps.DeleteFunc(c.items, func(k string, _ item) bool { return strings.HasPrefix(k, prefix) })
 	return c
 }
 
-// Return has the store come back from a copy: what was written since is lost, and its
-// revisions are given out again.
+// Return restores the store from a copy and increases its era. Later writes are lost, and
+// their revisions are assigned again to new writes.
 func (s *Store) Return(c Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
 	s.revision, s.items, s.history = c.revision, maps.Clone(c.items), slices.Clone(c.history)
-	s.wake()
+	s.notifyWatches()
 }
 
-// Era returns the number that the store names in its answers.
+// Era returns the era that the store sends in its answers.
 func (s *Store) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// HoldWrites has the next writes not answered, and carried out by CarryOutHeld.
+// HoldWrites holds the next n writes. Their connections are closed without an answer, and
+// CarryOutHeld applies them.
 func (s *Store) HoldWrites(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hold = n
+	s.holdWrites = n
 }
 
-// CarryOutHeld carries out the writes that were held back, where their conditions hold, and
-// returns how many did.
+// CarryOutHeld applies the held writes whose conditions are met and returns their number.
 func (s *Store) CarryOutHeld() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	done := 0
-	for _, t := range s.held {
+	for _, t := range s.heldWrites {
 		if _, ok := s.apply(t); ok {
 			done++
 		}
 	}
-	s.held = nil
+	s.heldWrites = nil
 	return done
 }
 
-// Put writes a value as an operator or an endpoint does.
+// Put writes a value without a condition, like a write of an operator or an endpoint.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.set(key, value)
-	s.wake()
+	s.notifyWatches()
 }
 
 // Delete removes a key.
@@ -139,24 +140,24 @@
 	defer s.mu.Unlock()
 	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 }
 
-// Get returns a value, nil for none.
+// Get returns the value of a key, or nil if the key doesn't exist.
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Value
 }
 
-// Advance has so many revisions pass, as by the writes of others.
+// Advance increases the revision by n, as writes of other clients do.
 func (s *Store) Advance(n uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision += n
 }
 
-// Written returns the number of keys below a prefix that were written after a revision.
+// Written returns the number of keys below a prefix with a revision greater than after.
 func (s *Store) Written(prefix string, after uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,44 +177,44 @@
 	return s.revision
 }
 
-// SetAway sets whether all calls are answered 503.
-func (s *Store) SetAway(away bool) {
+// SetAway sets whether the store is unavailable and answers every call with status 503.
+func (s *Store) SetAway(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
-	s.wake()
+	s.unavailable = unavailable
+	s.notifyWatches()
 }
 
-// LoseAnswers has the next writes done and not answered.
+// LoseAnswers applies the next n writes and closes their connections without an answer.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.loseAnswers = n
 }
 
-// Compact drops the history.
+// Compact drops the history, so that watches from an older revision fail with status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.wake()
+	s.notifyWatches()
 }
 
-// Calls returns the number of calls by path.
+// Calls returns the number of calls to a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// Snapshots returns the number of readings of all items below a prefix.
+// Snapshots returns the number of list calls with a prefix.
 func (s *Store) Snapshots(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshots[prefix]
 }
 
-// Conditions returns the keys of the last transaction's conditions.
+// Conditions returns the keys in the conditions of the last transaction.
 func (s *Store) Conditions() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -224,10 +225,10 @@
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
-	away := s.away
+	unavailable := s.unavailable
 	w.Header().Set(eraHeader, strconv.FormatUint(s.era, 10))
 	s.mu.Unlock()
-	if away {
+	if unavailable {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -253,7 +254,7 @@
 			l = append(l, i)
 		}
 	}
-	// A reader behind a slow link must not hold up the others.
+	// Unlocks before the answer is written, so that a slow reader doesn't block other calls.
 	s.mu.Unlock()
 	slices.SortFunc(l, func(a, b item) int { return strings.Compare(a.Key, b.Key) })
 	answerItems(w, `{"morePages":false,"items":`, l, rev)
@@ -267,9 +268,9 @@
 	defer t.Stop()
 	for {
 		s.mu.Lock()
-		away, changed, rev := s.away, s.changed, s.revision
+		unavailable, changed, rev := s.unavailable, s.changed, s.revision
 		w.Header().Set(eraHeader, strconv.FormatUint(s.era, 10))
-		gone := after > rev || after < rev && (len(s.history) == 0 || s.history[0].Revision > after+1)
+		compacted := after > rev || after < rev && (len(s.history) == 0 || s.history[0].Revision > after+1)
 		l := []item{}
 		for _, i := range s.history {
 			if i.Revision > after && strings.HasPrefix(i.Key, q.Get("pathPrefix")) {
@@ -278,10 +279,10 @@
 		}
 		s.mu.Unlock()
 		switch {
-		case away:
+		case unavailable:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case gone:
+		case compacted:
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(l) > 0:
@@ -299,7 +300,7 @@
 	}
 }
 
-// A transaction is a set of writes under conditions.
+// A transaction is a set of writes that is applied only if all conditions are met.
 type transaction struct {
 	Expected []struct {
 		Key      string `json:"key"`
@@ -324,9 +325,9 @@
 	for _, e := range t.Expected {
 		s.conditions = append(s.conditions, e.Key)
 	}
-	if s.hold > 0 {
-		s.hold--
-		s.held = append(s.held, t)
+	if s.holdWrites > 0 {
+		s.holdWrites--
+		s.heldWrites = append(s.heldWrites, t)
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(eraHeader, strconv.FormatUint(s.era, 10))
@@ -334,15 +335,15 @@
 		answer(w, http.StatusPreconditionFailed, map[string]any{"items": []item{i}})
 		return
 	}
-	if s.lose > 0 {
-		s.lose--
+	if s.loseAnswers > 0 {
+		s.loseAnswers--
 		panic(http.ErrAbortHandler)
 	}
 	answer(w, http.StatusOK, map[string]any{"revision": s.revision})
 }
 
-// apply carries out a transaction, or returns the item whose condition doesn't hold. Store.mu
-// is held.
+// apply applies a transaction, or returns the item whose condition isn't met and false. The
+// lock is held.
 func (s *Store) apply(t transaction) (item, bool) {
 	for _, e := range t.Expected {
 		if s.items[e.Key].Revision != e.Revision {
@@ -356,7 +357,7 @@
 	for _, k := range t.Remove {
 		s.remove(k)
 	}
-	s.wake()
+	s.notifyWatches()
 	return item{}, true
 }
 
@@ -375,12 +376,12 @@
 	s.history = append(s.history, item{Key: key, Revision: s.revision, Tombstone: true}.encode())
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// answerItems answers with a head, items and the store's revision.
+// answerItems writes a JSON answer: the given head, the items and the store's revision.
 func answerItems(w http.ResponseWriter, head string, l []item, rev uint64) {
 	b := []byte(head + "[")
 	for n, i := range l {
@@ -406,6 +407,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	w.WriteHeader(status)
-	// A caller that has gone away gets nothing.
+	// The write fails only if the caller has disconnected.
 	_, _ = w.Write(b)
 }
--- a/fakes/ggsfakesite/store_test.go
+++ b/fakes/ggsfakesite/store_test.go
@@ -16,8 +16,9 @@
 	"greengageslip/fakes/ggsfakesite"
 )
 
-// Guards against a reader that doesn't read and holds up all other calls of the store.
-func TestSlowReaderHoldsUpNobody(t *testing.T) {
+// Guards against a client that doesn't read its answer and thereby blocks all other calls to
+// the store.
+func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := ggsfakesite.NewStore()
@@ -42,8 +43,9 @@
 	c.Assert(resp.StatusCode, qt.Equals, http.StatusOK)
 }
 
-// Guards against a stand-in that keeps what a store loses that comes back from an older copy.
-func TestStoreComesBackFromACopy(t *testing.T) {
+// Guards against a test double that keeps writes that a real store loses when it is restored
+// from an older copy.
+func TestRestoreFromCopy(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := ggsfakesite.NewStore()
@@ -90,7 +92,7 @@
 	_, era, _ = get("kv-range?pathPrefix=")
 	c.Check(era, qt.Equals, "2")
 
-	// The write's condition holds again: its revision is that of the copy.
+	// The condition of the held write is met again: the copy has the expected revision.
 	c.Check(s.CarryOutHeld(), qt.Equals, 1)
 	c.Check(string(s.Get("a")), qt.Equals, "x")
 }
