--- a/fakes/ggsfakebatch/engine.go
+++ b/fakes/ggsfakebatch/engine.go
@@ -1,17 +1,20 @@
-// Package ggsfakebatch models an engine that batches continuously, in virtual time.
+// Package ggsfakebatch simulates an inference engine with continuous batching in virtual
+// time.
 //
-// A step gives each running request a token and reads a piece of the prompts that
-// wait to be read, in the order of urgency and arrival; the longer the piece, the
-// longer the step, for all. Prompts and answers take memory while they run.
+// Each step generates one token for every running request whose prompt has been read. The
+// same step reads a chunk of the prompts that are still unread, in the order in which their
+// requests were admitted. Requests are admitted by priority, then by arrival. Reading more
+// prompt tokens makes the step longer for all running requests. A request occupies memory
+// for its prompt and its answer while it runs.
 //
 // # Usage
 //
 //	e := ggsfakebatch.New(shape, start)
 //	e.Submit(now, ggsfakebatch.Request{ID: 1, Prompt: 1400, Output: 170})
-//	for _, p := range e.Advance(now) { … }   // the pieces that came up to now
+//	for _, p := range e.Advance(now) { … }   // the pieces generated up to now
 //	e.Cancel(1)
 //
-// The figures are the test's: it knows the engine's shape, what it tests doesn't.
+// The test chooses the engine's parameters. The code under test doesn't know them.
 package ggsfakebatch
 
 import (
@@ -20,34 +23,34 @@
 	"time"
 )
 
-// A Shape is what an engine is like.
+// A Shape holds the parameters of an engine.
 type Shape struct {
-	// Slots is the number of requests that run at once, Memory that of the tokens
-	// that they take together.
+	// Slots is the maximum number of running requests. Memory is the maximum number of
+	// tokens that running requests occupy together.
 	Slots  int
 	Memory int
-	// Step is the time of a step that reads nothing, PerSlot what each running
-	// request adds, PerToken the time to read a token.
+	// Step is the base time of a step, PerSlot the additional time per running request,
+	// and PerToken the additional time per prompt token that the step reads.
 	Step     time.Duration
 	PerSlot  time.Duration
 	PerToken time.Duration
-	// Chunk is the number of prompt tokens that a step reads at most.
+	// Chunk is the maximum number of prompt tokens that a step reads.
 	Chunk int
-	// PieceTokens is the number of tokens of a piece of an answer.
+	// PieceTokens is the number of tokens in a piece of an answer.
 	PieceTokens int
 }
 
-// A Request is one to run.
+// A Request is a request to the engine.
 type Request struct {
 	ID int
-	// Prompt and Output are its sizes in tokens.
+	// Prompt and Output are the sizes of the prompt and of the answer in tokens.
 	Prompt int
 	Output int
-	// Priority is its urgency, lower first.
+	// Priority is the priority of the request; lower values run first.
 	Priority int
 }
 
-// A Piece is a part of an answer.
+// A Piece is a part of an answer, generated at a point in virtual time.
 type Piece struct {
 	ID    int
 	At    time.Time
@@ -55,31 +58,31 @@
 	Last  bool
 }
 
-// An Engine runs requests.
+// An Engine simulates the processing of requests. It is not safe for concurrent use.
 type Engine struct {
 	shape   Shape
 	now     time.Time
 	waiting []Request
 	running []*run
-	// Read counts the prompt tokens that were read, Preempted the requests that
-	// were put back for want of memory.
+	// Read counts the prompt tokens that were read. Preempted counts the requests that
+	// went back to the queue because memory ran out.
 	Read      int
 	Preempted int
 }
 
-// A run is a request on the engine.
+// A run is a running request.
 type run struct {
 	Request
-	unread int
-	made   int
-	// told is the number of tokens that were passed on.
-	told int
+	unreadPrompt int
+	generated    int
+	// emitted is the number of tokens in the pieces returned so far.
+	emitted int
 }
 
-// New returns an engine without requests.
+// New returns an engine without requests whose virtual time is start.
 func New(s Shape, start time.Time) *Engine { return &Engine{shape: s, now: start} }
 
-// Submit hands a request to the engine. It waits for a slot and for memory.
+// Submit adds a request to the queue. The request waits there for a slot and for memory.
 func (e *Engine) Submit(now time.Time, r Request) {
 	if e.now.Before(now) && len(e.running) == 0 && len(e.waiting) == 0 {
 		e.now = now
@@ -88,17 +91,17 @@
 	slices.SortStableFunc(e.waiting, func(a, b Request) int { return cmp.Compare(a.Priority, b.Priority) })
 }
 
-// Cancel takes a request back.
+// Cancel removes a waiting or running request.
 func (e *Engine) Cancel(id int) {
 	e.waiting = slices.DeleteFunc(e.waiting, func(r Request) bool { return r.ID == id })
 	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.ID == id })
 }
 
-// Running returns the number of requests that run or wait.
+// Running returns the number of running and waiting requests.
 func (e *Engine) Running() int { return len(e.running) + len(e.waiting) }
 
-// Advance carries out the steps that end up to a moment and returns the pieces that
-// came of them.
+// Advance simulates the steps that end no later than now and returns the pieces that they
+// generate.
 func (e *Engine) Advance(now time.Time) []Piece {
 	var ps []Piece
 	for {
@@ -107,7 +110,7 @@
 			e.now = now
 			return ps
 		}
-		read := e.plan()
+		read := e.nextRead()
 		end := e.now.Add(e.shape.Step + time.Duration(len(e.running))*e.shape.PerSlot + time.Duration(read)*e.shape.PerToken)
 		if end.After(now) {
 			return ps
@@ -117,11 +120,11 @@
 	}
 }
 
-// memory returns the tokens that running requests take.
+// memory returns the number of tokens that running requests occupy.
 func (e *Engine) memory() int {
 	n := 0
 	for _, r := range e.running {
-		n += r.Prompt - r.unread + r.made
+		n += r.Prompt - r.unreadPrompt + r.generated
 	}
 	return n
 }
@@ -130,46 +133,47 @@
 	for len(e.waiting) > 0 && len(e.running) < e.shape.Slots && e.memory()+e.waiting[0].Prompt <= e.shape.Memory {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.running = append(e.running, &run{Request: r, unread: r.Prompt})
+		e.running = append(e.running, &run{Request: r, unreadPrompt: r.Prompt})
 	}
 }
 
-// plan returns the number of tokens that the next step reads.
-func (e *Engine) plan() int {
+// nextRead returns the number of prompt tokens that the next step reads.
+func (e *Engine) nextRead() int {
 	n := 0
 	for _, r := range e.running {
-		n += r.unread
+		n += r.unreadPrompt
 	}
 	return min(n, e.shape.Chunk)
 }
 
-// step carries out a step.
+// step simulates one step and returns its pieces.
 func (e *Engine) step() []Piece {
-	left := e.shape.Chunk
+	budget := e.shape.Chunk
 	var ps []Piece
-	var still []*run
+	var remaining []*run
 	for _, r := range e.running {
-		n := min(r.unread, left)
-		left -= n
+		n := min(r.unreadPrompt, budget)
+		budget -= n
 		e.Read += n
-		if r.unread -= n; r.unread == 0 {
-			r.made++
+		if r.unreadPrompt -= n; r.unreadPrompt == 0 {
+			r.generated++
 		}
-		last := r.made >= r.Output
-		if r.made == 1 || r.made-r.told >= e.shape.PieceTokens || last {
-			ps = append(ps, Piece{ID: r.ID, At: e.now, First: r.told == 0, Last: last})
-			r.told = r.made
+		last := r.generated >= r.Output
+		if r.generated == 1 || r.generated-r.emitted >= e.shape.PieceTokens || last {
+			ps = append(ps, Piece{ID: r.ID, At: e.now, First: r.emitted == 0, Last: last})
+			r.emitted = r.generated
 		}
 		if !last {
-			still = append(still, r)
+			remaining = append(remaining, r)
 		}
 	}
-	e.running = still
+	e.running = remaining
 	e.preempt()
 	return ps
 }
 
-// preempt puts the newest of the least urgent requests back while memory is short.
+// preempt moves requests of the lowest priority back to the queue while running requests
+// exceed the memory. It prefers the newest running request if that has the lowest priority.
 func (e *Engine) preempt() {
 	for len(e.running) > 1 && e.memory() > e.shape.Memory {
 		i := len(e.running) - 1
@@ -179,7 +183,7 @@
 			}
 		}
 		r := e.running[i]
-		r.Prompt, r.Output = r.Prompt+r.made, r.Output-r.made
+		r.Prompt, r.Output = r.Prompt+r.generated, r.Output-r.generated
 		e.running = slices.Delete(e.running, i, i+1)
 		e.waiting = append([]Request{r.Request}, e.waiting...)
 		e.Preempted++
--- a/fakes/ggsfakebatch/engine_test.go
+++ b/fakes/ggsfakebatch/engine_test.go
@@ -17,9 +17,9 @@
 	}
 }
 
-// A stream runs while another's prompt of two and a half chunks is read: its pieces
-// come three steps apart, and those steps take as long as the reading.
-func TestReadingSlowsStreams(t *testing.T) {
+// Checks that reading the prompt of one request delays the stream of another. The prompt
+// takes two and a half chunks, and a piece of three tokens takes three of these steps.
+func TestPromptReadingDelaysStreams(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	e := ggsfakebatch.New(shape(), at(0))
@@ -34,9 +34,9 @@
 	c.Assert(e.Read, qt.Equals, 5100)
 }
 
-// Answers grow until the memory doesn't hold them all: the newest of the least urgent
-// is put back and read anew.
-func TestMemoryRunsOut(t *testing.T) {
+// Checks that growing answers that exceed the memory preempt the newest request of the
+// lowest priority. The preempted request goes back to the queue and is read again.
+func TestPreemptionWhenMemoryRunsOut(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := shape()
--- a/fakes/ggsfakebatch/fleet_test.go
+++ b/fakes/ggsfakebatch/fleet_test.go
@@ -18,61 +18,66 @@
 )
 
 const (
-	fleetService = ggscore.Service("models")
-	fleetTick    = time.Millisecond
-	fleetBeat    = 150 * time.Millisecond
-	// fleetTarget is the time within which callers want the first piece.
-	fleetTarget = 800 * time.Millisecond
-	// fleetLearn is the time that VMs have to learn how the engines read.
-	fleetLearn = 5 * time.Second
-	// fleetBunch is the time within which the callers of a bunch come.
-	fleetBunch = 60 * time.Millisecond
+	fleetService           = ggscore.Service("models")
+	fleetTick              = time.Millisecond
+	fleetHeartbeatInterval = 150 * time.Millisecond
+	// fleetFirstPieceTarget is the target latency of the first piece of an answer.
+	fleetFirstPieceTarget = 800 * time.Millisecond
+	// fleetWarmup is the time that VMs have to measure how fast the engines read prompts.
+	// Streams that arrive earlier don't count towards ended and longGaps.
+	fleetWarmup = 5 * time.Second
+	// fleetBurstWindow is the time within which the requests of a burst arrive.
+	fleetBurstWindow = 60 * time.Millisecond
 )
 
-// A load is what a fleet is asked for.
-type load struct {
+// A workload describes the engines, the VMs and the requests of a simulation.
+type workload struct {
 	shape   ggsfakebatch.Shape
 	engines int
 	vms     int
-	// reading is the part of the engines' time that reading the prompts takes.
-	reading float64
-	// prompt and output are mean sizes in tokens.
+	// readShare is the share of the engines' time that is spent on reading prompts, from
+	// 0 to 1.
+	readShare float64
+	// prompt and output are the mean sizes of prompts and answers in tokens.
 	prompt, output int
 	gapAim         time.Duration
-	length         time.Duration
-	// slow makes the first engine so many times slower.
-	slow float64
-	// large has VMs announce turns at some engines only.
+	duration       time.Duration
+	// slowdown multiplies the step times of the first engine; zero leaves them unchanged.
+	slowdown float64
+	// large calls SetEndpoints on each VM's turn table, as in large fleets. VMs then
+	// announce turns at some engines only.
 	large bool
 }
 
-// A fleet is VMs that decide, each by its own view, before engines.
+// A fleet simulates VMs in front of engines. Each VM chooses engines by its own state.
 type fleet struct {
-	load
-	policy  ggscore.Policy
-	rng     *rand.Rand
-	now     time.Time
-	engines []*ggsfakebatch.Engine
-	vms     []*fleetVM
-	mail    []letter
-	streams map[int]*stream
-	held    []*stream
-	result  fleetResult
+	workload
+	policy   ggscore.Policy
+	rng      *rand.Rand
+	now      time.Time
+	engines  []*ggsfakebatch.Engine
+	vms      []*fleetVM
+	messages []message
+	streams  map[int]*stream
+	waiting  []*stream
+	result   fleetResult
 }
 
-// What callers of a fleet got.
+// A fleetResult holds the outcome of a simulation as callers see it.
 type fleetResult struct {
-	asked, refused int
-	// whole counts streams that ended, ended those that came after fleetLearn.
-	whole, ended int
-	// long counts streams with a pause over the aim, late first pieces over fleetTarget.
-	long, late int
-	first      []time.Duration
-	// announced counts the turns that VMs announced to each other.
+	requests, refused int
+	// completed counts streams that ended. ended counts those among them that arrived
+	// after fleetWarmup.
+	completed, ended int
+	// longGaps counts the streams of ended with a gap between pieces over gapAim. late
+	// counts first pieces that took longer than fleetFirstPieceTarget.
+	longGaps, late int
+	firstPieces    []time.Duration
+	// announced counts the turns that VMs announced to other VMs.
 	announced int
 }
 
-// A fleetVM is a VM's view.
+// A fleetVM is a VM with its own placement and turn tables.
 type fleetVM struct {
 	name   ggscore.VMID
 	domain ggscore.Domain
@@ -80,23 +85,23 @@
 	turns  *ggsturn.Table
 }
 
-// A letter is something that a VM learns when it arrives.
-type letter struct {
-	at time.Time
-	do func(now time.Time)
+// A message changes the state of a VM when it arrives there.
+type message struct {
+	at    time.Time
+	apply func(now time.Time)
 }
 
-// A stream is a request on its way.
+// A stream is a request in flight.
 type stream struct {
-	request ggsfakebatch.Request
-	vm      *fleetVM
-	engine  int
-	turn    ggscore.PromptTurn
-	arrived time.Time
-	sent    time.Time
-	last    time.Time
-	gap     time.Duration
-	hurt    bool
+	request  ggsfakebatch.Request
+	vm       *fleetVM
+	engine   int
+	turn     ggscore.PromptTurn
+	arrived  time.Time
+	sent     time.Time
+	last     time.Time
+	gap      time.Duration
+	degraded bool
 }
 
 func engineID(n int) ggscore.EndpointID { return ggscore.EndpointID(fmt.Sprintf("r%02d", n)) }
@@ -109,20 +114,21 @@
 	return ids
 }
 
-// fleetDomain spreads engines and VMs over two regions.
+// fleetDomain returns the failure domain of an engine or a VM: even and odd numbers are in
+// different regions.
 func fleetDomain(n int) ggscore.Domain { return ggscore.Domain(fmt.Sprintf("d%d", n%2)) }
 
-func newFleet(l load, policy ggscore.Policy, seed uint64) *fleet {
-	f := &fleet{load: l, policy: policy, rng: rand.New(rand.NewPCG(seed, 1)), now: at(0), streams: map[int]*stream{}}
+func newFleet(l workload, policy ggscore.Policy, seed uint64) *fleet {
+	f := &fleet{workload: l, policy: policy, rng: rand.New(rand.NewPCG(seed, 1)), now: at(0), streams: map[int]*stream{}}
 	var list []ggscore.Instance
 	regions := map[ggscore.Domain]ggscore.Region{fleetDomain(0): "east", fleetDomain(1): "west"}
 	for n := range l.engines {
 		s := l.shape
-		if n == 0 && l.slow > 0 {
-			s.Step = time.Duration(l.slow * float64(s.Step))
-			s.PerToken = time.Duration(l.slow * float64(s.PerToken))
+		if n == 0 && l.slowdown > 0 {
+			s.Step = time.Duration(l.slowdown * float64(s.Step))
+			s.PerToken = time.Duration(l.slowdown * float64(s.PerToken))
 		}
-		f.load.engines = l.engines
+		f.workload.engines = l.engines
 		f.engines = append(f.engines, ggsfakebatch.New(s, f.now))
 		list = append(list, ggscore.Instance{
 			ID: engineID(n), Service: fleetService, Domain: fleetDomain(n), Slots: s.Slots, Models: []ggscore.ResidentModel{{Name: "m"}},
@@ -143,17 +149,17 @@
 	return f
 }
 
-func (f *fleet) play() fleetResult {
-	end := f.now.Add(f.length)
-	perSecond := f.reading * float64(f.load.engines) / (float64(f.prompt) * f.shape.PerToken.Seconds())
+func (f *fleet) run() fleetResult {
+	end := f.now.Add(f.duration)
+	perSecond := f.readShare * float64(f.workload.engines) / (float64(f.prompt) * f.shape.PerToken.Seconds())
 	next := f.now
 	var due []time.Time
 	for ; f.now.Before(end); f.now = f.now.Add(fleetTick) {
 		f.deliver()
 		for !next.After(f.now) {
-			// Callers come in bunches: users who act on the same word, within a blink.
+			// Requests arrive in bursts, as from users who react to the same event.
 			for range 1 + int(f.rng.ExpFloat64()*1.5) {
-				due = append(due, f.now.Add(time.Duration(f.rng.Int64N(int64(fleetBunch)))))
+				due = append(due, f.now.Add(time.Duration(f.rng.Int64N(int64(fleetBurstWindow)))))
 			}
 			next = next.Add(time.Duration(f.rng.ExpFloat64() * 2.1 / perSecond * float64(time.Second)))
 		}
@@ -170,23 +176,24 @@
 				f.piece(n, p)
 			}
 		}
-		if f.now.Sub(at(0))%fleetBeat == 0 {
-			f.beat()
+		if f.now.Sub(at(0))%fleetHeartbeatInterval == 0 {
+			f.sendHeartbeats()
 		}
 	}
 	return f.result
 }
 
-// size draws a size around a mean, most below it and some far above.
+// size draws a size from a log-normal distribution with the given mean. Most sizes are
+// below the mean and some far above it, up to 3.25 times the mean.
 func (f *fleet) size(mean int) int {
 	x := math.Exp(0.8*f.rng.NormFloat64() - 0.32)
 	return min(max(int(float64(mean)*x), 16), 13*mean/4)
 }
 
 func (f *fleet) arrive() {
-	f.result.asked++
+	f.result.requests++
 	s := &stream{
-		request: ggsfakebatch.Request{ID: f.result.asked, Prompt: f.size(f.prompt), Output: f.size(f.output)},
+		request: ggsfakebatch.Request{ID: f.result.requests, Prompt: f.size(f.prompt), Output: f.size(f.output)},
 		vm:      f.vms[f.rng.IntN(len(f.vms))], arrived: f.now,
 	}
 	c, err := s.vm.table.Choose(f.now, ggsplace.Query{
@@ -204,66 +211,67 @@
 	s.vm.table.Sent(f.now, c.Instance.ID)
 	s.turn = ggscore.PromptTurn{Begin: f.now}
 	if f.policy.On(ggscore.MechanismTurns) {
-		s.turn = s.vm.turns.Take(f.now, fleetService, c.Instance.ID, s.request.Prompt, f.way(s))
-		f.tellTurn(s)
+		s.turn = s.vm.turns.Take(f.now, fleetService, c.Instance.ID, s.request.Prompt, f.announceDelay(s))
+		f.announceTurn(s)
 	}
 	f.streams[s.request.ID] = s
-	f.held = append(f.held, s)
+	f.waiting = append(f.waiting, s)
 }
 
-// way returns the time that word of a turn takes to the VMs of the engine's region.
-func (f *fleet) way(s *stream) time.Duration {
+// announceDelay returns the time that a turn's announcement takes to the VMs of the
+// engine's region.
+func (f *fleet) announceDelay(s *stream) time.Duration {
 	if fleetDomain(s.engine) == s.vm.domain {
 		return 2 * time.Millisecond
 	}
 	return 10 * time.Millisecond
 }
 
-func (f *fleet) tellTurn(s *stream) {
+func (f *fleet) announceTurn(s *stream) {
 	n := s.turn
 	if !s.vm.turns.Announces(f.now, n) {
 		return
 	}
 	f.result.announced++
-	f.tell(s.vm, func(o *fleetVM, now time.Time) {
+	f.broadcast(s.vm, func(o *fleetVM, now time.Time) {
 		o.turns.Drop(n)
 		o.turns.Add(now, n)
 	})
 }
 
-// tell has the other VMs learn something: those of the region within a millisecond,
-// the others nine later.
-func (f *fleet) tell(from *fleetVM, do func(o *fleetVM, now time.Time)) {
+// broadcast sends a message to all other VMs. It arrives after 1 ms in the sender's region
+// and after 9 ms in the other region.
+func (f *fleet) broadcast(from *fleetVM, apply func(o *fleetVM, now time.Time)) {
 	for _, v := range f.vms {
 		if v == from {
 			continue
 		}
-		way := time.Millisecond
+		delay := time.Millisecond
 		if v.domain != from.domain {
-			way = 9 * time.Millisecond
+			delay = 9 * time.Millisecond
 		}
-		f.mail = append(f.mail, letter{at: f.now.Add(way), do: func(now time.Time) { do(v, now) }})
+		f.messages = append(f.messages, message{at: f.now.Add(delay), apply: func(now time.Time) { apply(v, now) }})
 	}
 }
 
 func (f *fleet) deliver() {
-	f.mail = slices.DeleteFunc(f.mail, func(l letter) bool {
-		if l.at.After(f.now) {
+	f.messages = slices.DeleteFunc(f.messages, func(m message) bool {
+		if m.at.After(f.now) {
 			return false
 		}
-		l.do(f.now)
+		m.apply(f.now)
 		return true
 	})
 }
 
 func (f *fleet) send() {
-	f.held = slices.DeleteFunc(f.held, func(s *stream) bool {
+	f.waiting = slices.DeleteFunc(f.waiting, func(s *stream) bool {
 		if s.turn.Begin.After(f.now) {
 			return false
 		}
 		if n, ok := s.vm.turns.Confirm(f.now, s.turn); !ok {
 			s.turn = n
-			f.tellTurn(s)
+			f.announceTurn(s)
 			return false
 		}
 		s.sent = f.now
@@ -276,33 +284,33 @@
 	s := f.streams[p.ID]
 	if p.First {
 		first := p.At.Sub(s.arrived)
-		f.result.first = append(f.result.first, first)
-		if first > fleetTarget {
+		f.result.firstPieces = append(f.result.firstPieces, first)
+		if first > fleetFirstPieceTarget {
 			f.result.late++
 		}
-		s.hurt = first > fleetTarget && first-s.sent.Sub(s.arrived) <= fleetTarget
-		if s.hurt {
+		s.degraded = first > fleetFirstPieceTarget && first-s.sent.Sub(s.arrived) <= fleetFirstPieceTarget
+		if s.degraded {
 			s.vm.turns.RecordStream(p.At, fleetService, engineID(n), true)
 		}
 		s.vm.turns.RecordFirstPiece(p.At, s.turn, s.sent)
 	} else {
 		gap := p.At.Sub(s.last)
 		s.gap = max(s.gap, gap)
-		if s.vm.turns.RecordGap(p.At, fleetService, engineID(n), gap) && !s.hurt {
-			s.hurt = true
+		if s.vm.turns.RecordGap(p.At, fleetService, engineID(n), gap) && !s.degraded {
+			s.degraded = true
 			s.vm.turns.RecordStream(p.At, fleetService, engineID(n), true)
 		}
 	}
 	s.last = p.At
-	if p.Last && s.arrived.Sub(at(0)) > fleetLearn {
+	if p.Last && s.arrived.Sub(at(0)) > fleetWarmup {
 		f.result.ended++
 		if s.gap > f.gapAim {
-			f.result.long++
+			f.result.longGaps++
 		}
 	}
 	if p.Last {
-		f.result.whole++
-		if !s.hurt {
+		f.result.completed++
+		if !s.degraded {
 			s.vm.turns.RecordStream(p.At, fleetService, engineID(n), false)
 		}
 		s.vm.table.Ended(f.now, engineID(n), ggsretry.ResultOK)
@@ -310,13 +318,13 @@
 	}
 }
 
-func (f *fleet) beat() {
+func (f *fleet) sendHeartbeats() {
 	for _, v := range f.vms {
-		flights := v.table.ReportInFlight()
+		inFlight := v.table.ReportInFlight()
 		samples, tallies := v.turns.DrainUnreported()
 		modes := v.turns.Modes()
-		f.tell(v, func(o *fleetVM, now time.Time) {
-			o.table.SetPeerInFlight(now, v.name, flights)
+		f.broadcast(v, func(o *fleetVM, now time.Time) {
+			o.table.SetPeerInFlight(now, v.name, inFlight)
 			for _, s := range samples {
 				o.turns.AddSample(s)
 			}
@@ -333,111 +341,111 @@
 	}
 }
 
-// Two engines that differ in speed, in the prompt tokens that a step reads and in the
-// tokens of a piece. Three full steps of the first take 350 ms, eight of the second
-// 870 ms, both more than callers want.
-func slowEngine() load {
-	return load{
+// slowEngine and wideEngine return workloads whose engines differ in speed, in the prompt
+// tokens that a step reads and in the tokens of a piece. Three full steps of slowEngine take
+// 350 ms and eight of wideEngine 870 ms. Both exceed the gapAim of their workload.
+func slowEngine() workload {
+	return workload{
 		shape: ggsfakebatch.Shape{
 			Slots: 64, Memory: 120_000, Step: 9 * time.Millisecond, PerSlot: 40 * time.Microsecond,
 			PerToken: time.Second / 19_000, Chunk: 2048, PieceTokens: 3,
 		},
-		engines: 9, vms: 8, reading: 0.45, prompt: 1400, output: 170, gapAim: 300 * time.Millisecond, length: 22 * time.Second,
+		engines: 9, vms: 8, readShare: 0.45, prompt: 1400, output: 170, gapAim: 300 * time.Millisecond, duration: 22 * time.Second,
 	}
 }
 
-func wideEngine() load {
-	return load{
+func wideEngine() workload {
+	return workload{
 		shape: ggsfakebatch.Shape{
 			Slots: 24, Memory: 200_000, Step: 6 * time.Millisecond, PerSlot: 20 * time.Microsecond,
 			PerToken: time.Second / 28_000, Chunk: 4096, PieceTokens: 8,
 		},
-		engines: 9, vms: 8, reading: 0.45, prompt: 4000, output: 240, gapAim: 600 * time.Millisecond, length: 22 * time.Second,
+		engines: 9, vms: 8, readShare: 0.45, prompt: 4000, output: 240, gapAim: 600 * time.Millisecond, duration: 22 * time.Second,
 	}
 }
 
-// An engine that reads in pieces so small that streams never pause for too long, at a
-// load that leaves no time to spare.
-func smallSteps() load {
+// smallSteps returns a workload whose engines read chunks so small that streams keep below
+// gapAim without turns. The engines are close to saturation.
+func smallSteps() workload {
 	l := slowEngine()
-	l.shape.Chunk, l.reading = 512, 0.85
+	l.shape.Chunk, l.readShare = 512, 0.85
 	return l
 }
 
-func share(n, of int) float64 { return 100 * float64(n) / float64(of) }
+func percent(n, of int) float64 { return 100 * float64(n) / float64(of) }
 
-func playBoth(t *testing.T, l load) (with, without fleetResult) {
+func runBoth(t *testing.T, l workload) (with, without fleetResult) {
 	t.Helper()
-	with = newFleet(l, ggscore.Policy{}, 1).play()
-	without = newFleet(l, ggscore.Policy{Off: []ggscore.Mechanism{ggscore.MechanismTurns}}, 1).play()
-	slices.Sort(with.first)
-	t.Logf("asked %d: long %.1f in a hundred (without turns %.1f), late %.1f (%.1f), first pieces p50 %s p95 %s most %s", with.asked,
-		share(with.long, with.ended), share(without.long, without.ended), share(with.late, with.whole), share(without.late, without.whole),
-		with.first[len(with.first)/2], with.first[len(with.first)*95/100], with.first[len(with.first)-1])
+	with = newFleet(l, ggscore.Policy{}, 1).run()
+	without = newFleet(l, ggscore.Policy{Off: []ggscore.Mechanism{ggscore.MechanismTurns}}, 1).run()
+	slices.Sort(with.firstPieces)
+	t.Logf("requests %d: long gaps %.1f%% (without turns %.1f%%), late %.1f%% (%.1f%%), first pieces p50 %s p95 %s max %s", with.requests,
+		percent(with.longGaps, with.ended), percent(without.longGaps, without.ended), percent(with.late, with.completed), percent(without.late, without.completed),
+		with.firstPieces[len(with.firstPieces)/2], with.firstPieces[len(with.firstPieces)*95/100], with.firstPieces[len(with.firstPieces)-1])
 	return with, without
 }
 
-// Callers read a text as it is written, and it stops again and again for a third of a
-// second: prompts of others that came in a bunch fill step after step of the engine.
-//
-// With turns 1.4 and 1.3 streams in a hundred pause for longer than callers want, without
-// them 50 and 44; half of the first pieces come within 90 and 150 ms.
+// Guards against streams that pause for about 350 ms again and again because a burst of
+// prompts fills the engine's steps. With turns 1.4 % and 1.3 % of the streams exceed gapAim,
+// without 50 % and 44 %. The median first piece takes 90 ms and 150 ms.
 func TestStreamsDontPauseForPrompts(t *testing.T) {
 	t.Parallel()
-	for name, l := range map[string]load{"slow engine": slowEngine(), "wide engine": wideEngine()} {
+	for name, l := range map[string]workload{"slow engine": slowEngine(), "wide engine": wideEngine()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			with, without := playBoth(t, l)
-			c.Check(share(with.long, with.ended) <= 5, qt.IsTrue)
-			c.Check(share(with.late, with.whole) <= 5, qt.IsTrue)
+			with, without := runBoth(t, l)
+			c.Check(percent(with.longGaps, with.ended) <= 5, qt.IsTrue)
+			c.Check(percent(with.late, with.completed) <= 5, qt.IsTrue)
 			c.Check(with.refused, qt.Equals, 0)
-			c.Check(with.first[len(with.first)-1] < 4*fleetTarget, qt.IsTrue, qt.Commentf("a prompt was starved"))
-			c.Check(share(without.long, without.ended) > 15, qt.IsTrue, qt.Commentf("the load has to need turns"))
+			c.Check(with.firstPieces[len(with.firstPieces)-1] < 4*fleetFirstPieceTarget, qt.IsTrue, qt.Commentf("a first piece took at least 4 times the target"))
+			c.Check(percent(without.longGaps, without.ended) > 15, qt.IsTrue, qt.Commentf("workload doesn't need turns"))
 		})
 	}
 }
 
-// Where engines read in small pieces, turns would only make callers wait. Prompts don't
-// wait there, also when the engines have hardly time for them all.
-func TestPromptsDontWaitForNothing(t *testing.T) {
+// Guards against prompts that wait for turns at engines that read small chunks. Turns bring
+// nothing there but latency, also when the engines are close to saturation.
+func TestPromptsDontWaitAtEnginesWithSmallChunks(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	with, without := playBoth(t, smallSteps())
-	c.Check(share(with.long, with.ended) <= 5, qt.IsTrue)
-	c.Check(share(with.late, with.whole) <= share(without.late, without.whole)+1, qt.IsTrue)
+	with, without := runBoth(t, smallSteps())
+	c.Check(percent(with.longGaps, with.ended) <= 5, qt.IsTrue)
+	c.Check(percent(with.late, with.completed) <= percent(without.late, without.completed)+1, qt.IsTrue)
 }
 
-// inLargeFleet returns a load for a fleet that announces turns at some engines only.
-func inLargeFleet(l load) load {
+// inLargeFleet returns the workload for a large fleet, which announces turns at some engines
+// only.
+func inLargeFleet(l workload) workload {
 	l.engines, l.vms, l.large = 40, 24, true
 	return l
 }
 
-// Guards against a large fleet that doesn't see that prompts make streams pause.
+// Guards against a large fleet that doesn't detect streams that pause because of prompts.
 func TestStreamsDontPauseForPromptsInLargeFleets(t *testing.T) {
 	t.Parallel()
-	for name, l := range map[string]load{"slow engine": inLargeFleet(slowEngine()), "wide engine": inLargeFleet(wideEngine())} {
+	for name, l := range map[string]workload{"slow engine": inLargeFleet(slowEngine()), "wide engine": inLargeFleet(wideEngine())} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			with, without := playBoth(t, l)
-			c.Check(share(with.long, with.ended) <= 5, qt.IsTrue)
-			c.Check(share(with.late, with.whole) <= 5, qt.IsTrue)
-			c.Check(share(without.long, without.ended) > 15, qt.IsTrue, qt.Commentf("the load has to need turns"))
+			with, without := runBoth(t, l)
+			c.Check(percent(with.longGaps, with.ended) <= 5, qt.IsTrue)
+			c.Check(percent(with.late, with.completed) <= 5, qt.IsTrue)
+			c.Check(percent(without.longGaps, without.ended) > 15, qt.IsTrue, qt.Commentf("workload doesn't need turns"))
 		})
 	}
 }
 
-// Guards against VMs of a large fleet that announce each prompt to all others though none waits.
+// Guards against VMs of a large fleet that announce every turn to all other VMs although no
+// prompt has to wait.
 func TestFewTurnsAreAnnouncedInLargeFleets(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	l := inLargeFleet(smallSteps())
-	l.reading, l.prompt, l.length = 0.45, 400, 8*time.Second
-	with, without := playBoth(t, l)
-	t.Logf("announced %d turns of %d", with.announced, with.asked)
-	c.Check(float64(with.announced) <= 0.3*float64(with.asked), qt.IsTrue)
-	c.Check(share(with.long, with.ended) <= 5, qt.IsTrue)
-	c.Check(share(with.late, with.whole) <= share(without.late, without.whole)+1, qt.IsTrue)
+	l.readShare, l.prompt, l.duration = 0.45, 400, 8*time.Second
+	with, without := runBoth(t, l)
+	t.Logf("announced %d turns of %d", with.announced, with.requests)
+	c.Check(float64(with.announced) <= 0.3*float64(with.requests), qt.IsTrue)
+	c.Check(percent(with.longGaps, with.ended) <= 5, qt.IsTrue)
+	c.Check(percent(with.late, with.completed) <= percent(without.late, without.completed)+1, qt.IsTrue)
 }
