--- a/fakes/ggsfakeengine/adapters.go
+++ b/fakes/ggsfakeengine/adapters.go
@@ -8,45 +8,46 @@
 	ggscore "greengageslip/core"
 )
 
-// Preload makes an adapter resident at once, as if it had been loaded before.
+// Preload makes an adapter resident at once, without a load.
 func (e *Engine) Preload(a ggscore.AdapterRef) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.resident[a] = &adapter{gone: make(chan struct{})}
-	e.note()
+	e.resident[a] = &adapter{unloaded: make(chan struct{})}
+	e.recordState()
 }
 
-// checkFence is called with the lock held.
+// checkFence refuses a fencing token below the greatest one seen. It is called with the
+// lock held.
 func (e *Engine) checkFence(f ggscore.FencingToken) error {
 	if !e.options.ChecksFence {
 		return nil
 	}
-	if f < e.seen {
+	if f < e.greatestFence {
 		e.stats.Fenced++
 		return &refusal{
 			status: http.StatusConflict,
 			kind:   kindFenced,
-			detail: "an owner with a greater fencing number was here",
-			seen:   uint64(e.seen),
+			detail: "fencing token is below the greatest one seen",
+			fence:  uint64(e.greatestFence),
 		}
 	}
-	e.seen = f
+	e.greatestFence = f
 	return nil
 }
 
-// load makes an adapter resident. It goes on when the one who ordered it is
-// gone, until the incarnation ends.
+// load makes an adapter resident. The load continues after its caller has disconnected and
+// ends at the latest with the incarnation.
 func (e *Engine) load(ctx context.Context, a ggscore.AdapterRef, f ggscore.FencingToken) error {
-	ctx, leave := e.enter(context.WithoutCancel(ctx))
-	defer leave()
-	if err := e.gate(ctx); err != nil {
+	ctx, endWork := e.beginWork(context.WithoutCancel(ctx))
+	defer endWork()
+	if err := e.waitUnfrozen(ctx); err != nil {
 		return err
 	}
-	l, mine, err := e.beginLoad(ctx, a, f)
+	l, isNew, err := e.beginLoad(ctx, a, f)
 	if err != nil || l == nil {
 		return err
 	}
-	if mine {
+	if isNew {
 		return e.endLoad(ctx, a, l, e.fetch(ctx, a))
 	}
 	select {
@@ -57,11 +58,11 @@
 	}
 }
 
-// beginLoad returns the load to wait for, nil if the adapter is resident, and
-// whether it is the caller's to do.
+// beginLoad returns the load of the adapter, or nil if the adapter is resident. isNew
+// reports whether the load is new and the caller has to carry it out.
 func (e *Engine) beginLoad(
 	ctx context.Context, a ggscore.AdapterRef, f ggscore.FencingToken,
-) (l *load, mine bool, err error) {
+) (l *load, isNew bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if err := context.Cause(ctx); err != nil {
@@ -81,7 +82,7 @@
 	}
 	l = &load{done: make(chan struct{})}
 	e.loading[a] = l
-	e.note()
+	e.recordState()
 	return l, true, nil
 }
 
@@ -96,17 +97,17 @@
 	delete(e.loading, a)
 	if err == nil && e.faults.LoadFails > 0 {
 		e.faults.LoadFails--
-		err = &brokenError{reason: "load fails by order"}
+		err = &abortedError{reason: "load failed by fault injection (loadFails)"}
 	}
 	if err != nil {
 		e.stats.LoadFailures++
-		e.note()
+		e.recordState()
 		l.err = &refusal{status: http.StatusInternalServerError, kind: kindLoadFailed, detail: err.Error()}
 		return l.err
 	}
 	e.stats.Loads++
-	e.resident[a] = &adapter{gone: make(chan struct{})}
-	e.note()
+	e.resident[a] = &adapter{unloaded: make(chan struct{})}
+	e.recordState()
 	return nil
 }
 
@@ -116,11 +117,11 @@
 			return err
 		}
 	}
-	return e.gate(ctx)
+	return e.waitUnfrozen(ctx)
 }
 
-// loseOrder reports whether the answer to an order is to be lost.
-func (e *Engine) loseOrder() bool {
+// consumeLostAnswer reports whether the answer to an order is dropped, and counts the drop.
+func (e *Engine) consumeLostAnswer() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.LoseOrderAnswers <= 0 {
@@ -130,11 +131,11 @@
 	return true
 }
 
-// unload evicts an adapter.
+// unload unloads an adapter.
 func (e *Engine) unload(ctx context.Context, a ggscore.AdapterRef, f ggscore.FencingToken) error {
-	ctx, leave := e.enter(context.WithoutCancel(ctx))
-	defer leave()
-	if err := e.gate(ctx); err != nil {
+	ctx, endWork := e.beginWork(context.WithoutCancel(ctx))
+	defer endWork()
+	if err := e.waitUnfrozen(ctx); err != nil {
 		return err
 	}
 	e.mu.Lock()
@@ -151,9 +152,9 @@
 	}
 	e.stats.BrokenByUnload += uint64(r.running)
 	e.stats.Unloads++
-	close(r.gone)
+	close(r.unloaded)
 	delete(e.resident, a)
-	e.note()
+	e.recordState()
 	return nil
 }
 
--- a/fakes/ggsfakeengine/batch.go
+++ b/fakes/ggsfakeengine/batch.go
@@ -9,14 +9,14 @@
 	ggscore "greengageslip/core"
 )
 
-// A waiter is a request that waits for a slot of the batch.
+// A waiter is a request in the queue for a batch slot.
 type waiter struct {
 	priority int
 	arrival  uint64
-	// admitted is closed when it has a slot.
+	// admitted is closed when the request gets a slot.
 	admitted chan struct{}
 	index    int
-	// incarnation is the engine's when the request came.
+	// incarnation is the engine's incarnation at the request's arrival.
 	incarnation int
 }
 
@@ -57,7 +57,7 @@
 	q[j].index = j
 }
 
-// A run is a request that has a slot.
+// A run is a request with a batch slot.
 type run struct {
 	engine      *Engine
 	incarnation int
@@ -66,8 +66,7 @@
 	adapter     *adapter
 }
 
-// start waits for a slot and begins the run. It fails without having run
-// anything.
+// start waits for a slot and begins the run. If it returns an error, the request didn't run.
 func (e *Engine) start(ctx context.Context, id string, ref ggscore.AdapterRef, priority int) (*run, error) {
 	w, err := e.enqueue(ctx, ref, priority)
 	if err != nil {
@@ -91,7 +90,7 @@
 	a.running++
 	e.runs[id]++
 	e.stats.Started++
-	e.note()
+	e.recordState()
 	return &run{engine: e, incarnation: e.incarnation, id: id, ref: ref, adapter: a}, nil
 }
 
@@ -116,17 +115,17 @@
 	return w, nil
 }
 
-// admit gives free slots to waiters. It is called with the lock held.
+// admit assigns free slots to waiters. It is called with the lock held.
 func (e *Engine) admit() {
 	for e.running < e.options.Slots && len(e.queue) > 0 {
 		w, _ := heap.Pop(&e.queue).(*waiter)
-		e.account()
+		e.addBusyTime()
 		e.running++
 		close(w.admitted)
 	}
 }
 
-// notLoaded is called with the lock held.
+// notLoaded counts and returns a refusal. It is called with the lock held.
 func (e *Engine) notLoaded(ref ggscore.AdapterRef) error {
 	e.stats.NotLoaded++
 	return &refusal{
@@ -139,13 +138,13 @@
 
 // release frees a slot. It is called with the lock held.
 func (e *Engine) release() {
-	e.account()
+	e.addBusyTime()
 	e.running--
 	e.admit()
 }
 
-// withdraw takes a waiter back, whether or not it has a slot by now. One of an
-// earlier incarnation has nothing to give back. It is called with the lock
+// withdraw removes a waiter from the queue, or releases its slot if it has been admitted. It
+// ignores waiters of earlier incarnations, which hold neither. It is called with the lock
 // held.
 func (e *Engine) withdraw(w *waiter) {
 	if w.incarnation != e.incarnation {
@@ -158,15 +157,16 @@
 	e.release()
 }
 
-// interval returns the time to the next token at the present fill.
-func (e *Engine) interval() time.Duration {
+// tokenInterval returns the time to the next token at the current batch occupancy.
+func (e *Engine) tokenInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	fill := float64(e.running) / float64(max(1, e.options.Slots))
 	return time.Duration(float64(e.options.TokenInterval) * (1 + e.options.BatchSlowdown*fill))
 }
 
-// end ends the run. A run of an earlier incarnation has nothing to give back.
+// end counts the run as done or cancelled and releases its slot. A run of an earlier
+// incarnation has no slot to release.
 func (r *run) end(err error) {
 	e := r.engine
 	e.mu.Lock()
@@ -181,19 +181,20 @@
 	}
 	r.adapter.running--
 	e.release()
-	e.note()
+	e.recordState()
 }
 
-// wait waits within the run: for its caller, its incarnation and its adapter.
+// wait waits for d. It returns an error if the caller disconnects, the incarnation ends or
+// the adapter is unloaded first.
 func (r *run) wait(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-r.adapter.gone:
-		return &brokenError{reason: "adapter unloaded beneath the run"}
+	case <-r.adapter.unloaded:
+		return &abortedError{reason: "adapter unloaded during the run"}
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
-	return r.engine.gate(ctx)
+	return r.engine.waitUnfrozen(ctx)
 }
--- a/fakes/ggsfakeengine/completion.go
+++ b/fakes/ggsfakeengine/completion.go
@@ -13,7 +13,7 @@
 	ggscore "greengageslip/core"
 )
 
-// handleCompletion runs a request. Its id and priority come in headers.
+// handleCompletion runs a request. The request's ID and priority are in headers.
 func (e *Engine) handleCompletion(g *gin.Context) {
 	var w completionWire
 	if !bind(g, &w) {
@@ -26,16 +26,16 @@
 	}
 	id := g.GetHeader(headerRequestID)
 	g.Header(headerRequestID, id)
-	ctx, leave := e.enter(g.Request.Context())
-	defer leave()
-	if e.refuses() {
-		fail(g, &refusal{status: http.StatusServiceUnavailable, kind: kindRefused, outcome: outcomeNotRun, detail: "refused by order"})
+	ctx, endWork := e.beginWork(g.Request.Context())
+	defer endWork()
+	if e.consumeRefusal() {
+		fail(g, &refusal{status: http.StatusServiceUnavailable, kind: kindRefused, outcome: outcomeNotRun, detail: "refused by fault injection (refuse)"})
 		return
 	}
-	if err := e.gate(ctx); err != nil {
+	if err := e.waitUnfrozen(ctx); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	// A request without a priority counts as the most urgent.
+	// A request without a priority gets 0, the highest one.
 	priority, _ := strconv.Atoi(g.GetHeader(headerPriority))
 	r, err := e.start(ctx, id, ref, priority)
 	if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// failRun answers a request that didn't start.
+// failRun answers a request that didn't start. An aborted request gets no answer.
 func (e *Engine) failRun(g *gin.Context, err error) {
 	var refused *refusal
 	if !errors.As(err, &refused) {
@@ -62,8 +62,8 @@
 	fail(g, refused)
 }
 
-// refuses reports whether a request is to be refused by order.
-func (e *Engine) refuses() bool {
+// consumeRefusal reports whether Faults.Refuse applies to a request, and counts it down.
+func (e *Engine) consumeRefusal() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Refuse <= 0 {
@@ -73,7 +73,7 @@
 	return true
 }
 
-// answer makes the tokens and writes the answer.
+// answer generates the tokens and writes the answer.
 func (r *run) answer(ctx context.Context, g *gin.Context, tokens int, stream bool) error {
 	g.Header(headerServed, r.ref.String())
 	if stream {
@@ -85,7 +85,7 @@
 	}
 	for i := range tokens {
 		if i > 0 {
-			if err := r.wait(ctx, r.engine.interval()); err != nil {
+			if err := r.wait(ctx, r.engine.tokenInterval()); err != nil {
 				return err
 			}
 		}
@@ -96,31 +96,32 @@
 			}
 		}
 		text.WriteString(token)
-		if err := r.cut(stream, i+1); err != nil {
+		if err := r.countToken(stream, i+1); err != nil {
 			return err
 		}
 	}
 	if !stream {
-		g.JSON(http.StatusOK, r.whole(text.String()))
+		g.JSON(http.StatusOK, r.completion(text.String()))
 		return nil
 	}
 	_, err := g.Writer.WriteString("data: [DONE]\n\n")
 	return err
 }
 
-// cut ends a stream that a fault cuts after so many tokens.
-func (r *run) cut(stream bool, tokens int) error {
+// countToken counts a token. It returns an error if the stream has reached
+// Faults.CutStreamAfter.
+func (r *run) countToken(stream bool, tokens int) error {
 	e := r.engine
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.Tokens++
 	if stream && e.faults.CutStreamAfter > 0 && tokens >= e.faults.CutStreamAfter {
-		return &brokenError{reason: "stream cut by order"}
+		return &abortedError{reason: "stream cut by fault injection (cutStreamAfter)"}
 	}
 	return nil
 }
 
-// event writes one token of a stream.
+// event writes one token of a stream as a server-sent event.
 func (r *run) event(g *gin.Context, token string, last bool) error {
 	c := choiceWire{Delta: &deltaWire{Content: token}}
 	if last {
@@ -139,13 +140,13 @@
 	return nil
 }
 
-// token returns the text of a token, which tells whose answer it belongs to.
+// token returns the text of a token, which names its adapter, request and index.
 func (r *run) token(i int) string {
 	return r.ref.String() + "/" + r.id + "/" + strconv.Itoa(i) + " "
 }
 
-// whole returns an answer that isn't streamed.
-func (r *run) whole(text string) answerWire {
+// completion returns an answer that isn't streamed.
+func (r *run) completion(text string) answerWire {
 	stop := finishStop
 	c := choiceWire{Message: &deltaWire{Content: text}, FinishReason: &stop}
 	return answerWire{ID: r.id, Object: "chat.completion", Model: r.ref.String(), Choices: []choiceWire{c}}
--- a/fakes/ggsfakeengine/doc.go
+++ b/fakes/ggsfakeengine/doc.go
@@ -1,5 +1,6 @@
-// Package ggsfakeengine stands in for a model engine: batch slots, adapter
-// slots, loads from a weight store, and streams of tokens.
+// Package ggsfakeengine is a test double of an inference engine. It simulates batch slots,
+// adapter slots, adapter loads from a weight store and streams of tokens, and serves them
+// over HTTP.
 //
 // # Usage
 //
@@ -9,23 +10,24 @@
 //	defer e.Close()
 //	srv := httptest.NewServer(e.Handler())
 //
-// The service:
+// The HTTP API:
 //
 //	POST /v1/chat/completions     {model,stream,max_tokens}; runs a request
-//	POST /v1/loadLoraAdapter      {adapter,fence}; answers when it is loaded
+//	POST /v1/loadLoraAdapter      {adapter,fence}; answers when the adapter is loaded
 //	POST /v1/unloadLoraAdapter    {adapter,fence}
-//	GET  /v1/state                the report, which may lag
-//	GET  /v1/runs                 how often each request id ran
-//	GET  /v1/stats                counts
-//	POST /v1/faults               replaces the faults, restarts, freezes
+//	GET  /v1/state                the report, delayed by the report lag
+//	GET  /v1/runs                 number of runs by request ID
+//	GET  /v1/stats                counters
+//	POST /v1/faults               replaces the faults, restarts or freezes the engine
 //
-// A token's text is "adapter@version/request/index ", so that a test can tell
-// a whole own answer from any other; answers carry their X-Request-Id back.
-// Errors are {"error":{"kind","outcome","detail","seen"}}.
+// The text of a token is "adapter@version/request/index ". Tests use it to detect truncated
+// answers and answers of other requests. Answers return the X-Request-Id of their request.
+// Errors are {"error":{"kind","outcome","detail","seen"}}. With kind fenced, seen is the
+// greatest fencing token that the incarnation has seen.
 //
-// A load goes on when the one who ordered it has left; loading a resident
-// adapter and unloading a missing one succeed. The package has no goroutine of
-// its own: work is done in those of the HTTP server, and ends with Close.
+// A load continues after its caller has disconnected. Loading a resident adapter and
+// unloading a missing one succeed. The package starts no goroutines: all work runs in those
+// of the HTTP server, and Close ends it.
 //
-// Locks: Engine.mu guards everything and is never held during I/O.
+// Locks: Engine.mu guards all mutable state and is never held during I/O.
 package ggsfakeengine
--- a/fakes/ggsfakeengine/engine.go
+++ b/fakes/ggsfakeengine/engine.go
@@ -9,84 +9,84 @@
 	ggscore "greengageslip/core"
 )
 
-// An Engine is the stand-in. It is safe for concurrent use.
+// An Engine is a simulated inference engine. It is safe for concurrent use.
 type Engine struct {
 	options Options
 
 	mu     sync.Mutex
 	faults Faults
 	stats  Stats
-	// live ends the work of this incarnation.
-	live        map[uint64]context.CancelCauseFunc
-	lastWork    uint64
-	incarnation int
-	closed      bool
-	thaw        time.Time
-	seen        ggscore.FencingToken
-	resident    map[ggscore.AdapterRef]*adapter
-	loading     map[ggscore.AdapterRef]*load
-	running     int
-	queue       queue
-	arrivals    uint64
-	runs        map[string]int
-	history     []snapshot
-	busySince   time.Time
+	// work holds the functions that cancel the requests and orders of this incarnation.
+	work          map[uint64]context.CancelCauseFunc
+	lastWorkID    uint64
+	incarnation   int
+	closed        bool
+	frozenUntil   time.Time
+	greatestFence ggscore.FencingToken
+	resident      map[ggscore.AdapterRef]*adapter
+	loading       map[ggscore.AdapterRef]*load
+	running       int
+	queue         queue
+	arrivals      uint64
+	runs          map[string]int
+	history       []snapshot
+	busySince     time.Time
 }
 
 type adapter struct {
 	running int
-	// gone is closed when it is unloaded.
-	gone chan struct{}
+	// unloaded is closed when the adapter is unloaded.
+	unloaded chan struct{}
 }
 
-// A load is a load under way.
+// A load is an adapter load in progress.
 type load struct {
-	// done is closed at its end; err is set before.
+	// done is closed when the load ends; err is set before.
 	done chan struct{}
 	err  error
 }
 
-// New returns an engine with nothing loaded.
+// New returns an engine without resident adapters.
 func New(o Options) *Engine {
-	e := &Engine{options: o, runs: map[string]int{}, live: map[uint64]context.CancelCauseFunc{}}
+	e := &Engine{options: o, runs: map[string]int{}, work: map[uint64]context.CancelCauseFunc{}}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.boot()
+	e.startIncarnation()
 	return e
 }
 
-// Close ends all that is under way. A closed engine breaks every request.
+// Close aborts all work in progress. A closed engine aborts every new request and order.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
-	e.kill("engine closed")
+	e.abortWork("engine closed")
 }
 
-// Freeze stops everything for so long: no token, answer or load ends.
+// Freeze stops the engine for d: no token, answer or load is completed meanwhile.
 func (e *Engine) Freeze(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.thaw = e.options.Now().Add(d)
+	e.frozenUntil = e.options.Now().Add(d)
 }
 
-// Resident returns the adapters that are loaded now, without the lag.
+// Resident returns the adapters that are resident now, without the report lag.
 func (e *Engine) Resident() []ggscore.AdapterRef {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return sortedRefs(e.resident)
 }
 
-// Restart drops everything and starts a new incarnation with nothing loaded.
-// Counts of runs stay.
+// Restart aborts all work and starts a new incarnation without resident adapters. Runs and
+// Stats are kept.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.kill("engine restarted")
-	e.boot()
+	e.abortWork("engine restarted")
+	e.startIncarnation()
 }
 
-// Runs returns how often each request id ran.
+// Runs returns the number of runs by request ID.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,19 +104,19 @@
 	e.faults = f
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.account()
+	e.addBusyTime()
 	s := e.stats
 	s.Waiting = len(e.queue)
 	return s
 }
 
-// account adds up the time of busy slots until now. It is called with the lock
+// addBusyTime adds the busy time of slots since its last call. It is called with the lock
 // held, before the number of running requests changes.
-func (e *Engine) account() {
+func (e *Engine) addBusyTime() {
 	now := e.options.Now()
 	if !e.busySince.IsZero() {
 		e.stats.BusySlots += time.Duration(e.running) * now.Sub(e.busySince)
@@ -124,69 +124,71 @@
 	e.busySince = now
 }
 
-// boot starts an incarnation. It is called with the lock held.
-func (e *Engine) boot() {
-	e.account()
+// startIncarnation resets the state and starts a new incarnation. It is called with the
+// lock held.
+func (e *Engine) startIncarnation() {
+	e.addBusyTime()
 	e.incarnation++
-	e.seen = 0
+	e.greatestFence = 0
 	e.resident = map[ggscore.AdapterRef]*adapter{}
 	e.loading = map[ggscore.AdapterRef]*load{}
 	e.running = 0
 	e.queue = nil
-	e.thaw = time.Time{}
-	e.note()
+	e.frozenUntil = time.Time{}
+	e.recordState()
 }
 
-// enter returns a context for work of the present incarnation, and a function
-// that is to be called at its end.
-func (e *Engine) enter(parent context.Context) (context.Context, func()) {
+// beginWork returns a context that ends with the current incarnation, and a function that
+// the caller calls when its work ends.
+func (e *Engine) beginWork(parent context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.closed {
-		cancel(&brokenError{reason: "engine closed"})
+		cancel(&abortedError{reason: "engine closed"})
 	}
-	e.lastWork++
-	id := e.lastWork
-	e.live[id] = cancel
+	e.lastWorkID++
+	id := e.lastWorkID
+	e.work[id] = cancel
 	return ctx, func() {
 		e.mu.Lock()
-		delete(e.live, id)
+		delete(e.work, id)
 		e.mu.Unlock()
 		cancel(nil)
 	}
 }
 
-// gate waits until the engine isn't frozen.
-func (e *Engine) gate(ctx context.Context) error {
+// waitUnfrozen waits until the engine isn't frozen. It returns the context's cause if the
+// context ends first.
+func (e *Engine) waitUnfrozen(ctx context.Context) error {
 	for {
 		e.mu.Lock()
-		d := e.thaw.Sub(e.options.Now())
+		d := e.frozenUntil.Sub(e.options.Now())
 		e.mu.Unlock()
 		if d <= 0 {
 			return context.Cause(ctx)
 		}
-		if err := pause(ctx, d); err != nil {
+		if err := sleep(ctx, d); err != nil {
 			return err
 		}
 	}
 }
 
-// kill ends all work of the incarnation. It is called with the lock held.
-func (e *Engine) kill(reason string) {
-	for id, cancel := range e.live {
-		cancel(&brokenError{reason: reason})
-		delete(e.live, id)
+// abortWork cancels all work of the incarnation. It is called with the lock held.
+func (e *Engine) abortWork(reason string) {
+	for id, cancel := range e.work {
+		cancel(&abortedError{reason: reason})
+		delete(e.work, id)
 	}
 }
 
-// name returns the incarnation's name. It is called with the lock held.
-func (e *Engine) name() string {
+// incarnationName returns the name of the incarnation. It is called with the lock held.
+func (e *Engine) incarnationName() string {
 	return string(e.options.ID) + "-" + strconv.Itoa(e.incarnation)
 }
 
-// pause waits, and returns the context's cause where that ends first.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or returns the context's cause if the context ends first.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/fakes/ggsfakeengine/engine_test.go
+++ b/fakes/ggsfakeengine/engine_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A gatedStore lets each load end when the test says so.
+// A gatedStore is a Fetcher whose loads end when the test sends on end.
 type gatedStore struct {
 	begun chan ggscore.AdapterRef
 	end   chan struct{}
@@ -41,19 +41,19 @@
 	}
 }
 
-// A bench is an engine behind a server.
-type bench struct {
+// A testEngine is an engine with an HTTP server and a client.
+type testEngine struct {
 	engine *ggsfakeengine.Engine
 	server *httptest.Server
 	client *http.Client
 }
 
-func newBench(c *qt.C, change func(*ggsfakeengine.Options)) *bench {
+func newTestEngine(c *qt.C, configure func(*ggsfakeengine.Options)) *testEngine {
 	o := ggsfakeengine.DefaultOptions()
 	o.ID = "r1"
 	o.FirstToken = 0
 	o.TokenInterval = 0
-	change(&o)
+	configure(&o)
 	e := ggsfakeengine.New(o)
 	s := ggsfakebench.Serve(c, e.Handler())
 	t := &http.Transport{}
@@ -61,11 +61,12 @@
 		e.Close()
 		t.CloseIdleConnections()
 	})
-	return &bench{engine: e, server: s, client: &http.Client{Transport: t}}
+	return &testEngine{engine: e, server: s, client: &http.Client{Transport: t}}
 }
 
-// post returns the answer's status and text; status 0 stands for none.
-func (b *bench) post(ctx context.Context, path, id, priority, body string) (int, string) {
+// post returns the status and the body of the answer. Status 0 means that no answer came,
+// and the text is then the error.
+func (b *testEngine) post(ctx context.Context, path, id, priority, body string) (int, string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.server.URL+path, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
@@ -92,7 +93,7 @@
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			c.Fatalf("waited in vain: %s", what)
+			c.Fatalf("condition not met within the test's time limit: %s", what)
 		}
 	}
 }
@@ -107,32 +108,32 @@
 
 func adapterA() ggscore.AdapterRef { return ggscore.AdapterRef{Name: "a", Version: "v1"} }
 
-// The batch is full. Of those that wait, an urgent request that came last runs
-// first.
+// Checks that a request of a higher priority gets the next slot of a full batch although
+// another request has waited longer.
 func TestPriorityBeforeArrival(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(c, func(o *ggsfakeengine.Options) { o.Slots, o.FirstToken = 1, time.Hour })
+	b := newTestEngine(c, func(o *ggsfakeengine.Options) { o.Slots, o.FirstToken = 1, time.Hour })
 	b.engine.Preload(adapterA())
 	ctx := ggsfakebench.Context(c)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	first, leave := context.WithCancel(ctx)
-	second, leaveSecond := context.WithCancel(ctx)
-	defer leaveSecond()
+	first, cancel := context.WithCancel(ctx)
+	second, cancelSecond := context.WithCancel(ctx)
+	defer cancelSecond()
 	wg.Go(func() { b.post(first, pathRun, "first", "3", runA) })
 	waitFor(ctx, c, "first run", func() bool { return b.engine.Runs()["first"] == 1 })
 	wg.Go(func() { b.post(second, pathRun, "later", "3", runA) })
 	waitFor(ctx, c, "one waits", func() bool { return b.engine.Stats().Waiting == 1 })
 	wg.Go(func() { b.post(second, pathRun, "urgent", "0", runA) })
 	waitFor(ctx, c, "two wait", func() bool { return b.engine.Stats().Waiting == 2 })
-	leave()
+	cancel()
 	waitFor(ctx, c, "second run", func() bool { return b.engine.Stats().Started == 2 })
 	c.Assert(b.engine.Runs(), qt.DeepEquals, map[string]int{"first": 1, "urgent": 1})
 }
 
-// An owner evicts an adapter that a request uses. With the guard the order is
-// refused; without it the request breaks, so that the fault shows.
+// Checks an unload of an adapter that a request uses. With GuardsRunning the order is
+// refused. Without it the request is aborted and counted.
 func TestUnloadWhileRunning(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -146,10 +147,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			b := newBench(c, func(o *ggsfakeengine.Options) { o.GuardsRunning, o.FirstToken = tc.guards, time.Hour })
+			b := newTestEngine(c, func(o *ggsfakeengine.Options) { o.GuardsRunning, o.FirstToken = tc.guards, time.Hour })
 			b.engine.Preload(adapterA())
 			ctx := ggsfakebench.Context(c)
-			running, leave := context.WithCancel(ctx)
+			running, cancel := context.WithCancel(ctx)
 			ended := make(chan int, 1)
 			go func() {
 				status, _ := b.post(running, pathRun, "q1", "0", runA)
@@ -159,52 +160,52 @@
 			status, _ := b.post(ctx, pathUnload, "", "", orderA)
 			c.Assert(status, qt.Equals, tc.status)
 			if tc.guards {
-				leave()
+				cancel()
 			}
 			c.Assert(<-ended, qt.Equals, 0)
-			leave()
+			cancel()
 			c.Assert(b.engine.Stats().BrokenByUnload, qt.Equals, tc.broken)
 		})
 	}
 }
 
-// The owner orders a load and dies. The load goes on without it, and a second
-// order for the same adapter joins it.
-func TestLoadOutlivesItsOrder(t *testing.T) {
+// Checks that a load continues after its caller has disconnected, and that a second order
+// for the same adapter waits for the same load.
+func TestLoadContinuesAfterCallerDisconnects(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	g := newGatedStore()
-	b := newBench(c, func(o *ggsfakeengine.Options) { o.Weights = g })
+	b := newTestEngine(c, func(o *ggsfakeengine.Options) { o.Weights = g })
 	ctx := ggsfakebench.Context(c)
-	ordered, leave := context.WithCancel(ctx)
-	left := make(chan int, 1)
+	ordered, cancel := context.WithCancel(ctx)
+	abandoned := make(chan int, 1)
 	go func() {
 		status, _ := b.post(ordered, pathLoad, "", "", orderA)
-		left <- status
+		abandoned <- status
 	}()
 	c.Assert(<-g.begun, qt.Equals, adapterA())
-	leave()
-	c.Assert(<-left, qt.Equals, 0)
+	cancel()
+	c.Assert(<-abandoned, qt.Equals, 0)
 	c.Assert(b.engine.Report().Loading, qt.DeepEquals, []ggscore.AdapterRef{adapterA()})
 
-	again := make(chan int, 1)
+	joined := make(chan int, 1)
 	go func() {
 		status, _ := b.post(ctx, pathLoad, "", "", orderA)
-		again <- status
+		joined <- status
 	}()
 	g.end <- struct{}{}
-	c.Assert(<-again, qt.Equals, http.StatusOK)
+	c.Assert(<-joined, qt.Equals, http.StatusOK)
 	c.Assert(b.engine.Resident(), qt.DeepEquals, []ggscore.AdapterRef{adapterA()})
 	c.Assert(b.engine.Stats().Loads, qt.Equals, uint64(1))
 }
 
-// An engine restarts in the middle of a load: nothing is resident afterwards,
-// and the load's end doesn't show in the new incarnation.
+// Checks a restart during a load: no adapter is resident afterwards, and the end of the load
+// has no effect on the new incarnation.
 func TestRestartDropsLoads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	g := newGatedStore()
-	b := newBench(c, func(o *ggsfakeengine.Options) { o.Weights = g })
+	b := newTestEngine(c, func(o *ggsfakeengine.Options) { o.Weights = g })
 	ctx := ggsfakebench.Context(c)
 	ended := make(chan int, 1)
 	go func() {
@@ -222,12 +223,12 @@
 	c.Assert(r.Resident, qt.HasLen, 0)
 }
 
-// A report shows what was true some time ago.
+// Checks that a report shows the state as of the report lag ago.
 func TestReportLags(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	k := ggsfakebench.NewClock()
-	b := newBench(c, func(o *ggsfakeengine.Options) { o.Now = k.Now })
+	b := newTestEngine(c, func(o *ggsfakeengine.Options) { o.Now = k.Now })
 	ctx := ggsfakebench.Context(c)
 	status, _ := b.post(ctx, "/v1/faults", "", "", `{"reportLag":"2s"}`)
 	c.Assert(status, qt.Equals, http.StatusOK)
@@ -240,11 +241,11 @@
 	c.Assert(b.engine.Report().Resident, qt.HasLen, 1)
 }
 
-// Two callers at once get their own whole answers.
+// Checks that concurrent callers get complete answers to their own requests.
 func TestAnswersNameTheirRequest(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(c, func(*ggsfakeengine.Options) {})
+	b := newTestEngine(c, func(*ggsfakeengine.Options) {})
 	b.engine.Preload(adapterA())
 	ctx := ggsfakebench.Context(c)
 	var wg sync.WaitGroup
@@ -273,7 +274,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			b := newBench(c, func(*ggsfakeengine.Options) {})
+			b := newTestEngine(c, func(*ggsfakeengine.Options) {})
 			status, _ := b.post(ggsfakebench.Context(c), tc.path, "", "", tc.body)
 			c.Assert(status, qt.Equals, tc.want)
 			c.Assert(b.engine.Runs(), qt.HasLen, 0)
--- a/fakes/ggsfakeengine/errors.go
+++ b/fakes/ggsfakeengine/errors.go
@@ -1,17 +1,18 @@
 package ggsfakeengine
 
-// A brokenError says that a run ended before its answer did.
-type brokenError struct{ reason string }
+// An abortedError reports that a request or an order was aborted before its end.
+type abortedError struct{ reason string }
 
 // Error implements error.
-func (e *brokenError) Error() string { return "run broken: " + e.reason }
+func (e *abortedError) Error() string { return "aborted: " + e.reason }
 
+// A refusal is an error that is answered with a status and a JSON body.
 type refusal struct {
 	status  int
 	kind    string
 	outcome string
 	detail  string
-	seen    uint64
+	fence   uint64
 }
 
 // Error implements error.
--- a/fakes/ggsfakeengine/handler.go
+++ b/fakes/ggsfakeengine/handler.go
@@ -12,7 +12,7 @@
 	ggscore "greengageslip/core"
 )
 
-// Handler returns the service.
+// Handler returns the handler of the HTTP API.
 func (e *Engine) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
@@ -70,7 +70,7 @@
 }
 
 func (e *Engine) handleState(g *gin.Context) {
-	if err := e.gate(g.Request.Context()); err != nil {
+	if err := e.waitUnfrozen(g.Request.Context()); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	r := e.Report()
@@ -111,7 +111,7 @@
 
 func (e *Engine) handleUnload(g *gin.Context) { e.order(g, e.unload) }
 
-// order gives an order to do.
+// order decodes an order, passes it to do and writes the answer.
 func (e *Engine) order(g *gin.Context, do func(context.Context, ggscore.AdapterRef, ggscore.FencingToken) error) {
 	var w orderWire
 	if !bind(g, &w) {
@@ -123,7 +123,7 @@
 		return
 	}
 	err = do(g.Request.Context(), a, ggscore.FencingToken(w.Fence))
-	if err == nil && e.loseOrder() {
+	if err == nil && e.consumeLostAnswer() {
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
@@ -133,7 +133,7 @@
 	g.JSON(http.StatusOK, w)
 }
 
-// maxBodyBytes bounds a request's body.
+// maxBodyBytes limits the body of a request.
 const maxBodyBytes = 8 << 20
 
 func bind(g *gin.Context, out any) bool {
@@ -152,16 +152,17 @@
 	return time.ParseDuration(s)
 }
 
-// fail answers with an error. A broken run has no answer at all.
+// fail answers with an error. An aborted run or order gets no answer: its connection is
+// closed.
 func fail(g *gin.Context, err error) {
-	var broken *brokenError
-	if errors.As(err, &broken) {
+	var aborted *abortedError
+	if errors.As(err, &aborted) {
 		panic(http.ErrAbortHandler)
 	}
 	var r *refusal
 	if !errors.As(err, &r) {
 		r = &refusal{status: http.StatusBadRequest, kind: kindBadCall, detail: err.Error()}
 	}
-	w := errorBodyWire{Kind: r.kind, Outcome: r.outcome, Detail: r.detail, Seen: r.seen}
+	w := errorBodyWire{Kind: r.kind, Outcome: r.outcome, Detail: r.detail, Seen: r.fence}
 	g.AbortWithStatusJSON(r.status, errorWire{Error: w})
 }
--- a/fakes/ggsfakeengine/options.go
+++ b/fakes/ggsfakeengine/options.go
@@ -7,55 +7,55 @@
 	ggscore "greengageslip/core"
 )
 
-// A Fetcher gets an adapter's weights and takes as long as that takes.
+// A Fetcher fetches an adapter's weights. Fetch returns when the weights have arrived.
 type Fetcher interface {
 	Fetch(ctx context.Context, a ggscore.AdapterRef) error
 }
 
-// Options set an engine up.
+// Options configure an engine.
 type Options struct {
 	ID ggscore.EndpointID
-	// Now is the clock of reports and counts.
+	// Now is the clock of reports, freezes and BusySlots.
 	Now func() time.Time
-	// Slots is the size of the batch.
+	// Slots is the maximum number of running requests.
 	Slots int
-	// AdapterSlots is the number of adapters held at once, loading ones
-	// included.
+	// AdapterSlots is the maximum number of adapters, loading ones included.
 	AdapterSlots int
-	// TokenInterval is the time between tokens in an empty batch, and
-	// BatchSlowdown the part by which a full one is slower.
+	// TokenInterval is the time between tokens in an empty batch. BatchSlowdown is the
+	// fraction by which a full batch is slower.
 	TokenInterval time.Duration
 	BatchSlowdown float64
 	// FirstToken is the time to the first token.
 	FirstToken time.Duration
-	// DefaultTokens is the length of an answer where max_tokens isn't given.
+	// DefaultTokens is the length of an answer in tokens if max_tokens isn't given.
 	DefaultTokens int
-	// Weights is where adapters come from; nil loads them at once.
+	// Weights fetches the weights of adapters; with nil they are loaded at once.
 	Weights Fetcher
-	// GuardsRunning refuses to unload an adapter that is in use. Otherwise
-	// that breaks the requests that use it.
+	// GuardsRunning refuses to unload an adapter that is in use. Without it an unload
+	// aborts the requests that use the adapter.
 	GuardsRunning bool
-	// ChecksFence refuses orders with an old fencing number.
+	// ChecksFence refuses orders with a fencing token below the greatest one seen.
 	ChecksFence bool
 }
 
-// Faults are the switches of an engine. The zero value means none.
+// Faults are the failures that an engine simulates. The zero value means none.
 type Faults struct {
-	// LoadFails is the number of loads that fail after their time.
+	// LoadFails is the number of further loads that fail after their load time.
 	LoadFails int
-	// LoseOrderAnswers is the number of orders that take effect while the
-	// connection is closed in place of an answer.
+	// LoseOrderAnswers is the number of further orders that take effect although their
+	// connection is closed without an answer.
 	LoseOrderAnswers int
-	// CutStreamAfter closes the connection of each streamed answer after so
-	// many tokens.
+	// CutStreamAfter is the number of tokens after which the connection of each streamed
+	// answer is closed; zero means never.
 	CutStreamAfter int
-	// Refuse is the number of requests that are answered 503 as not run.
+	// Refuse is the number of further requests that are answered with 503 and outcome
+	// notRun.
 	Refuse int
-	// ReportLag is how old reports are.
+	// ReportLag is the age of the state in reports.
 	ReportLag time.Duration
 }
 
-// Stats count what an engine did.
+// Stats are the counters of an engine since its creation.
 type Stats struct {
 	Started        uint64
 	Done           uint64
@@ -67,16 +67,17 @@
 	Unloads        uint64
 	Fenced         uint64
 	Tokens         uint64
-	// Waiting is the number of requests that wait for a slot now.
+	// Waiting is the current number of requests that wait for a slot.
 	Waiting int
-	// BusySlots is the time that slots were in use, summed over slots.
+	// BusySlots is the time for which slots were in use, summed over the slots.
 	BusySlots time.Duration
 }
 
-// DefaultOptions returns an engine of the brief's kind on the wall clock.
+// DefaultOptions returns the options of an engine as the project's specification describes
+// it, on the wall clock.
 func DefaultOptions() Options {
 	return Options{
-		Now:           time.Now, //nolint:forbidigo // a stand-in's default clock
+		Now:           time.Now, //nolint:forbidigo // default clock of a test double
 		Slots:         8,
 		AdapterSlots:  8,
 		TokenInterval: 20 * time.Millisecond,
--- a/fakes/ggsfakeengine/report.go
+++ b/fakes/ggsfakeengine/report.go
@@ -6,13 +6,13 @@
 	ggscore "greengageslip/core"
 )
 
-// A snapshot is the engine's state from a moment on.
+// A snapshot is the engine's reported state from a point in time on.
 type snapshot struct {
 	from   time.Time
 	report ggscore.RunnerReport
 }
 
-// Report returns what the engine says of itself, with the lag.
+// Report returns the engine's state as it was Faults.ReportLag ago.
 func (e *Engine) Report() ggscore.RunnerReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -25,13 +25,13 @@
 	return r
 }
 
-// note keeps the state for reports. It is called with the lock held, after
-// each change of it.
-func (e *Engine) note() {
+// recordState adds the current state to the history of reports. It is called with the lock
+// held, after each change of the state.
+func (e *Engine) recordState() {
 	now := e.options.Now()
 	r := ggscore.RunnerReport{
 		Endpoint:    e.options.ID,
-		Incarnation: e.name(),
+		Incarnation: e.incarnationName(),
 		Running:     e.running,
 		Loading:     sortedRefs(e.loading),
 	}
@@ -39,11 +39,12 @@
 		r.Resident = append(r.Resident, ggscore.ResidentAdapter{Ref: a, Running: e.resident[a].running})
 	}
 	e.history = append(e.history, snapshot{from: now, report: r})
-	keep := now.Add(-max(e.faults.ReportLag, minHistory))
-	for len(e.history) > 1 && !e.history[1].from.After(keep) {
+	cutoff := now.Add(-max(e.faults.ReportLag, minHistory))
+	for len(e.history) > 1 && !e.history[1].from.After(cutoff) {
 		e.history = e.history[1:]
 	}
 }
 
-// minHistory is how much history is kept for a lag that is set later.
+// minHistory is the minimum age to which history is kept, so that a report lag that is set
+// later has states to report.
 const minHistory = 5 * time.Second
--- a/fakes/ggsfakeengine/wire.go
+++ b/fakes/ggsfakeengine/wire.go
@@ -5,7 +5,7 @@
 type completionWire struct {
 	Model     string `json:"model"`
 	Stream    bool   `json:"stream"`
-	MaxTokens int    `json:"max_tokens"` //nolint:tagliatelle // the name in the OpenAI shape
+	MaxTokens int    `json:"max_tokens"` //nolint:tagliatelle // the name in the OpenAI API
 }
 
 type deltaWire struct {
@@ -16,7 +16,7 @@
 	Index        int        `json:"index"`
 	Delta        *deltaWire `json:"delta,omitempty"`
 	Message      *deltaWire `json:"message,omitempty"`
-	FinishReason *string    `json:"finish_reason"` //nolint:tagliatelle // the name in the OpenAI shape
+	FinishReason *string    `json:"finish_reason"` //nolint:tagliatelle // the name in the OpenAI API
 }
 
 type answerWire struct {
@@ -90,7 +90,7 @@
 	ReportLag        string `json:"reportLag"`
 }
 
-// The words of answers.
+// Error kinds and outcomes in answers.
 const (
 	kindNotLoaded  = "adapterNotLoaded"
 	kindFenced     = "fenced"
