--- a/fakes/ggsfakeplatform/errors.go
+++ b/fakes/ggsfakeplatform/errors.go
@@ -2,23 +2,25 @@
 
 import "fmt"
 
-// A conflictError says that a key's revision was another.
+// A conflictError reports that a key's revision differs from the expected one.
 type conflictError struct {
-	key  string
-	have uint64
+	key      string
+	revision uint64
 }
 
 // Error implements error.
 func (e *conflictError) Error() string {
-	return fmt.Sprintf("%s stands at revision %d", e.key, e.have)
+	return fmt.Sprintf("%s is at revision %d", e.key, e.revision)
 }
 
-// A lapsedError says that a lease isn't known.
-type lapsedError struct{ lease uint64 }
+// A leaseExpiredError reports that a lease doesn't exist: it has expired, was revoked or was
+// never granted.
+type leaseExpiredError struct{ lease uint64 }
 
 // Error implements error.
-func (e *lapsedError) Error() string { return fmt.Sprintf("lease %d is not known", e.lease) }
+func (e *leaseExpiredError) Error() string { return fmt.Sprintf("lease %d does not exist", e.lease) }
 
+// A badCallError reports an invalid request.
 type badCallError struct{ detail string }
 
 // Error implements error.
--- a/fakes/ggsfakeplatform/faults.go
+++ b/fakes/ggsfakeplatform/faults.go
@@ -10,18 +10,18 @@
 	"golang.org/x/time/rate"
 )
 
-// limitReads admits a read.
+// limitReads applies faults and the rate limit to a read.
 func (p *Platform) limitReads(g *gin.Context) { p.admit(g, p.reads, false) }
 
-// limitWrites admits a write.
+// limitWrites applies faults and the rate limit to a write.
 func (p *Platform) limitWrites(g *gin.Context) { p.admit(g, p.writes, true) }
 
-// admit counts a call and meets it with the faults and limits that are set. It
-// aborts a call that isn't to be served.
+// admit counts a call and applies the faults and the rate limit to it. It aborts a call that
+// isn't served.
 func (p *Platform) admit(g *gin.Context, l *rate.Limiter, write bool) {
-	f := p.count(write)
+	f := p.countCall(write)
 	if f.Hang {
-		// The server notices that a caller left only once its body is read.
+		// The server detects that a caller disconnects only after the body has been read.
 		_, _ = io.Copy(io.Discard, g.Request.Body)
 		<-g.Request.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -34,15 +34,15 @@
 		p.mu.Lock()
 		p.calls.Refused++
 		p.mu.Unlock()
-		refuse(g, http.StatusTooManyRequests, errorBodyWire{Kind: "busy", Detail: "over the rate"})
+		refuse(g, http.StatusTooManyRequests, errorBodyWire{Kind: "busy", Detail: "rate limit exceeded"})
 		return
 	}
-	if f.Slow > 0 && !pause(g.Request.Context(), f.Slow) {
+	if f.Slow > 0 && !sleep(g.Request.Context(), f.Slow) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (p *Platform) count(write bool) Faults {
+func (p *Platform) countCall(write bool) Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if write {
@@ -60,12 +60,12 @@
 	refuse(g, http.StatusServiceUnavailable, errorBodyWire{Kind: "away", Detail: "outage"})
 }
 
-// write does a write under the lock and answers, unless a fault takes the
-// answer. The write is done by apply, which finds the lock held.
+// write applies a write under the lock and answers, unless a fault drops the answer. apply
+// is called with the lock held.
 func (p *Platform) write(g *gin.Context, key string, apply func() (any, error)) {
 	p.mu.Lock()
 	p.sweep()
-	if p.faults.DelayWrites > 0 && matches(p.faults, key) {
+	if p.faults.DelayWrites > 0 && faultApplies(p.faults, key) {
 		p.faults.DelayWrites--
 		p.calls.Failed++
 		p.delay(apply)
@@ -74,15 +74,15 @@
 	}
 	out, err := apply()
 	if err == nil {
-		p.wake()
+		p.notifyWatches()
 	}
-	lose := p.faults.LoseWriteAnswers > 0 && matches(p.faults, key)
-	if lose {
+	loseAnswer := p.faults.LoseWriteAnswers > 0 && faultApplies(p.faults, key)
+	if loseAnswer {
 		p.faults.LoseWriteAnswers--
 		p.calls.Failed++
 	}
 	p.mu.Unlock()
-	if lose {
+	if loseAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
@@ -92,15 +92,15 @@
 	g.JSON(http.StatusOK, out)
 }
 
-// delay is called with the lock held. Nobody hears how the write ends: it may
-// meet a conflict by then.
+// delay schedules a write for later. The result of the write is dropped, also if the write
+// then fails with a conflict. delay is called with the lock held.
 func (p *Platform) delay(apply func() (any, error)) {
 	due := p.options.Now().Add(p.faults.Delay)
 	p.delayed = append(p.delayed, delayedWrite{due: due, apply: func() { _, _ = apply() }})
 }
 
-// pause waits and reports whether the caller is still there.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether the caller is still connected.
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/fakes/ggsfakeplatform/handler.go
+++ b/fakes/ggsfakeplatform/handler.go
@@ -11,7 +11,7 @@
 	"github.com/gin-gonic/gin"
 )
 
-// Handler returns the service.
+// Handler returns the handler of the HTTP API.
 func (p *Platform) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
@@ -153,7 +153,7 @@
 	g.Data(http.StatusOK, "application/json", b)
 }
 
-// entriesOf is called with the lock held.
+// entriesOf returns the entries of keys. It is called with the lock held.
 func (p *Platform) entriesOf(ks []string) entriesWire {
 	w := entriesWire{Entries: make([]entryWire, 0, len(ks)), Revision: p.store.revision}
 	for _, k := range ks {
@@ -162,14 +162,15 @@
 	return w
 }
 
-// wireOf is called with the lock held. A deleted entry keeps its revision in
-// watches only.
+// wireOf returns an entry as the API encodes it. A deleted entry has revision 0 here and
+// keeps its revision in watches only. wireOf is called with the lock held.
 func (p *Platform) wireOf(k string) entryWire {
 	e := p.store.get(k)
 	return entryWire{Key: k, Value: e.value, Revision: e.revision, Lease: e.lease}
 }
 
-// maxBodyBytes leaves room for a value in base64.
+// maxBodyBytes limits a request body. It exceeds the default limit of a value enough for the
+// base64 encoding.
 const maxBodyBytes = 2 << 20
 
 func bind(g *gin.Context, out any) bool {
@@ -186,14 +187,14 @@
 	return true
 }
 
-// fail answers with the error's status.
+// fail answers with the status of the error.
 func fail(g *gin.Context, err error) {
 	var conflict *conflictError
-	var lapsed *lapsedError
+	var expired *leaseExpiredError
 	switch {
 	case errors.As(err, &conflict):
-		refuse(g, http.StatusConflict, errorBodyWire{Kind: "conflict", Detail: err.Error(), Revision: conflict.have})
-	case errors.As(err, &lapsed):
+		refuse(g, http.StatusConflict, errorBodyWire{Kind: "conflict", Detail: err.Error(), Revision: conflict.revision})
+	case errors.As(err, &expired):
 		refuse(g, http.StatusGone, errorBodyWire{Kind: "leaseLapsed", Detail: err.Error()})
 	default:
 		refuse(g, http.StatusBadRequest, errorBodyWire{Kind: "badCall", Detail: err.Error()})
@@ -213,9 +214,9 @@
 	g.AbortWithStatusJSON(status, errorWire{Error: w})
 }
 
-func matches(f Faults, key string) bool { return strings.HasPrefix(key, f.LosePrefix) }
+func faultApplies(f Faults, key string) bool { return strings.HasPrefix(key, f.LosePrefix) }
 
-// waitOf parses a watch's wait, which is bounded.
+// waitOf returns the wait of a watch, at most maxWait.
 func waitOf(g *gin.Context) (time.Duration, error) {
 	d, err := durationOf(g.Query("wait"))
 	return min(d, maxWait), err
--- a/fakes/ggsfakeplatform/platform.go
+++ b/fakes/ggsfakeplatform/platform.go
@@ -10,52 +10,53 @@
 	ggscore "greengageslip/core"
 )
 
-// Options set a stand-in up.
+// Options configure a Platform.
 type Options struct {
 	// Now is the clock of leases, lags, delayed writes and rates.
 	Now func() time.Time
-	// WritesPerSecond and ReadsPerSecond limit calls; zero means no limit.
+	// WritesPerSecond and ReadsPerSecond limit the rate of calls; zero means no limit.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
-	// MaxValueBytes bounds a value.
+	// MaxValueBytes is the maximum size of a value.
 	MaxValueBytes int
-	// VMLag is how long the list of VMs lags behind SetVMs.
+	// VMLag is the time by which the list of VMs lags behind SetVMs.
 	VMLag time.Duration
 }
 
-// Faults are the switches of the stand-in. The zero value means none.
+// Faults are the failures that a Platform simulates. The zero value means none.
 type Faults struct {
-	// Outage answers each call with 503; waiting watches end so as well.
+	// Outage answers each call with 503, waiting watches included.
 	Outage bool
-	// Hang takes calls and never answers them. They have no effect.
+	// Hang accepts calls and never answers them. The calls have no effect.
 	Hang bool
-	// Slow holds each call back before it takes effect.
+	// Slow is the time by which each call is delayed before it takes effect.
 	Slow time.Duration
-	// LoseWriteAnswers is the number of writes that take effect while the
-	// connection is closed in place of an answer.
+	// LoseWriteAnswers is the number of further writes that take effect although their
+	// connection is closed without an answer.
 	LoseWriteAnswers int
-	// DelayWrites is the number of writes of which the answer is lost at once
-	// and that take effect Delay later.
+	// DelayWrites is the number of further writes whose connection is closed at once
+	// without an answer and that take effect Delay later.
 	DelayWrites int
 	Delay       time.Duration
-	// LosePrefix limits LoseWriteAnswers and DelayWrites to keys below it.
-	// Calls on leases have the empty key.
+	// LosePrefix limits LoseWriteAnswers and DelayWrites to keys with this prefix. Calls
+	// on leases have the empty key.
 	LosePrefix string
 }
 
-// Calls counts calls by what they count as at the service.
+// Calls are the counters of calls by kind.
 type Calls struct {
 	Reads   uint64
 	Writes  uint64
 	Watches uint64
-	// Refused counts calls over the rate, Failed those met by a fault.
+	// Refused counts calls over the rate limit. Failed counts calls that are hung, refused
+	// or dropped by a fault; Slow doesn't count.
 	Refused uint64
 	Failed  uint64
-	// Waiting is the number of watches that wait now.
+	// Waiting is the current number of waiting watches.
 	Waiting int
 }
 
-// A Platform is the stand-in. It is safe for concurrent use.
+// A Platform is a simulated platform. It is safe for concurrent use.
 type Platform struct {
 	options Options
 
@@ -66,35 +67,36 @@
 	reads   *rate.Limiter
 	writes  *rate.Limiter
 	delayed []delayedWrite
-	vms     []vmState
-	// changed is closed and replaced whenever something a watch waits for
-	// changes.
+	vms     []vmList
+	// changed is closed and replaced whenever the store or the faults change.
 	changed chan struct{}
 }
 
-// A vmState is a list of VMs and when it shows.
-type vmState struct {
-	vms   []ggscore.VM
-	shows time.Time
+// A vmList is a list of VMs and the time from which calls return it.
+type vmList struct {
+	vms       []ggscore.VM
+	visibleAt time.Time
 }
 
-// A delayedWrite takes effect at a later time, if it still can.
+// A delayedWrite is a write that is applied at a later time. It has no effect if it
+// conflicts by then.
 type delayedWrite struct {
 	due   time.Time
 	apply func()
 }
 
-// DefaultOptions returns the limits of the brief on the wall clock.
+// DefaultOptions returns the limits that the project's specification gives for the platform,
+// on the wall clock.
 func DefaultOptions() Options {
 	return Options{
-		Now:             time.Now, //nolint:forbidigo // a stand-in's default clock
+		Now:             time.Now, //nolint:forbidigo // default clock of a test double
 		WritesPerSecond: 300,
 		ReadsPerSecond:  2000,
 		MaxValueBytes:   1 << 20,
 	}
 }
 
-// New returns an empty stand-in.
+// New returns a platform without entries, leases and VMs.
 func New(o Options) *Platform {
 	return &Platform{
 		options: o,
@@ -105,15 +107,15 @@
 	}
 }
 
-// Calls returns the counts of calls so far.
+// Calls returns the counters of calls.
 func (p *Platform) Calls() Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// ReadVMs replaces the list of VMs by the one of a JSON text, as PUT /v1/vms
-// takes it. The new list shows after the lag.
+// ReadVMs replaces the list of VMs by that in a JSON text of the form that PUT /v1/vms
+// accepts. Calls return the new list after VMLag.
 func (p *Platform) ReadVMs(text []byte) error {
 	var w vmsWire
 	if err := json.Unmarshal(text, &w); err != nil {
@@ -144,26 +146,26 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.wake()
+	p.notifyWatches()
 }
 
-// SetVMs replaces the list of VMs. The new list shows after the lag.
+// SetVMs replaces the list of VMs. Calls return the new list after VMLag.
 func (p *Platform) SetVMs(vms []ggscore.VM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	shows := p.options.Now().Add(p.options.VMLag)
-	p.vms = append(p.vms, vmState{vms: append([]ggscore.VM(nil), vms...), shows: shows})
+	visibleAt := p.options.Now().Add(p.options.VMLag)
+	p.vms = append(p.vms, vmList{vms: append([]ggscore.VM(nil), vms...), visibleAt: visibleAt})
 }
 
-// Sweep lets leases lapse and delayed writes take effect that are due by the
-// clock, and wakes watches. Calls do so by themselves.
+// Sweep ends expired leases, applies delayed writes that are due and notifies watches. Most
+// calls sweep first; tests call Sweep when no other call arrives.
 func (p *Platform) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sweep()
 }
 
-// sweep is called with the lock held.
+// sweep implements Sweep. It is called with the lock held.
 func (p *Platform) sweep() {
 	now := p.options.Now()
 	before := p.store.revision
@@ -176,36 +178,36 @@
 		d.apply()
 	}
 	p.delayed = kept
-	p.store.lapse(now)
+	p.store.expireLeases(now)
 	if p.store.revision != before {
-		p.wake()
+		p.notifyWatches()
 	}
 }
 
-// visibleVMs returns the list that shows now. It is called with the lock held.
+// visibleVMs returns the list of VMs as calls return it now. It is called with the lock held.
 func (p *Platform) visibleVMs() []ggscore.VM {
 	now := p.options.Now()
-	for len(p.vms) > 1 && !p.vms[1].shows.After(now) {
+	for len(p.vms) > 1 && !p.vms[1].visibleAt.After(now) {
 		p.vms = p.vms[1:]
 	}
-	if len(p.vms) == 0 || p.vms[0].shows.After(now) {
+	if len(p.vms) == 0 || p.vms[0].visibleAt.After(now) {
 		return nil
 	}
 	return p.vms[0].vms
 }
 
-// wake is called with the lock held.
-func (p *Platform) wake() {
+// notifyWatches makes waiting watches poll the store. It is called with the lock held.
+func (p *Platform) notifyWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// burstShare is the part of a second's rate that may come at once.
-const burstShare = 4
+// burstDivisor sets the burst of a rate limit: a quarter of a second's calls.
+const burstDivisor = 4
 
 func limiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/burstShare)))
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond/burstDivisor)))
 }
--- a/fakes/ggsfakeplatform/platform_test.go
+++ b/fakes/ggsfakeplatform/platform_test.go
@@ -24,7 +24,7 @@
 	return ggsfakeplatform.New(o), k
 }
 
-// do makes a call without a server.
+// do calls the handler without a server.
 func do(ctx context.Context, h http.Handler, method, path, body string) (int, string) {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
@@ -47,7 +47,7 @@
 		{method: "GET", path: "/v1/kv?key=a", status: 200, want: `{"key":"a","value":"b25l","revision":1,"lease":0}`},
 		{
 			method: "PUT", path: "/v1/kv", body: `{"key":"a","prev":9}`, status: 409,
-			want: `{"error":{"kind":"conflict","detail":"a stands at revision 1","revision":1}}`,
+			want: `{"error":{"kind":"conflict","detail":"a is at revision 1","revision":1}}`,
 		},
 		{method: "POST", path: "/v1/leases", body: `{"ttl":"3s"}`, status: 200, want: `{"lease":1}`},
 		{method: "PUT", path: "/v1/kv", body: `{"key":"b","lease":1}`, status: 200, want: `{"revision":2}`},
@@ -61,7 +61,7 @@
 		},
 		{
 			method: "PUT", path: "/v1/leases/1", status: 410,
-			want: `{"error":{"kind":"leaseLapsed","detail":"lease 1 is not known","revision":0}}`,
+			want: `{"error":{"kind":"leaseLapsed","detail":"lease 1 does not exist","revision":0}}`,
 		},
 		{method: "DELETE", path: "/v1/kv", body: `{"key":"a","prev":1}`, status: 200, want: `{"revision":4}`},
 		{method: "POST", path: "/v1/faults", body: `{"slow":"long"}`, status: 400},
@@ -82,8 +82,8 @@
 	}
 }
 
-// A watch waits while an outage begins. It must end, or its caller would take
-// the outage for calm.
+// Checks that a waiting watch ends when an outage begins. Otherwise its caller would see an
+// outage as a period without changes.
 func TestOutageEndsWatches(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -102,8 +102,9 @@
 	c.Assert(<-ended, qt.Equals, http.StatusServiceUnavailable)
 }
 
-// A lease lapses while a watch waits, with no other call coming in.
-func TestLapseWakesWatch(t *testing.T) {
+// Checks that a waiting watch returns the deletion by an expired lease although no other call
+// arrives.
+func TestLeaseExpiryEndsWatch(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	p := ggsfakeplatform.New(ggsfakeplatform.DefaultOptions())
@@ -115,9 +116,9 @@
 	c.Assert(got, qt.Contains, `"value":null`)
 }
 
-// Old changes are dropped once newer ones of the same keys replaced them. A
-// watch must still see each key that changed.
-func TestWatchAfterManyChanges(t *testing.T) {
+// Checks that a watch returns every changed key after the compaction of older changes of the
+// same keys.
+func TestWatchAfterCompaction(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	o := ggsfakeplatform.DefaultOptions()
--- a/fakes/ggsfakeplatform/store.go
+++ b/fakes/ggsfakeplatform/store.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// An entry is a value or, where gone is set, the trace of a deleted one.
+// An entry is a value or, if deleted is set, the tombstone of a deleted key.
 type entry struct {
 	value    []byte
 	revision uint64
 	lease    uint64
-	gone     bool
+	deleted  bool
 }
 
-// A lease is one grant.
+// A lease is a granted lease with the keys attached to it.
 type lease struct {
 	ttl     time.Duration
 	expires time.Time
 	keys    map[string]bool
 }
 
-// A change is one write, in the order of revisions.
+// A change records a write or a deletion of a key.
 type change struct {
 	revision uint64
 	key      string
 }
 
-// A store is the key-value service's state. It holds no lock and no clock.
+// A store is the state of the key-value service. It has no lock and no clock: callers lock
+// and pass the time.
 type store struct {
 	revision  uint64
 	lastLease uint64
@@ -43,16 +44,16 @@
 func (s *store) delete(key string, prev uint64) (uint64, error) {
 	e := s.get(key)
 	if e.revision != prev || prev == 0 {
-		return 0, &conflictError{key: key, have: e.revision}
+		return 0, &conflictError{key: key, revision: e.revision}
 	}
 	s.remove(key)
 	return s.revision, nil
 }
 
-// get returns the entry, the zero one if there is none.
+// get returns the entry of a key, or the zero entry if the key doesn't exist.
 func (s *store) get(key string) entry {
 	e := s.entries[key]
-	if e.gone {
+	if e.deleted {
 		return entry{}
 	}
 	return e
@@ -60,15 +61,15 @@
 
 func (s *store) grant(now time.Time, ttl time.Duration) (uint64, error) {
 	if ttl <= 0 {
-		return 0, &badCallError{detail: "ttl is to be positive"}
+		return 0, &badCallError{detail: "lease ttl must be positive"}
 	}
 	s.lastLease++
 	s.leases[s.lastLease] = &lease{ttl: ttl, expires: now.Add(ttl), keys: map[string]bool{}}
 	return s.lastLease, nil
 }
 
-// lapse ends the leases that are due, oldest first.
-func (s *store) lapse(now time.Time) {
+// expireLeases ends the expired leases in the order of their IDs.
+func (s *store) expireLeases(now time.Time) {
 	var due []uint64
 	for id, l := range s.leases {
 		if !now.Before(l.expires) {
@@ -77,15 +78,15 @@
 	}
 	sort.Slice(due, func(i, j int) bool { return due[i] < due[j] })
 	for _, id := range due {
-		s.end(id)
+		s.endLease(id)
 	}
 }
 
-// list returns the keys below the prefix, sorted.
+// list returns the existing keys with the prefix in sorted order.
 func (s *store) list(prefix string) []string {
 	var ks []string
 	for k, e := range s.entries {
-		if !e.gone && strings.HasPrefix(k, prefix) {
+		if !e.deleted && strings.HasPrefix(k, prefix) {
 			ks = append(ks, k)
 		}
 	}
@@ -93,8 +94,8 @@
 	return ks
 }
 
-// nextLapse returns when the next lease lapses, the zero time if none does.
-func (s *store) nextLapse() time.Time {
+// nextExpiry returns the earliest expiry of a lease, or the zero time without leases.
+func (s *store) nextExpiry() time.Time {
 	var next time.Time
 	for _, l := range s.leases {
 		if next.IsZero() || l.expires.Before(next) {
@@ -106,29 +107,29 @@
 
 func (s *store) put(key string, value []byte, prev, leaseID uint64) (uint64, error) {
 	if key == "" {
-		return 0, &badCallError{detail: "key is empty"}
+		return 0, &badCallError{detail: "key must not be empty"}
 	}
 	e := s.get(key)
 	if e.revision != prev {
-		return 0, &conflictError{key: key, have: e.revision}
+		return 0, &conflictError{key: key, revision: e.revision}
 	}
 	l := s.leases[leaseID]
 	if leaseID != 0 && l == nil {
-		return 0, &lapsedError{lease: leaseID}
+		return 0, &leaseExpiredError{lease: leaseID}
 	}
 	s.detach(key, e)
 	if l != nil {
 		l.keys[key] = true
 	}
-	// A live value is never nil: watches show deleted entries so.
-	s.note(key, entry{value: append([]byte{}, value...), lease: leaseID})
+	// An existing value is never nil, since watches return nil for deleted keys.
+	s.record(key, entry{value: append([]byte{}, value...), lease: leaseID})
 	return s.revision, nil
 }
 
 func (s *store) renew(now time.Time, id uint64) error {
 	l := s.leases[id]
 	if l == nil {
-		return &lapsedError{lease: id}
+		return &leaseExpiredError{lease: id}
 	}
 	l.expires = now.Add(l.ttl)
 	return nil
@@ -136,15 +137,15 @@
 
 func (s *store) revoke(id uint64) error {
 	if s.leases[id] == nil {
-		return &lapsedError{lease: id}
+		return &leaseExpiredError{lease: id}
 	}
-	s.end(id)
+	s.endLease(id)
 	return nil
 }
 
-// since returns the keys below the prefix that changed after the revision,
-// each once, in the order of their last change.
-func (s *store) since(prefix string, after uint64) []string {
+// changedSince returns the keys with the prefix that changed after the revision. Each key
+// appears once, in the order of the last changes.
+func (s *store) changedSince(prefix string, after uint64) []string {
 	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].revision > after })
 	var ks []string
 	for _, c := range s.changes[i:] {
@@ -155,9 +156,9 @@
 	return ks
 }
 
-// compact drops changes that a later one of the same key replaced.
+// compact drops changes that have a later change of the same key.
 func (s *store) compact() {
-	if len(s.changes) < 2*len(s.entries)+compactFloor {
+	if len(s.changes) < 2*len(s.entries)+minChanges {
 		return
 	}
 	kept := s.changes[:0]
@@ -169,8 +170,8 @@
 	s.changes = kept
 }
 
-// compactFloor is the number of changes that are always kept.
-const compactFloor = 1024
+// minChanges is the number of changes below which nothing is compacted.
+const minChanges = 1024
 
 func (s *store) detach(key string, e entry) {
 	if l := s.leases[e.lease]; l != nil {
@@ -178,8 +179,8 @@
 	}
 }
 
-// end deletes a lease and the keys under it.
-func (s *store) end(id uint64) {
+// endLease deletes a lease and the keys attached to it.
+func (s *store) endLease(id uint64) {
 	l := s.leases[id]
 	ks := make([]string, 0, len(l.keys))
 	for k := range l.keys {
@@ -192,7 +193,7 @@
 	delete(s.leases, id)
 }
 
-func (s *store) note(key string, e entry) {
+func (s *store) record(key string, e entry) {
 	s.revision++
 	e.revision = s.revision
 	s.entries[key] = e
@@ -202,5 +203,5 @@
 
 func (s *store) remove(key string) {
 	s.detach(key, s.entries[key])
-	s.note(key, entry{gone: true})
+	s.record(key, entry{deleted: true})
 }
--- a/fakes/ggsfakeplatform/wire.go
+++ b/fakes/ggsfakeplatform/wire.go
@@ -86,7 +86,7 @@
 	Waiting int    `json:"waiting"`
 }
 
-// The words of the list of VMs.
+// Roles and states in the list of VMs.
 const (
 	roleEntry    = "entry"
 	roleEndpoint = "endpoint"
