--- a/fakes/ggsfake/engine.go
+++ b/fakes/ggsfake/engine.go
@@ -8,27 +8,27 @@
 	"greengageslip/fakes/ggsfakeweights"
 )
 
-// A labels struct holds the flags that name an endpoint.
+// labels are the flags that identify an endpoint.
 type labels struct {
-	ID      string `long:"id" required:"true" description:"the endpoint's id"`
-	Service string `long:"service" description:"the service that it serves"`
-	Domain  string `long:"domain" description:"its failure domain"`
-	Region  string `long:"region" description:"its region"`
+	ID      string `long:"id" required:"true" description:"ID of the endpoint"`
+	Service string `long:"service" description:"service of the endpoint"`
+	Domain  string `long:"domain" description:"failure domain of the endpoint"`
+	Region  string `long:"region" description:"region of the endpoint"`
 }
 
-// An engineCommand runs a model engine.
+// An engineCommand runs a simulated inference engine.
 type engineCommand struct {
 	listener
 	labels
-	Weights       address       `long:"weights" value-name:"ADDR" description:"the weight store; loads take no time without one"`
-	Slots         int           `long:"slots" default:"8" description:"size of the batch"`
-	AdapterSlots  int           `long:"adapter-slots" default:"8" description:"adapters held at once"`
+	Weights       address       `long:"weights" value-name:"ADDR" description:"address of the weight store; without one loads take no time"`
+	Slots         int           `long:"slots" default:"8" description:"maximum number of running requests"`
+	AdapterSlots  int           `long:"adapter-slots" default:"8" description:"maximum number of adapters, loading ones included"`
 	TokenInterval time.Duration `long:"token-interval" default:"20ms" description:"time between tokens in an empty batch"`
-	BatchSlowdown float64       `long:"batch-slowdown" default:"0.3" description:"part by which a full batch is slower"`
+	BatchSlowdown float64       `long:"batch-slowdown" default:"0.3" description:"fraction by which a full batch is slower"`
 	FirstToken    time.Duration `long:"first-token" default:"50ms" description:"time to the first token"`
-	Tokens        int           `long:"tokens" default:"16" description:"length of answers that ask for none"`
-	GuardsRunning bool          `long:"guards-running" description:"refuse to unload an adapter in use"`
-	ChecksFence   bool          `long:"checks-fence" description:"refuse orders with an old fencing number"`
+	Tokens        int           `long:"tokens" default:"16" description:"tokens of an answer if the request has no max_tokens"`
+	GuardsRunning bool          `long:"guards-running" description:"refuse to unload an adapter that is in use"`
+	ChecksFence   bool          `long:"checks-fence" description:"refuse orders with an outdated fencing token"`
 }
 
 func (c *engineCommand) build() (service, error) {
--- a/fakes/ggsfake/errors.go
+++ b/fakes/ggsfake/errors.go
@@ -2,17 +2,19 @@
 
 import "fmt"
 
-// A BadFlagError says that a flag's value is out of range.
+// A BadFlagError reports that the value of a flag is out of range.
 type BadFlagError struct {
 	Flag string
 	Want string
 }
 
 // Error implements error.
-func (e *BadFlagError) Error() string { return fmt.Sprintf("--%s: want %s", e.Flag, e.Want) }
+func (e *BadFlagError) Error() string {
+	return fmt.Sprintf("invalid value of --%s: must be %s", e.Flag, e.Want)
+}
 
-// A CallFailedError says that a stand-in refused a call.
+// A CallFailedError reports that a test double answered with a status other than 200.
 type CallFailedError struct{ Status int }
 
 // Error implements error.
-func (e *CallFailedError) Error() string { return fmt.Sprintf("answered with status %d", e.Status) }
+func (e *CallFailedError) Error() string { return fmt.Sprintf("call failed: status %d", e.Status) }
--- a/fakes/ggsfake/main.go
+++ b/fakes/ggsfake/main.go
@@ -1,4 +1,4 @@
-// Command ggsfake runs the stand-ins of the outside systems.
+// Command ggsfake runs test doubles of the external systems.
 //
 // # Usage
 //
@@ -9,9 +9,10 @@
 //	ggsfake link --listen 127.0.0.1:7401 --from 127.0.0.1:7400 --to 127.0.0.1:7100 --delay 8ms
 //	ggsfake call --addr 127.0.0.1:7100 --method POST --path /v1/faults --body '{"outage":true}'
 //
-// Each serves until SIGTERM or SIGINT. It then takes no new calls, gives those
-// in progress a moment and exits 0. Logs go to standard error, one key=value
-// line an event. Exit codes: 0 done, 1 failed, 2 wrong usage.
+// Each command except call serves until SIGTERM or SIGINT. It then accepts no new calls,
+// lets calls in flight end for up to 2 s and exits with code 0; site closes its connections
+// at once. Logs go to standard error with one line of key=value pairs per event. Exit codes
+// are 0 for success, 1 for a failure and 2 for wrong usage.
 package main
 
 import (
--- a/fakes/ggsfake/plain.go
+++ b/fakes/ggsfake/plain.go
@@ -7,16 +7,16 @@
 	"greengageslip/fakes/ggsfakeplain"
 )
 
-// A plainCommand runs a plain service.
+// A plainCommand runs a plain service, which counts its calls.
 type plainCommand struct {
 	listener
 	labels
-	Time time.Duration `long:"time" default:"5ms" description:"how long a call takes"`
+	Time time.Duration `long:"time" default:"5ms" description:"duration of a call"`
 }
 
 func (c *plainCommand) build() (service, error) {
 	if c.Time < 0 {
-		return service{}, &BadFlagError{Flag: "time", Want: "no negative time"}
+		return service{}, &BadFlagError{Flag: "time", Want: "at least 0s"}
 	}
 	p := ggsfakeplain.New(ggsfakeplain.Options{ID: ggscore.EndpointID(c.ID), Time: c.Time})
 	return service{name: "plain", handler: p.Handler(), labels: c.fields()}, nil
--- a/fakes/ggsfake/platform.go
+++ b/fakes/ggsfake/platform.go
@@ -9,13 +9,13 @@
 	"greengageslip/fakes/ggsfakeplatform"
 )
 
-// A platformCommand runs the platform's stand-in.
+// A platformCommand runs the simulated platform.
 type platformCommand struct {
 	listener
-	WritesPerSecond float64       `long:"writes-per-second" default:"300" description:"limit of writes; 0 is none"`
-	ReadsPerSecond  float64       `long:"reads-per-second" default:"2000" description:"limit of reads; 0 is none"`
-	VMLag           time.Duration `long:"vm-lag" default:"2s" description:"lag of the list of VMs"`
-	VMs             string        `long:"vms" value-name:"FILE" description:"file with the list of VMs, as PUT /v1/vms takes it"`
+	WritesPerSecond float64       `long:"writes-per-second" default:"300" description:"limit of writes per second; 0 means no limit"`
+	ReadsPerSecond  float64       `long:"reads-per-second" default:"2000" description:"limit of reads per second; 0 means no limit"`
+	VMLag           time.Duration `long:"vm-lag" default:"2s" description:"lag of the list of VMs behind its changes"`
+	VMs             string        `long:"vms" value-name:"FILE" description:"file with the list of VMs in the form that PUT /v1/vms accepts"`
 }
 
 func (c *platformCommand) build() (service, error) {
--- a/fakes/ggsfake/run.go
+++ b/fakes/ggsfake/run.go
@@ -11,14 +11,14 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// The exit codes.
+// Exit codes.
 const (
 	exitDone   = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// An address is an IP number and a port on the command line.
+// An address is a flag value with an IP address and a port.
 type address struct{ netip.AddrPort }
 
 // UnmarshalFlag implements flags.Unmarshaler.
@@ -31,20 +31,20 @@
 	return nil
 }
 
-// Streams are where a command writes.
+// streams are the outputs of a command.
 type streams struct {
 	out io.Writer
 	log log.Logger
 }
 
-// An executor makes a struct of flags a flags.Commander; the work is done by
-// the parser's command handler, which has the context.
+// An executor makes a struct of flags a flags.Commander. Execute does nothing: the parser's
+// command handler runs the command, since Execute has no context.
 type executor struct{}
 
 // Execute implements flags.Commander.
 func (executor) Execute([]string) error { return nil }
 
-// run parses the arguments, does the command and returns the exit code.
+// run parses the arguments, runs the command and returns the exit code.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
 	s := streams{out: out, log: log.NewLogfmtLogger(log.NewSyncWriter(errs))}
 	p, err := newParser()
@@ -99,12 +99,12 @@
 		data any
 	}{
 		{"platform", "Run the key-value service and the list of VMs", &platformCommand{}},
-		{"engine", "Run a model engine", &engineCommand{}},
-		{"plain", "Run a plain service", &plainCommand{}},
+		{"engine", "Run an inference engine", &engineCommand{}},
+		{"plain", "Run a plain service that counts its calls", &plainCommand{}},
 		{"weights", "Run the weight store", &weightsCommand{}},
-		{"link", "Run a network link with a delay, which can be cut", &linkCommand{}},
-		{"site", "Run the users' platform: its store and endpoints", &siteCommand{}},
-		{"call", "Call a stand-in and print its answer", &callCommand{}},
+		{"link", "Run a network link with a delay and simulated partitions", &linkCommand{}},
+		{"site", "Run the users' platform: its metadata store and its endpoints", &siteCommand{}},
+		{"call", "Call a test double and print its answer", &callCommand{}},
 	} {
 		if _, err := p.AddCommand(c.name, c.help, c.help+".", c.data); err != nil {
 			return nil, err
--- a/fakes/ggsfake/run_test.go
+++ b/fakes/ggsfake/run_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A syncBuffer may be read while the program writes.
+// A syncBuffer is a buffer that may be read while the program writes to it.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -25,7 +25,7 @@
 	return s.b.Write(p)
 }
 
-// String returns what was written.
+// String returns the bytes written so far.
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,8 +87,7 @@
 	}
 }
 
-// waitForAddr returns the address on the log line that says where the program
-// listens.
+// waitForAddr returns the address in the log event listened.
 func waitForAddr(ctx context.Context, c *qt.C, logs *syncBuffer) string {
 	line := regexp.MustCompile(`event=listened .*addr=(\S+)`)
 	for ctx.Err() == nil {
@@ -99,6 +98,6 @@
 		pause := time.NewTimer(time.Millisecond)
 		<-pause.C
 	}
-	c.Fatalf("program did not listen: %s", logs.String())
+	c.Fatalf("program logged no event listened: %s", logs.String())
 	return ""
 }
--- a/fakes/ggsfake/serve.go
+++ b/fakes/ggsfake/serve.go
@@ -10,23 +10,23 @@
 	"github.com/go-kit/log"
 )
 
-// A listener is the part of the flags that each service has.
+// A listener holds the flags that all services have.
 type listener struct {
 	executor
-	Listen address `long:"listen" value-name:"ADDR" required:"true" description:"IP number and port to listen on; port 0 takes a free one"`
+	Listen address `long:"listen" value-name:"ADDR" required:"true" description:"IP address and port to listen on; port 0 selects a free port"`
 }
 
-// A service is a stand-in that is to be served.
+// A service is a test double with its HTTP handler.
 type service struct {
 	name    string
 	handler http.Handler
-	// close ends what is in progress. It may be called twice.
+	// close aborts the work in progress. It may be called twice.
 	close func()
-	// labels stand on the log line that says where it listens.
+	// labels are key-value pairs that the log event listened carries.
 	labels []any
 }
 
-// A builder is a subcommand that serves.
+// A builder is a subcommand that builds and serves a service.
 type builder interface {
 	build() (service, error)
 	serve(ctx context.Context, logger log.Logger, s service) error
@@ -44,7 +44,7 @@
 	return b.serve(ctx, logger, s)
 }
 
-// serve serves until the context ends.
+// serve serves s until the context is done.
 func (l *listener) serve(ctx context.Context, logger log.Logger, s service) error {
 	var c net.ListenConfig
 	n, err := c.Listen(ctx, "tcp", l.Listen.String())
@@ -69,16 +69,16 @@
 	return nil
 }
 
-// stop lets calls in progress end within the grace, then cuts them off: a
-// waiting watch would hold the process for up to a minute.
-func stop(ctx context.Context, srv *http.Server, closeAll func()) {
+// stop lets calls in flight end within stopGrace and then aborts them. A waiting watch would
+// otherwise block the exit for up to a minute.
+func stop(ctx context.Context, srv *http.Server, abort func()) {
 	ctx, cancel := context.WithTimeout(ctx, stopGrace)
 	defer cancel()
 	if err := srv.Shutdown(ctx); err == nil {
 		return
 	}
-	if closeAll != nil {
-		closeAll()
+	if abort != nil {
+		abort()
 	}
 	_ = srv.Close()
 }
--- a/fakes/ggsfake/weights.go
+++ b/fakes/ggsfake/weights.go
@@ -6,14 +6,14 @@
 	"greengageslip/fakes/ggsfakeweights"
 )
 
-// A weightsCommand runs the weight store.
+// A weightsCommand runs a simulated weight store.
 type weightsCommand struct {
 	listener
-	LoadsPerSecond float64       `long:"loads-per-second" default:"4" description:"limit of loads; 0 is none"`
-	AtOnce         int           `long:"at-once" default:"3" description:"loads that may start at once"`
-	InTransit      int           `long:"in-transit" default:"24" description:"loads beyond which all slow down"`
-	LoadTime       time.Duration `long:"load-time" default:"250ms" description:"how long a load takes"`
-	Seed           uint64        `long:"seed" default:"1" description:"seed of the loads that fail"`
+	LoadsPerSecond float64       `long:"loads-per-second" default:"4" description:"limit of loads per second; 0 means no limit"`
+	AtOnce         int           `long:"at-once" default:"3" description:"burst of the limit of loads"`
+	InTransit      int           `long:"in-transit" default:"24" description:"loads in transit above which all loads slow down"`
+	LoadTime       time.Duration `long:"load-time" default:"250ms" description:"duration of a load"`
+	Seed           uint64        `long:"seed" default:"1" description:"seed for the choice of failing loads"`
 }
 
 func (c *weightsCommand) build() (service, error) {
