--- a/fakes/ggsfakelink/carry.go
+++ b/fakes/ggsfakelink/carry.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// A parcel is some bytes under way, or the end of a direction.
-type parcel struct {
+// A chunk is a block of bytes in transit. A chunk without data is the end of a direction.
+type chunk struct {
 	data []byte
 	sent time.Time
 }
 
-// carry passes one connection on until either end or the link breaks it.
-func (l *Link) carry(ctx context.Context, near net.Conn) {
-	defer func() { _ = near.Close() }()
+// forward forwards one connection until it ends or the link closes it.
+func (l *Link) forward(ctx context.Context, client net.Conn) {
+	defer func() { _ = client.Close() }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if f, _ := l.state(); f.Refuse || !l.passable(ctx, nil) {
+	if f, _ := l.state(); f.Refuse || !l.waitPassable(ctx, nil) {
 		return
 	}
 	var d net.Dialer
-	far, err := d.DialContext(ctx, "tcp", l.target.String())
+	target, err := d.DialContext(ctx, "tcp", l.target.String())
 	if err != nil {
 		return
 	}
-	defer func() { _ = far.Close() }()
-	// Reads and writes end only with their connections.
+	defer func() { _ = target.Close() }()
+	// Closing the connections is the only way to interrupt pending reads and writes.
 	stop := context.AfterFunc(ctx, func() {
-		_ = near.Close()
-		_ = far.Close()
+		_ = client.Close()
+		_ = target.Close()
 	})
 	defer stop()
-	var watching, passing sync.WaitGroup
-	watching.Go(func() { l.watch(ctx, cancel) })
-	passing.Go(func() { l.pass(ctx, cancel, near, far, &l.toTarget) })
-	passing.Go(func() { l.pass(ctx, cancel, far, near, &l.fromTarget) })
-	passing.Wait()
+	var watchers, copiers sync.WaitGroup
+	watchers.Go(func() { l.watchRefusal(ctx, cancel) })
+	copiers.Go(func() { l.copyDirection(ctx, cancel, client, target, &l.toTarget) })
+	copiers.Go(func() { l.copyDirection(ctx, cancel, target, client, &l.fromTarget) })
+	copiers.Wait()
 	cancel()
-	watching.Wait()
+	watchers.Wait()
 }
 
-// pass moves the bytes of one direction. The end of a direction is passed on
-// as such, so that half-closed connections work.
-func (l *Link) pass(ctx context.Context, cancel func(), from, to net.Conn, n *lane) {
-	parcels := make(chan parcel, parcelsUnderWay)
+// copyDirection copies the bytes of one direction. It forwards the end of the direction as a
+// half-close, so that half-closed connections work.
+func (l *Link) copyDirection(ctx context.Context, cancel func(), from, to net.Conn, n *direction) {
+	chunks := make(chan chunk, maxQueuedChunks)
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { read(ctx, from, parcels) })
-	for p := range parcels {
-		if !l.passable(ctx, &p) {
+	wg.Go(func() { read(ctx, from, chunks) })
+	for p := range chunks {
+		if !l.waitPassable(ctx, &p) {
 			cancel()
 			break
 		}
@@ -58,7 +58,7 @@
 			closeWrite(to)
 			continue
 		}
-		if !l.paced(ctx, n, len(p.data)) {
+		if !l.waitBandwidth(ctx, n, len(p.data)) {
 			cancel()
 			break
 		}
@@ -68,14 +68,14 @@
 		}
 		n.bytes.Add(uint64(len(p.data)))
 	}
-	for range parcels {
+	for range chunks {
 		continue
 	}
 }
 
-// passable waits until the link isn't stalled and the parcel's time has come.
-// It reports whether the connection still stands.
-func (l *Link) passable(ctx context.Context, p *parcel) bool {
+// waitPassable waits until the link isn't stalled and the chunk's delay has passed. A nil
+// chunk has no delay. It reports whether the connection is still open.
+func (l *Link) waitPassable(ctx context.Context, p *chunk) bool {
 	for {
 		f, changed := l.state()
 		wait := time.Duration(0)
@@ -86,7 +86,7 @@
 			return ctx.Err() == nil
 		}
 		if f.Stall {
-			wait = stallLook
+			wait = stallPollInterval
 		}
 		t := time.NewTimer(wait)
 		select {
@@ -101,9 +101,9 @@
 	}
 }
 
-// paced waits until the bandwidth lets so many bytes pass, and reports whether the
-// connection still stands.
-func (l *Link) paced(ctx context.Context, n *lane, bytes int) bool {
+// waitBandwidth waits until the bandwidth has let the bytes pass. It reports whether the
+// connection is still open.
+func (l *Link) waitBandwidth(ctx context.Context, n *direction, bytes int) bool {
 	f, _ := l.state()
 	if f.BytesPerSecond <= 0 {
 		return true
@@ -119,8 +119,8 @@
 	}
 }
 
-// watch breaks a connection when the link begins to refuse.
-func (l *Link) watch(ctx context.Context, cancel func()) {
+// watchRefusal cancels a connection when the link begins to refuse.
+func (l *Link) watchRefusal(ctx context.Context, cancel func()) {
 	for {
 		f, changed := l.state()
 		if f.Refuse {
@@ -135,26 +135,26 @@
 	}
 }
 
-// read reads a direction to its end.
-func read(ctx context.Context, from net.Conn, parcels chan<- parcel) {
-	defer close(parcels)
+// read sends the bytes of a direction to chunks until the direction ends.
+func read(ctx context.Context, from net.Conn, chunks chan<- chunk) {
+	defer close(chunks)
 	for {
-		b := make([]byte, parcelBytes)
+		b := make([]byte, chunkBytes)
 		n, err := from.Read(b)
-		if n > 0 && !send(ctx, parcels, b[:n]) {
+		if n > 0 && !send(ctx, chunks, b[:n]) {
 			return
 		}
 		if err != nil {
-			send(ctx, parcels, nil)
+			send(ctx, chunks, nil)
 			return
 		}
 	}
 }
 
-func send(ctx context.Context, parcels chan<- parcel, data []byte) bool {
+func send(ctx context.Context, chunks chan<- chunk, data []byte) bool {
 	now := time.Now() //nolint:forbidigo // a link's delay is real time
 	select {
-	case parcels <- parcel{data: data, sent: now}:
+	case chunks <- chunk{data: data, sent: now}:
 		return true
 	case <-ctx.Done():
 		return false
@@ -169,10 +169,10 @@
 }
 
 const (
-	parcelBytes = 32 << 10
-	// parcelsUnderWay bounds what a direction holds.
-	parcelsUnderWay = 64
-	// stallLook is how often a stalled connection looks by itself; it is woken
-	// by changes otherwise.
-	stallLook = time.Second
+	chunkBytes = 32 << 10
+	// maxQueuedChunks limits the queue of a direction.
+	maxQueuedChunks = 64
+	// stallPollInterval is the interval at which a stalled connection checks the faults.
+	// A change of the faults wakes it earlier.
+	stallPollInterval = time.Second
 )
--- a/fakes/ggsfakelink/doc.go
+++ b/fakes/ggsfakelink/doc.go
@@ -1,5 +1,5 @@
-// Package ggsfakelink stands in for a network link: it passes the bytes of TCP
-// connections on, with a delay and a bandwidth, and can be cut.
+// Package ggsfakelink simulates a network link. It forwards TCP connections to a target with
+// a delay and a bandwidth, and simulates partitions and refused connections.
 //
 // # Usage
 //
@@ -8,14 +8,13 @@
 //	err := l.Serve(ctx, listener) // until the context ends
 //	l.SetFaults(ggsfakelink.Faults{Stall: true})
 //
-// A stalled link keeps its connections and holds all bytes; they arrive when
-// the stall ends, as on a network that was cut and mended. A refusing link
-// breaks its connections and closes new ones at once. A new connection is
-// accepted by the link itself also while it stalls: unlike on a real network a
-// dial then succeeds, and what is written is held.
+// A stalled link keeps its connections open and holds all bytes. The bytes arrive when the
+// stall ends, as after a network partition. A refusing link closes its connections, and new
+// ones at once. The link accepts new connections also while it stalls. Unlike on a real
+// network, a dial succeeds then, and the link holds the bytes that are written.
 //
-// Handler serves the switches: POST /v1/faults {stall,refuse,delay} and
-// GET /v1/stats.
+// Handler serves POST /v1/faults {stall,refuse,delay} and GET /v1/stats.
 //
-// Locks: Link.mu guards everything and is never held during I/O.
+// Locks: Link.mu guards the faults. The mutex of each direction guards its bandwidth. No lock
+// is held during I/O.
 package ggsfakelink
--- a/fakes/ggsfakelink/handler.go
+++ b/fakes/ggsfakelink/handler.go
@@ -28,7 +28,7 @@
 	Detail string `json:"detail"`
 }
 
-// Handler returns the service of the switches.
+// Handler returns the HTTP handler that sets faults and returns counters.
 func (l *Link) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
--- a/fakes/ggsfakelink/link.go
+++ b/fakes/ggsfakelink/link.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// Faults are the state of a link. The zero value is a good link without delay.
+// Faults are the state of a link. With the zero value the link forwards without delay.
 type Faults struct {
-	// Stall holds all bytes until it is taken back.
+	// Stall holds all bytes until it is reset.
 	Stall bool
-	// Refuse breaks connections, and closes new ones at once.
+	// Refuse closes all connections, and new ones at once.
 	Refuse bool
-	// Delay is how long bytes travel, one way.
+	// Delay is the one-way delay.
 	Delay time.Duration
-	// BytesPerSecond is the bandwidth of each direction, shared by all connections;
-	// zero means unlimited.
+	// BytesPerSecond is the bandwidth of each direction, shared by all connections. Zero
+	// means no limit.
 	BytesPerSecond int
 }
 
-// Stats count what passed.
+// Stats are the counters of accepted connections and of forwarded bytes.
 type Stats struct {
 	Conns           uint64
 	BytesToTarget   uint64
 	BytesFromTarget uint64
 }
 
-// A Link is the stand-in. It is safe for concurrent use.
+// A Link is a simulated network link. It is safe for concurrent use.
 type Link struct {
 	target netip.AddrPort
 
 	conns      atomic.Uint64
-	toTarget   lane
-	fromTarget lane
+	toTarget   direction
+	fromTarget direction
 
 	mu     sync.Mutex
 	faults Faults
@@ -43,33 +43,33 @@
 	changed chan struct{}
 }
 
-// A lane is one direction of a link.
-type lane struct {
+// A direction holds the counter and the bandwidth schedule of one direction of a link.
+type direction struct {
 	bytes atomic.Uint64
 
 	mu sync.Mutex
-	// free is when the lane has sent all that it was given.
-	free time.Time
+	// idleAt is the time at which the direction has sent all reserved bytes.
+	idleAt time.Time
 }
 
-// reserve returns when n more bytes will have passed.
-func (n *lane) reserve(now time.Time, bytes, bytesPerSecond int) time.Time {
+// reserve adds bytes to the schedule and returns the time at which they have been sent.
+func (n *direction) reserve(now time.Time, bytes, bytesPerSecond int) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.free.Before(now) {
-		n.free = now
+	if n.idleAt.Before(now) {
+		n.idleAt = now
 	}
-	n.free = n.free.Add(time.Duration(bytes) * time.Second / time.Duration(bytesPerSecond))
-	return n.free
+	n.idleAt = n.idleAt.Add(time.Duration(bytes) * time.Second / time.Duration(bytesPerSecond))
+	return n.idleAt
 }
 
-// New returns a good link to the target.
+// New returns a link to the target without faults.
 func New(target netip.AddrPort) *Link {
 	return &Link{target: target, changed: make(chan struct{})}
 }
 
-// Serve passes connections of the listener on until the context ends. It
-// closes the listener and returns when all its work has ended.
+// Serve forwards the connections of the listener until the context is done. It closes the
+// listener and returns when all connections have ended.
 func (l *Link) Serve(ctx context.Context, n net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -90,7 +90,7 @@
 			return err
 		}
 		l.conns.Add(1)
-		wg.Go(func() { l.carry(ctx, c) })
+		wg.Go(func() { l.forward(ctx, c) })
 	}
 }
 
@@ -103,7 +103,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (l *Link) Stats() Stats {
 	return Stats{
 		Conns:           l.conns.Load(),
@@ -112,7 +112,7 @@
 	}
 }
 
-// state returns the faults and what shows their next change.
+// state returns the faults and a channel that is closed at their next change.
 func (l *Link) state() (Faults, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/fakes/ggsfakelink/link_test.go
+++ b/fakes/ggsfakelink/link_test.go
@@ -20,8 +20,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A bench is a link to a server that sends all back.
-type bench struct {
+// A testLink is a link to an echo server.
+type testLink struct {
 	link *ggsfakelink.Link
 	addr string
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-func newBench(c *qt.C) *bench {
+func newTestLink(c *qt.C) *testLink {
 	target, front := listen(c), listen(c)
 	go echo(target)
 	l := ggsfakelink.New(netip.MustParseAddrPort(target.Addr().String()))
@@ -57,10 +57,10 @@
 		c.Check(<-ended, qt.IsNil)
 		c.Check(target.Close(), qt.IsNil)
 	})
-	return &bench{link: l, addr: front.Addr().String()}
+	return &testLink{link: l, addr: front.Addr().String()}
 }
 
-func (b *bench) dial(c *qt.C) net.Conn {
+func (b *testLink) dial(c *qt.C) net.Conn {
 	k, err := net.Dial("tcp", b.addr)
 	c.Assert(err, qt.IsNil)
 	c.Assert(k.SetDeadline(time.Now().Add(20*time.Second)), qt.IsNil) //nolint:forbidigo // bounds the test only
@@ -68,13 +68,13 @@
 	return k
 }
 
-func say(c *qt.C, k net.Conn, text string) {
+func send(c *qt.C, k net.Conn, text string) {
 	c.Helper()
 	_, err := io.WriteString(k, text)
 	c.Assert(err, qt.IsNil)
 }
 
-func hear(c *qt.C, k net.Conn, text string) {
+func receive(c *qt.C, k net.Conn, text string) {
 	c.Helper()
 	b := make([]byte, len(text))
 	_, err := io.ReadFull(k, b)
@@ -82,47 +82,47 @@
 	c.Assert(string(b), qt.Equals, text)
 }
 
-func TestPassesBothWays(t *testing.T) {
+func TestForwardsBothDirections(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(c)
+	b := newTestLink(c)
 	b.link.SetFaults(ggsfakelink.Faults{Delay: time.Millisecond})
 	k := b.dial(c)
 	long := strings.Repeat("long ", 20000)
-	say(c, k, long)
-	hear(c, k, long)
+	send(c, k, long)
+	receive(c, k, long)
 	c.Assert(k.(*net.TCPConn).CloseWrite(), qt.IsNil)
 	_, err := k.Read(make([]byte, 1))
 	c.Assert(err, qt.Equals, io.EOF)
 	c.Assert(b.link.Stats(), qt.Equals, ggsfakelink.Stats{Conns: 1, BytesToTarget: 100000, BytesFromTarget: 100000})
 }
 
-// Two failure domains lose each other and meet again: what was sent meanwhile
-// arrives late, on the same connection.
+// Checks a partition between two failure domains: bytes sent during the partition arrive
+// after it on the same connection.
 func TestStallHoldsBytes(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(c)
+	b := newTestLink(c)
 	k := b.dial(c)
-	say(c, k, "before")
-	hear(c, k, "before")
+	send(c, k, "before")
+	receive(c, k, "before")
 	b.link.SetFaults(ggsfakelink.Faults{Stall: true})
-	say(c, k, "during")
+	send(c, k, "during")
 	late := b.dial(c)
-	say(c, late, "new")
+	send(c, late, "new")
 	c.Assert(b.link.Stats().BytesToTarget, qt.Equals, uint64(6))
 	b.link.SetFaults(ggsfakelink.Faults{})
-	hear(c, k, "during")
-	hear(c, late, "new")
+	receive(c, k, "during")
+	receive(c, late, "new")
 }
 
-func TestRefuseBreaksConnections(t *testing.T) {
+func TestRefuseClosesConnections(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(c)
+	b := newTestLink(c)
 	k := b.dial(c)
-	say(c, k, "before")
-	hear(c, k, "before")
+	send(c, k, "before")
+	receive(c, k, "before")
 	b.link.SetFaults(ggsfakelink.Faults{Refuse: true})
 	for _, k := range []net.Conn{k, b.dial(c)} {
 		_, err := k.Read(make([]byte, 1))
@@ -130,11 +130,11 @@
 	}
 	b.link.SetFaults(ggsfakelink.Faults{})
 	k = b.dial(c)
-	say(c, k, "after")
-	hear(c, k, "after")
+	send(c, k, "after")
+	receive(c, k, "after")
 }
 
-func TestSwitches(t *testing.T) {
+func TestFaultsRequests(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	l := ggsfakelink.New(netip.MustParseAddrPort("127.0.0.1:1"))
@@ -149,7 +149,7 @@
 func TestBandwidthIsSharedByConnections(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	b := newBench(c)
+	b := newTestLink(c)
 	b.link.SetFaults(ggsfakelink.Faults{BytesPerSecond: 400_000})
 	begun := time.Now() //nolint:forbidigo // measures real time
 	var wg sync.WaitGroup
