--- a/fakes/ggsfakeweights/client.go
+++ b/fakes/ggsfakeweights/client.go
@@ -9,7 +9,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A Client fetches from a store over HTTP.
+// A Client fetches weights from a store over HTTP.
 type Client struct {
 	base string
 	http *http.Client
@@ -23,7 +23,8 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Fetch takes as long as the load of an adapter takes.
+// Fetch returns when the store has completed the load of an adapter. It returns a StatusError
+// if the load fails.
 func (c *Client) Fetch(ctx context.Context, a ggscore.AdapterRef) error {
 	u := c.base + pathWeights + "?" + url.Values{queryAdapter: {a.String()}}.Encode()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, http.NoBody)
--- a/fakes/ggsfakeweights/doc.go
+++ b/fakes/ggsfakeweights/doc.go
@@ -1,24 +1,24 @@
-// Package ggsfakeweights stands in for the rate-limited weight store.
+// Package ggsfakeweights is a test double of a rate-limited weight store.
 //
 // # Usage
 //
 //	s := ggsfakeweights.New(ggsfakeweights.DefaultOptions())
-//	err := s.Fetch(ctx, ref) // takes as long as the load takes
+//	err := s.Fetch(ctx, ref) // returns when the load is complete
 //
 //	srv := httptest.NewServer(s.Handler())
 //	c := ggsfakeweights.NewClient(addr) // the same over HTTP
 //
-// The model is the brief's: loads start at about four a second, of which three
-// may start at once; a load takes a quarter of a second while no more than 24
-// are in transit over all runners, and proportionally longer beyond. A load is
-// in transit from when it is asked for, so that asking for too much at once
-// slows everybody. Speed multiplies both the rate and the pace of a load.
+// The default limits are from the project's specification. Loads start at a rate of 4 per
+// second with a burst of 3. A load takes 250 ms while at most 24 loads of all runners are in
+// transit, and proportionally longer beyond. A load is in transit from the request on,
+// before the rate limit admits it, so that too many requests at once slow all loads down.
+// Faults.Speed multiplies the rate limit and divides the load time.
 //
-// The service:
+// The HTTP API:
 //
 //	GET  /v1/weights?adapter=A  answers when the load is done; 500 if it fails
-//	GET  /v1/loads              counts
+//	GET  /v1/loads              counters
 //	POST /v1/faults             {speed,failureRate,failNext}
 //
-// Locks: Store.mu guards everything and is never held while waiting.
+// Locks: Store.mu guards all mutable state and is never held while waiting.
 package ggsfakeweights
--- a/fakes/ggsfakeweights/handler.go
+++ b/fakes/ggsfakeweights/handler.go
@@ -30,7 +30,7 @@
 	Detail string `json:"detail"`
 }
 
-// Handler returns the service.
+// Handler returns the handler of the HTTP API.
 func (s *Store) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
--- a/fakes/ggsfakeweights/store.go
+++ b/fakes/ggsfakeweights/store.go
@@ -11,40 +11,41 @@
 	ggscore "greengageslip/core"
 )
 
-// Options set a store up.
+// Options configure a store.
 type Options struct {
-	// LoadsPerSecond limits the starts of loads; zero means no limit.
+	// LoadsPerSecond is the rate at which loads start; zero means no limit.
 	LoadsPerSecond float64
-	// AtOnce is the number of loads that may start at once.
+	// AtOnce is the burst of LoadsPerSecond.
 	AtOnce int
-	// InTransit is the number of loads in transit beyond which all slow down.
+	// InTransit is the number of loads in transit above which all loads slow down; zero
+	// means that they never slow down.
 	InTransit int
-	// LoadTime is how long a load takes up to there.
+	// LoadTime is the duration of a load while at most InTransit loads are in transit.
 	LoadTime time.Duration
-	// Seed seeds the choice of loads that fail.
+	// Seed seeds the choice of failing loads.
 	Seed uint64
 }
 
-// Faults are the switches of a store. The zero value means none.
+// Faults are the failures that a store simulates. The zero value means none.
 type Faults struct {
-	// Speed multiplies the store's speed; zero counts as one.
+	// Speed multiplies the rate of loads and divides the load time; zero means one.
 	Speed float64
-	// FailureRate is the part of loads that fail at their end.
+	// FailureRate is the fraction of loads that fail at their end.
 	FailureRate float64
-	// FailNext is the number of next loads that fail.
+	// FailNext is the number of further loads that fail.
 	FailNext int
 }
 
-// Stats count loads.
+// Stats are the counters of loads. Loads counts successful loads, Failures failed ones.
 type Stats struct {
 	Loads    uint64
 	Failures uint64
-	// InTransit is the number of loads now, and MaxInTransit its peak.
+	// InTransit is the current number of loads in transit, and MaxInTransit its maximum.
 	InTransit    int
 	MaxInTransit int
 }
 
-// A Store is the stand-in. It is safe for concurrent use.
+// A Store is a simulated weight store. It is safe for concurrent use.
 type Store struct {
 	options Options
 	limiter *rate.Limiter
@@ -55,7 +56,8 @@
 	random *rand.Rand
 }
 
-// DefaultOptions returns the sizes of the brief.
+// DefaultOptions returns the limits that the project's specification gives for the weight
+// store.
 func DefaultOptions() Options {
 	return Options{LoadsPerSecond: 4, AtOnce: 3, InTransit: 24, LoadTime: 250 * time.Millisecond}
 }
@@ -69,10 +71,11 @@
 	}
 }
 
-// Fetch takes as long as the load of an adapter takes.
+// Fetch simulates the load of an adapter and returns when the load is complete. It returns a
+// LoadFailedError if a fault fails the load.
 func (s *Store) Fetch(ctx context.Context, a ggscore.AdapterRef) error {
-	s.enter()
-	defer s.leave()
+	s.beginTransit()
+	defer s.endTransit()
 	if err := s.limiter.Wait(ctx); err != nil {
 		return err
 	}
@@ -83,18 +86,18 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return s.result(a)
+	return s.finishLoad(a)
 }
 
-// LoadTime returns how long a load takes that starts now.
+// LoadTime returns the duration of a load that starts now.
 func (s *Store) LoadTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	crowd := 1.0
+	slowdown := 1.0
 	if s.options.InTransit > 0 {
-		crowd = max(1, float64(s.stats.InTransit)/float64(s.options.InTransit))
+		slowdown = max(1, float64(s.stats.InTransit)/float64(s.options.InTransit))
 	}
-	return time.Duration(float64(s.options.LoadTime) * crowd / s.faults.speed())
+	return time.Duration(float64(s.options.LoadTime) * slowdown / s.faults.speed())
 }
 
 // SetFaults replaces the faults.
@@ -105,27 +108,27 @@
 	s.limiter.SetLimit(limitOf(s.options, f.speed()))
 }
 
-// Stats returns the counts so far.
+// Stats returns the counters.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-func (s *Store) enter() {
+func (s *Store) beginTransit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.InTransit++
 	s.stats.MaxInTransit = max(s.stats.MaxInTransit, s.stats.InTransit)
 }
 
-func (s *Store) leave() {
+func (s *Store) endTransit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.InTransit--
 }
 
-func (s *Store) result(a ggscore.AdapterRef) error {
+func (s *Store) finishLoad(a ggscore.AdapterRef) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fails := s.random.Float64() < s.faults.FailureRate
--- a/fakes/ggsfakeweights/store_test.go
+++ b/fakes/ggsfakeweights/store_test.go
@@ -13,9 +13,9 @@
 	"greengageslip/fakes/ggsfakeweights"
 )
 
-// Loads beyond the transit limit take proportionally longer, and all of them
-// take longer at a store that is slow.
-func TestCrowdSlowsLoads(t *testing.T) {
+// Checks that loads take proportionally longer while more loads are in transit than
+// Options.InTransit, and longer at a lower Faults.Speed.
+func TestLoadsInTransitSlowDownLoads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := ggsfakeweights.New(ggsfakeweights.Options{InTransit: 2, LoadTime: 20 * time.Millisecond})
