--- a/fakes/ggsfakeplain/doc.go
+++ b/fakes/ggsfakeplain/doc.go
@@ -1,5 +1,5 @@
-// Package ggsfakeplain stands in for a plain service: a ledger whose calls may
-// not be repeated.
+// Package ggsfakeplain is a test double of a plain service whose calls are not idempotent,
+// such as a ledger.
 //
 // # Usage
 //
@@ -7,14 +7,14 @@
 //	srv := httptest.NewServer(s.Handler())
 //	n := s.Runs()[ggsfakeplain.Run{Key: "release-7", Request: "q1"}]
 //
-// The service:
+// The HTTP API:
 //
 //	POST any path    runs and answers {"endpoint","path","key","request","count"}
-//	GET  /v1/runs    how often each idempotency key and request id ran
+//	GET  /v1/runs    number of runs by idempotency key and request ID
 //	POST /v1/faults  {loseAnswers,slow,refuse}
 //
-// Count is the number of runs of the key so far: the service itself repeats
-// what it is told to repeat, so that a second run shows.
+// Count is the number of runs of the idempotency key so far. The service doesn't deduplicate
+// calls, so that tests can detect a second run.
 //
-// Locks: Service.mu guards everything and is never held while waiting.
+// Locks: Service.mu guards all mutable state and is never held while waiting.
 package ggsfakeplain
--- a/fakes/ggsfakeplain/handler.go
+++ b/fakes/ggsfakeplain/handler.go
@@ -43,7 +43,7 @@
 	Detail  string `json:"detail"`
 }
 
-// Handler returns the service.
+// Handler returns the handler of the HTTP API.
 func (s *Service) Handler() http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	g := gin.New()
@@ -53,16 +53,16 @@
 	return g
 }
 
-// handleCall runs a call. A call that has begun runs to its end, whether or
-// not its caller stays.
+// handleCall runs a call. A call that has begun runs to its end, also if its caller
+// disconnects.
 func (s *Service) handleCall(g *gin.Context) {
 	if g.Request.Method != http.MethodPost {
-		refuse(g, http.StatusMethodNotAllowed, errorBodyWire{Kind: "badCall", Detail: "only POST runs"})
+		refuse(g, http.StatusMethodNotAllowed, errorBodyWire{Kind: "badCall", Detail: "method not allowed: calls must use POST"})
 		return
 	}
 	g.Header(headerRequestID, g.GetHeader(headerRequestID))
-	if s.refuses() {
-		refuse(g, http.StatusServiceUnavailable, errorBodyWire{Kind: "refused", Outcome: "notRun", Detail: "refused by order"})
+	if s.consumeRefusal() {
+		refuse(g, http.StatusServiceUnavailable, errorBodyWire{Kind: "refused", Outcome: "notRun", Detail: "refused by fault injection (refuse)"})
 		return
 	}
 	_, err := io.Copy(io.Discard, http.MaxBytesReader(g.Writer, g.Request.Body, maxBodyBytes))
@@ -72,7 +72,7 @@
 	}
 	r := Run{Key: g.GetHeader(headerKey), Request: g.GetHeader(headerRequestID)}
 	count, lost := s.run(r)
-	t := time.NewTimer(s.time())
+	t := time.NewTimer(s.callTime())
 	defer t.Stop()
 	<-t.C
 	if lost {
@@ -128,6 +128,6 @@
 	headerKey       = "Idempotency-Key"
 	headerRequestID = "X-Request-Id"
 
-	// maxBodyBytes bounds a call's body.
+	// maxBodyBytes limits the body of a call.
 	maxBodyBytes = 8 << 20
 )
--- a/fakes/ggsfakeplain/service.go
+++ b/fakes/ggsfakeplain/service.go
@@ -7,31 +7,31 @@
 	ggscore "greengageslip/core"
 )
 
-// Options set a service up.
+// Options configure a service.
 type Options struct {
 	ID ggscore.EndpointID
-	// Time is how long a call takes.
+	// Time is the duration of a call.
 	Time time.Duration
 }
 
-// Faults are the switches of a service. The zero value means none.
+// Faults are the failures that a service simulates. The zero value means none.
 type Faults struct {
-	// LoseAnswers is the number of calls that run while the connection is
-	// closed in place of an answer.
+	// LoseAnswers is the number of further calls that run although their connection is
+	// closed without an answer.
 	LoseAnswers int
-	// Slow is added to the time of each call.
+	// Slow is added to the duration of each call.
 	Slow time.Duration
-	// Refuse is the number of calls that are answered 503 as not run.
+	// Refuse is the number of further calls that are answered with 503 and outcome notRun.
 	Refuse int
 }
 
-// A Run names what ran.
+// A Run identifies a run by its idempotency key and its request ID.
 type Run struct {
 	Key     string
 	Request string
 }
 
-// A Service is the stand-in. It is safe for concurrent use.
+// A Service is a simulated plain service. It is safe for concurrent use.
 type Service struct {
 	options Options
 
@@ -41,12 +41,12 @@
 	keys   map[string]int
 }
 
-// New returns a service.
+// New returns a service without runs.
 func New(o Options) *Service {
 	return &Service{options: o, runs: map[Run]int{}, keys: map[string]int{}}
 }
 
-// Runs returns how often each key and request ran.
+// Runs returns the number of runs by idempotency key and request ID.
 func (s *Service) Runs() map[Run]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,15 +64,15 @@
 	s.faults = f
 }
 
-// time returns how long a call takes now.
-func (s *Service) time() time.Duration {
+// callTime returns the current duration of a call.
+func (s *Service) callTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.options.Time + s.faults.Slow
 }
 
-// refuses reports whether a call is to be refused.
-func (s *Service) refuses() bool {
+// consumeRefusal reports whether Faults.Refuse applies to a call, and counts it down.
+func (s *Service) consumeRefusal() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Refuse <= 0 {
@@ -82,8 +82,8 @@
 	return true
 }
 
-// run counts a run. It returns the number of runs of the key, and whether the
-// answer is to be lost.
+// run counts a run. It returns the number of runs of the idempotency key and whether the
+// answer is dropped.
 func (s *Service) run(r Run) (count int, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fakes/ggsfakeplain/service_test.go
+++ b/fakes/ggsfakeplain/service_test.go
@@ -12,8 +12,8 @@
 	"greengageslip/fakes/ggsfakeplain"
 )
 
-// The ledger repeats what it is told to repeat, so that a second run shows in
-// its answer and in its counts; a refused call doesn't count.
+// Checks that a repeated call runs again and that the second run appears in its answer and in
+// the counts. A refused call isn't counted.
 func TestSession(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -25,9 +25,9 @@
 	}{
 		{"POST", "/release", "{}", 200, `{"endpoint":"ledger-1","path":"/release","key":"k","request":"q","count":1}`},
 		{"POST", "/v1/faults", `{"refuse":1}`, 200, `{"loseAnswers":0,"slow":"","refuse":1}`},
-		{"POST", "/release", "{}", 503, `{"error":{"kind":"refused","outcome":"notRun","detail":"refused by order"}}`},
+		{"POST", "/release", "{}", 503, `{"error":{"kind":"refused","outcome":"notRun","detail":"refused by fault injection (refuse)"}}`},
 		{"POST", "/release", "{}", 200, `{"endpoint":"ledger-1","path":"/release","key":"k","request":"q","count":2}`},
-		{"GET", "/release", "", 405, `{"error":{"kind":"badCall","detail":"only POST runs"}}`},
+		{"GET", "/release", "", 405, `{"error":{"kind":"badCall","detail":"method not allowed: calls must use POST"}}`},
 		{"POST", "/v1/faults", `{"slow":"long"}`, 400, `{"error":{"kind":"badCall","detail":"time: invalid duration \"long\""}}`},
 		{"GET", "/v1/runs", "", 200, `{"runs":[{"key":"k","request":"q","count":2}]}`},
 	} {
@@ -41,8 +41,8 @@
 	}
 }
 
-// An answer is lost after the run: the connection is closed in its place.
-func TestLostAnswerRan(t *testing.T) {
+// Checks that a call whose answer is lost has run. The connection is closed without an answer.
+func TestLostAnswerCountsAsRun(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	p := ggsfakeplain.New(ggsfakeplain.Options{})
