--- a/fakes/ggsfakebench/bench.go
+++ b/fakes/ggsfakebench/bench.go
@@ -1,6 +1,6 @@
-// Package ggsfakebench has what tests of stand-ins and of their clients share:
-// a clock that the test moves, servers that end with the test, and a context
-// that bounds it.
+// Package ggsfakebench holds helpers for tests of the test doubles and of their clients: a
+// manual clock, servers that are closed at the end of the test, and a context that limits the
+// duration of the test.
 //
 // # Usage
 //
@@ -8,10 +8,10 @@
 //	p := ggsfakebench.NewPlatform(k.Now)
 //	s := ggsfakebench.Serve(t, p.Handler())
 //	client := ggsplatform.NewClient(ggsfakebench.AddrOf(t, s))
-//	k.Advance(9 * time.Second) // leases lapse
+//	k.Advance(9 * time.Second) // leases expire
 //	err := client.Renew(ggsfakebench.Context(t), lease)
 //
-// The package knows no client: those of io are made by their own tests.
+// The package does not depend on the clients in io: their own tests create them.
 package ggsfakebench
 
 import (
@@ -26,29 +26,29 @@
 	"greengageslip/fakes/ggsfakeplatform"
 )
 
-// testTime bounds a test, and with it every wait for an event.
-const testTime = 20 * time.Second
+// testTimeout limits the duration of a test, and thus of every wait for an event.
+const testTimeout = 20 * time.Second
 
-// AddrOf returns a server's address.
+// AddrOf returns the address of a server.
 func AddrOf(t testing.TB, s *httptest.Server) netip.AddrPort {
 	t.Helper()
 	a, err := netip.ParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 	if err != nil {
-		t.Fatalf("address of a test server: %v", err)
+		t.Fatalf("parse the address of a test server: %v", err)
 	}
 	return a
 }
 
-// Context returns a context that ends with the test, after 20 s at the latest.
+// Context returns a context that is cancelled at the end of the test, after at most 20 s.
 func Context(t testing.TB) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testTime)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// NewPlatform returns a platform's stand-in without limits of rate. Its clock
-// is the machine's where now is nil.
+// NewPlatform returns a simulated platform without rate limits. Its clock is now, or the
+// system clock if now is nil.
 func NewPlatform(now func() time.Time) *ggsfakeplatform.Platform {
 	o := ggsfakeplatform.DefaultOptions()
 	if now != nil {
@@ -58,8 +58,8 @@
 	return ggsfakeplatform.New(o)
 }
 
-// Serve starts a server on loopback that ends with the test, with its
-// connections.
+// Serve starts a server on the loopback interface. The server and its connections are closed
+// at the end of the test.
 func Serve(t testing.TB, h http.Handler) *httptest.Server {
 	t.Helper()
 	s := httptest.NewServer(h)
