--- a/fakes/ggsfakeplain/handler.go
+++ b/fakes/ggsfakeplain/handler.go
@@ -72,7 +72,7 @@
 	}
 	r := Run{Key: g.GetHeader(headerKey), Request: g.GetHeader(headerRequestID)}
 	count, lost := s.run(r)
-	t := time.NewTimer(s.callTime())
+	t := time.NewTimer(s.time())
 	defer t.Stop()
 	<-t.C
 	if lost {
--- a/fakes/ggsfakeplain/service.go
+++ b/fakes/ggsfakeplain/service.go
@@ -64,8 +64,8 @@
 	s.faults = f
 }
 
-// callTime returns the current duration of a call.
-func (s *Service) callTime() time.Duration {
+// time returns the current duration of a call.
+func (s *Service) time() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.options.Time + s.faults.Slow
