--- a/io/ggslog/events.go
+++ b/io/ggslog/events.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// An Event names what a log line tells. docs/OPERATIONS.md explains each with its
-// keys.
+// An Event is the value of a log line's key "event". docs/OPERATIONS.md describes
+// each event and its keys.
 type Event string
 
 // The events of an edge.
@@ -58,7 +58,7 @@
 	EventWatchPreempted     Event = "watchPreempted"
 )
 
-// Events returns all events of an edge in their order.
+// Events returns all events of an edge in alphabetical order.
 func Events() []Event {
 	l := []Event{
 		EventAnswerBroken,
--- a/io/ggslog/fx.go
+++ b/io/ggslog/fx.go
@@ -6,7 +6,7 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// An Fx logs the events of uber/fx that an operator needs: failures, start and
+// An Fx logs the events of uber/fx that matter to an operator: failures, start and
 // stop.
 type Fx struct{ log log.Logger }
 
@@ -19,27 +19,27 @@
 func (f *Fx) LogEvent(e fxevent.Event) {
 	switch v := e.(type) {
 	case *fxevent.OnStartExecuted:
-		f.failed("startHookFailed", v.FunctionName, v.Err)
+		f.logFailure("startHookFailed", v.FunctionName, v.Err)
 	case *fxevent.OnStopExecuted:
-		f.failed("stopHookFailed", v.FunctionName, v.Err)
+		f.logFailure("stopHookFailed", v.FunctionName, v.Err)
 	case *fxevent.Provided:
-		f.failed("provideFailed", v.ConstructorName, v.Err)
+		f.logFailure("provideFailed", v.ConstructorName, v.Err)
 	case *fxevent.Invoked:
-		f.failed("invokeFailed", v.FunctionName, v.Err)
+		f.logFailure("invokeFailed", v.FunctionName, v.Err)
 	case *fxevent.Started:
 		if v.Err != nil {
-			f.failed("startFailed", "", v.Err)
+			f.logFailure("startFailed", "", v.Err)
 			return
 		}
 		_ = level.Info(f.log).Log("event", "processStarted")
 	case *fxevent.Stopping:
 		_ = level.Info(f.log).Log("event", "stopRequested", "signal", v.Signal)
 	case *fxevent.Stopped:
-		f.failed("stopFailed", "", v.Err)
+		f.logFailure("stopFailed", "", v.Err)
 	}
 }
 
-func (f *Fx) failed(event, function string, err error) {
+func (f *Fx) logFailure(event, function string, err error) {
 	if err != nil {
 		_ = level.Error(f.log).Log("event", event, "function", function, "err", err)
 	}
--- a/io/ggslog/limit.go
+++ b/io/ggslog/limit.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// eventLines is the number of lines of one event that are written in a
-	// second. An entry VM ends some 60 requests a second on the heaviest days; a
-	// storm of refusals is ten times that, and says the same in each line.
-	eventLines = 300
-	// limitWindow is the time for which lines are counted.
+	// maxEventLines bounds the lines of one event that are written in a window. At
+	// peak load an entry VM ends about 60 requests a second. A burst of refusals has
+	// ten times as many lines, which are all alike.
+	maxEventLines = 300
+	// limitWindow is the length of a window.
 	limitWindow = time.Second
 )
 
-// A Limit is a logger that leaves out lines of an event that comes too often,
-// and says how many.
+// A Limit is a logger that drops lines of an event above a rate, and logs the
+// number of dropped lines with EventLogSampled. It is safe for concurrent use.
 type Limit struct {
 	next log.Logger
 	now  func() time.Time
@@ -26,25 +26,26 @@
 	windows map[any]*window
 }
 
-// A window counts an event's lines since a moment.
+// A window counts an event's lines since its start.
 type window struct {
-	since time.Time
-	lines int
-	left  int
+	start   time.Time
+	lines   int
+	dropped int
 }
 
 var _ log.Logger = (*Limit)(nil)
 
-// NewLimit returns a logger that passes lines on to next.
+// NewLimit returns a logger that passes lines on to next. The function now is its
+// clock.
 func NewLimit(next log.Logger, now func() time.Time) *Limit {
 	return &Limit{next: next, now: now, windows: map[any]*window{}}
 }
 
 // Log implements log.Logger.
 func (l *Limit) Log(keyvals ...any) error {
-	pass, left, event := l.count(keyvals)
-	if left > 0 {
-		if err := l.next.Log("event", EventLogSampled, "sampled", event, "count", left); err != nil {
+	pass, dropped, event := l.count(keyvals)
+	if dropped > 0 {
+		if err := l.next.Log("event", EventLogSampled, "sampled", event, "count", dropped); err != nil {
 			return err
 		}
 	}
@@ -54,9 +55,9 @@
 	return l.next.Log(keyvals...)
 }
 
-// count reports whether a line passes, and how many of its event were left out
-// in the window before.
-func (l *Limit) count(keyvals []any) (pass bool, left int, event any) {
+// count reports whether a line passes, and how many lines of its event were dropped
+// in the previous window.
+func (l *Limit) count(keyvals []any) (pass bool, dropped int, event any) {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		if keyvals[i] == "event" {
 			event = keyvals[i+1]
@@ -67,17 +68,17 @@
 	defer l.mu.Unlock()
 	w := l.windows[event]
 	if w == nil {
-		w = &window{since: now}
+		w = &window{start: now}
 		l.windows[event] = w
 	}
-	if now.Sub(w.since) >= limitWindow {
-		left = w.left
-		*w = window{since: now}
+	if now.Sub(w.start) >= limitWindow {
+		dropped = w.dropped
+		*w = window{start: now}
 	}
-	if w.lines >= eventLines {
-		w.left++
-		return false, left, event
+	if w.lines >= maxEventLines {
+		w.dropped++
+		return false, dropped, event
 	}
 	w.lines++
-	return true, left, event
+	return true, dropped, event
 }
--- a/io/ggslog/log.go
+++ b/io/ggslog/log.go
@@ -1,5 +1,7 @@
-// Package ggslog makes the processes' logs: one line of key=value pairs for
-// each event.
+// Package ggslog writes the processes' logs in logfmt: one line of key=value pairs
+// for each event. New returns a logger, Limit drops repeated lines of one event, and
+// Writer keeps a slow log reader from blocking requests. All of them are safe for
+// concurrent use.
 //
 // # Usage
 //
@@ -17,7 +19,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A Level is the least level that is logged.
+// A Level is the lowest level that is logged.
 type Level string
 
 // The levels.
@@ -28,14 +30,14 @@
 	LevelError Level = "error"
 )
 
-// New returns a logger that is safe for concurrent use.
+// New returns a logger that adds the time, the program and the VM to each line.
 func New(w io.Writer, program string, vm ggscore.VMID, l Level) log.Logger {
 	k := log.NewLogfmtLogger(log.NewSyncWriter(w))
-	k = level.NewFilter(k, option(l))
+	k = level.NewFilter(k, levelOption(l))
 	return log.With(k, "ts", log.DefaultTimestampUTC, "program", program, "vm", string(vm))
 }
 
-// Valid reports whether l is a level.
+// Valid reports whether l is a known level.
 func (l Level) Valid() bool {
 	switch l {
 	case LevelDebug, LevelInfo, LevelWarn, LevelError:
@@ -44,7 +46,7 @@
 	return false
 }
 
-func option(l Level) level.Option {
+func levelOption(l Level) level.Option {
 	switch l {
 	case LevelDebug:
 		return level.AllowDebug()
--- a/io/ggslog/writer.go
+++ b/io/ggslog/writer.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// bufferBytes bounds the lines that wait for the writer: some seconds of
-	// the heaviest load.
-	bufferBytes = 1 << 20
-	// flushInterval is how long a line may wait. One write for many lines costs
-	// a fraction of one each.
+	// maxBufferBytes bounds the buffered lines: a few seconds of log at peak load.
+	maxBufferBytes = 1 << 20
+	// flushInterval is the maximum time that a line is buffered. One write for many
+	// lines costs a fraction of one write for each.
 	flushInterval = 100 * time.Millisecond
 )
 
-// A Writer passes lines on from a buffer. It never blocks who logs: while what
-// reads the log is slow, lines are dropped, and a line says how many.
+// A Writer buffers log lines and writes them in batches. Write never blocks on the
+// log's reader: while the reader is slow, lines beyond the buffer are dropped, and a
+// line with event=logDropped has their number.
 type Writer struct {
 	w       io.Writer
 	dropped atomic.Int64
 
-	mu   sync.Mutex
-	next []byte
+	mu     sync.Mutex
+	buffer []byte
 }
 
-// NewWriter returns a Writer whose Run passes lines on to w.
+// NewWriter returns a Writer whose Run writes the lines to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{w: w} }
 
-// Write implements io.Writer for one whole line.
+// Write implements io.Writer. Each call must have one whole line.
 func (w *Writer) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.next)+len(p) > bufferBytes {
+	if len(w.buffer)+len(p) > maxBufferBytes {
 		w.dropped.Add(1)
 		return len(p), nil
 	}
-	w.next = append(w.next, p...)
+	w.buffer = append(w.buffer, p...)
 	return len(p), nil
 }
 
-// Run passes lines on until the context ends, and then what is left.
+// Run writes buffered lines until the context ends, and then the remaining ones.
 func (w *Writer) Run(ctx context.Context) {
 	t := time.NewTicker(flushInterval)
 	defer t.Stop()
@@ -59,11 +59,12 @@
 	}
 }
 
-// Flush passes on what waits, and returns its memory for the next buffer.
+// Flush writes the buffered lines. It takes spare as the next buffer and returns the
+// written one for reuse.
 func (w *Writer) Flush(spare []byte) []byte {
 	w.mu.Lock()
-	b := w.next
-	w.next = spare[:0]
+	b := w.buffer
+	w.buffer = spare[:0]
 	w.mu.Unlock()
 	if n := w.dropped.Swap(0); n > 0 {
 		b = fmt.Appendf(b, "event=logDropped count=%d\n", n)
@@ -71,7 +72,7 @@
 	if len(b) == 0 {
 		return b
 	}
-	// There is nowhere to tell that the log itself can't be written.
+	// A failure to write the log can't be logged.
 	_, _ = w.w.Write(b)
 	return b
 }
--- a/io/ggslog/writer_test.go
+++ b/io/ggslog/writer_test.go
@@ -15,33 +15,33 @@
 	"greengageslip/io/ggslog"
 )
 
-// slow is a reader of the log that reads nothing until it is let.
-type slow struct {
-	let chan struct{}
-	mu  sync.Mutex
-	b   bytes.Buffer
+// A blockedWriter blocks writes until the channel is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	b       bytes.Buffer
 }
 
-func (s *slow) Write(p []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(p []byte) (int, error) {
+	<-s.unblock
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.b.Write(p)
 }
 
-// Whoever reads the log is slow. Requests must not wait for it: lines are
-// dropped, and one says how many.
-func TestSlowReaderBlocksNobody(t *testing.T) {
+// Requests must not wait for a slow reader of the log. Lines are dropped instead,
+// and one line has their number.
+func TestSlowReaderDoesNotBlockWrites(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s := &slow{let: make(chan struct{})}
+	s := &blockedWriter{unblock: make(chan struct{})}
 	w := ggslog.NewWriter(s)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	for range 1500 {
 		_, err := w.Write(line)
 		c.Assert(err, qt.IsNil)
 	}
-	close(s.let)
+	close(s.unblock)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	w.Run(ctx)
@@ -49,7 +49,7 @@
 	c.Assert(strings.HasSuffix(s.b.String(), "event=logDropped count=476\n"), qt.IsTrue)
 }
 
-// A storm of refusals writes the same line thousands of times a second.
+// A burst of refusals would write the same line thousands of times a second.
 func TestRepeatedLinesAreSampled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -68,8 +68,8 @@
 	c.Assert(b.String(), qt.Equals, "event=logSampled sampled=requestEnded count=700\nevent=requestEnded\n")
 }
 
-// An engineer meets an event that no page explains.
-func TestEachEventIsExplained(t *testing.T) {
+// Each event must be described in the operators' documentation.
+func TestEachEventIsDocumented(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b, err := os.ReadFile("../../docs/OPERATIONS.md")
