--- a/io/ggsstate/state.go
+++ b/io/ggsstate/state.go
@@ -1,5 +1,5 @@
-// Package ggsstate serves what a process does to its operators: a dump of its
-// whole state, its counters and its health.
+// Package ggsstate serves a process's diagnostics to operators over HTTP: a dump of
+// its state, its counters and its health.
 //
 // # Usage
 //
@@ -9,9 +9,12 @@
 //	server := &http.Server{Handler: s.Handler()}
 //
 // GET /state answers with one JSON object: "program", "vm", "time" and
-// "parts", with a member for each part. GET /debug/vars has the counters by
-// expvar, among them the map "greengageslip". GET /healthz answers 200 "ok",
-// or 503 with the reason.
+// "parts", with a member for each part. GET /debug/vars answers with the variables
+// of expvar and the process's counters in the map "greengageslip". GET /healthz
+// answers 200 "ok", or 503 with the reason.
+//
+// A mutex guards the parts and is held while their functions run. Parts, counters and
+// the health check are set before Handler is called.
 package ggsstate
 
 import (
@@ -26,8 +29,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A State gathers the parts of a process's state. Parts and counters are added
-// before Handler is called.
+// A State holds the parts, counters and health check of a process.
 type State struct {
 	program string
 	vm      ggscore.VMID
@@ -46,7 +48,7 @@
 	Parts   map[string]any `json:"parts"`
 }
 
-// New returns a State without parts, always healthy.
+// New returns a State without parts or counters, which reports healthy.
 func New(program string, vm ggscore.VMID, clock func() time.Time) *State {
 	return &State{
 		program: program, vm: vm, clock: clock,
@@ -56,14 +58,14 @@
 	}
 }
 
-// Add adds a part. Its value must be one that encoding/json takes.
+// Add adds a part to the state dump. encoding/json must be able to encode its value.
 func (s *State) Add(name string, part func() any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.parts[name] = part
 }
 
-// Count adds a counter.
+// Count adds a counter, which is read on each request for /debug/vars.
 func (s *State) Count(name string, value func() int64) {
 	s.counts.Set(name, expvar.Func(func() any { return value() }))
 }
@@ -71,7 +73,8 @@
 // Handler returns the HTTP handler.
 func (s *State) Handler() http.Handler { return s.HandlerWithHealth() }
 
-// HandlerWithHealth returns the HTTP handler, with the health at further paths.
+// HandlerWithHealth returns the HTTP handler, which also serves the health at the
+// given paths.
 func (s *State) HandlerWithHealth(paths ...string) *gin.Engine {
 	gin.SetMode(gin.ReleaseMode)
 	e := gin.New()
@@ -84,7 +87,7 @@
 	return e
 }
 
-// SetHealth sets what tells whether the process is healthy.
+// SetHealth sets the health check; it is called before Handler. An error from f means unhealthy.
 func (s *State) SetHealth(f func() error) { s.health = f }
 
 func (s *State) dump(c *gin.Context) {
@@ -105,8 +108,8 @@
 	c.String(http.StatusOK, "ok\n")
 }
 
-// vars is expvar's own page with this process's counters added. They are not
-// published in expvar's table, which is one for all tests of a process.
+// vars answers with expvar's variables and this State's counters. The counters are
+// not published in expvar itself, since its table is shared by all tests of a process.
 func (s *State) vars(c *gin.Context) {
 	m := map[string]json.RawMessage{"greengageslip": json.RawMessage(s.counts.String())}
 	expvar.Do(func(kv expvar.KeyValue) { m[kv.Key] = json.RawMessage(kv.Value.String()) })
