--- a/io/ggssettings/edge.go
+++ b/io/ggssettings/edge.go
@@ -33,8 +33,8 @@
 	return strings.Join(ns, ", ")
 }
 
-// ReadPolicy reads which mechanisms an edge goes by. Failures are *ggstoml.ReadError
-// and *ggstoml.DecodeError.
+// ReadPolicy reads the policy of an edge, which lists the mechanisms that are
+// switched off. Failures are *ggstoml.ReadError and *ggstoml.DecodeError.
 func ReadPolicy(path string) (ggscore.Policy, error) {
 	var f policyFile
 	if err := ggstoml.ReadSettings(path, &f); err != nil {
--- a/io/ggssettings/edge_test.go
+++ b/io/ggssettings/edge_test.go
@@ -11,8 +11,8 @@
 	"greengageslip/io/ggssettings"
 )
 
-// An operator switches a mechanism off for a measurement and misspells it. Taken as it
-// is, the measurement would be of something else.
+// If a misspelt mechanism were ignored, an operator would measure with the mechanism
+// still switched on.
 func TestReadPolicy(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/io/ggssettings/file.go
+++ b/io/ggssettings/file.go
@@ -57,10 +57,10 @@
 	if f.policy().String() != f.Policy && f.Policy != "" {
 		return &ggstoml.ValueError{Key: "policy", Want: "cost, random, leastLoaded or rendezvousLRU"}
 	}
-	return firstError(atLeast("requestWorkers", f.RequestWorkers), atLeast("orderWorkers", f.OrderWorkers))
+	return firstError(checkNonNegative("requestWorkers", f.RequestWorkers), checkNonNegative("orderWorkers", f.OrderWorkers))
 }
 
-// policy returns the policy of the name, or the default.
+// policy returns the scheduling policy, PolicyCost for an unknown or empty name.
 func (f *dispatcherFile) policy() ggsschedule.Policy {
 	for _, p := range []ggsschedule.Policy{ggsschedule.PolicyRandom, ggsschedule.PolicyLeastLoaded, ggsschedule.PolicyRendezvousLRU} {
 		if p.String() == f.Policy {
@@ -75,21 +75,21 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	return firstError(atLeast("maxInFlight", f.MaxInFlight), atLeast("maxAttempts", f.MaxAttempts))
+	return firstError(checkNonNegative("maxInFlight", f.MaxInFlight), checkNonNegative("maxAttempts", f.MaxAttempts))
 }
 
 func (f *nodeFile) check() error {
 	return firstError(
-		set("vm", f.VM), set("region", f.Region), set("domain", f.Domain),
-		address("listen", f.Listen), address("stateListen", f.StateListen), address("platform", f.Platform),
+		checkName("vm", f.VM), checkName("region", f.Region), checkName("domain", f.Domain),
+		checkAddr("listen", f.Listen), checkAddr("stateListen", f.StateListen), checkAddr("platform", f.Platform),
 		f.checkDispatchers(), f.checkLevel(),
-		positive("drainTimeout", f.DrainTimeout), positive("listInterval", f.ListInterval),
+		checkDuration("drainTimeout", f.DrainTimeout), checkDuration("listInterval", f.ListInterval),
 	)
 }
 
 func (f *nodeFile) checkDispatchers() error {
 	for i, a := range f.Dispatchers {
-		if err := address("dispatchers["+strconv.Itoa(i)+"]", a); err != nil {
+		if err := checkAddr("dispatchers["+strconv.Itoa(i)+"]", a); err != nil {
 			return err
 		}
 	}
@@ -117,14 +117,14 @@
 	}
 }
 
-func address(key string, a netip.AddrPort) error {
+func checkAddr(key string, a netip.AddrPort) error {
 	if !a.IsValid() || a.Port() == 0 {
-		return &ggstoml.ValueError{Key: key, Want: "an IP number with a port, such as \"10.0.0.1:7100\""}
+		return &ggstoml.ValueError{Key: key, Want: "an IP address with a port, such as \"10.0.0.1:7100\""}
 	}
 	return nil
 }
 
-func atLeast(key string, n int) error {
+func checkNonNegative(key string, n int) error {
 	if n < 0 {
 		return &ggstoml.ValueError{Key: key, Want: "at least 0, which means the default"}
 	}
@@ -140,14 +140,14 @@
 	return nil
 }
 
-func positive(key string, d ggstoml.Duration) error {
+func checkDuration(key string, d ggstoml.Duration) error {
 	if d < 0 {
 		return &ggstoml.ValueError{Key: key, Want: "a positive duration"}
 	}
 	return nil
 }
 
-func set(key, v string) error {
+func checkName(key, v string) error {
 	if v == "" {
 		return &ggstoml.ValueError{Key: key, Want: "a name"}
 	}
--- a/io/ggssettings/settings.go
+++ b/io/ggssettings/settings.go
@@ -5,8 +5,8 @@
 //	s, err := ggssettings.ReadDispatcher("dispatcher.toml")
 //	// err names file, line and key: dispatcher.toml:3: listen: want …
 //
-// A settings file is TOML with camel-case keys. Addresses are IP numbers with
-// ports, since no names are looked up; durations are texts such as "5s".
+// A settings file is TOML with camel-case keys. Addresses are IP addresses with
+// ports, since host names are not resolved; durations are texts such as "5s".
 package ggssettings
 
 import (
@@ -27,22 +27,22 @@
 	defaultMaxAttempts  = 3
 )
 
-// A Node is what all processes are told.
+// A Node holds the settings that all processes have.
 type Node struct {
 	VM     ggscore.VMID
 	Region ggscore.Region
 	Domain ggscore.Domain
-	// Listen serves callers (gateway) or other processes (dispatcher).
+	// Listen is the address for callers (gateway) or other processes (dispatcher).
 	Listen netip.AddrPort
-	// StateListen serves the state dump, counters and health.
+	// StateListen is the address of the state dump, counters and health.
 	StateListen netip.AddrPort
 	// Platform is the address of the platform's service.
 	Platform netip.AddrPort
-	// Dispatchers are asked first, before the platform's list is known.
+	// Dispatchers are used until the platform's list has been read.
 	Dispatchers  []netip.AddrPort
 	LogLevel     ggslog.Level
 	DrainTimeout time.Duration
-	// ListInterval is the time between two readings of the list of VMs.
+	// ListInterval is the time between two reads of the list of VMs.
 	ListInterval time.Duration
 }
 
@@ -60,7 +60,8 @@
 	RequestWorkers int
 	OrderWorkers   int
 	LeaseTTL       time.Duration
-	// Policy is the scheduler's, for measurements against the baselines.
+	// Policy is the scheduling policy. Policies other than PolicyCost are baselines
+	// for measurements.
 	Policy ggsschedule.Policy
 }
 
--- a/io/ggssettings/settings_test.go
+++ b/io/ggssettings/settings_test.go
@@ -25,16 +25,16 @@
 		text string
 		want string
 	}{
-		"good":           {good, ""},
-		"a baseline":     {good + "policy = \"random\"\n", ""},
-		"missing name":   {"region = \"central\"\n", `.*vm: want a name`},
-		"host name":      {good + "dispatchers = [\"example:7100\"]\n", `.*:7: .*`},
-		"no port":        {good + "dispatchers = [\"127.0.0.1:0\"]\n", `.*:7: dispatchers\[0\]: want an IP number with a port.*`},
-		"unknown key":    {good + "listn = 1\n", `.*:7: listn: unknown key`},
-		"short lease":    {good + "leaseTtl = \"10ms\"\n", `.*:7: leaseTtl: want at least 1s`},
-		"unknown policy": {good + "policy = \"best\"\n", `.*:7: policy: want cost, .*`},
-		"bad level":      {good + "logLevel = \"loud\"\n", `.*:7: logLevel: want debug, .*`},
-		"no such number": {good + "requestWorkers = -1\n", `.*:7: requestWorkers: want at least 0.*`},
+		"good":            {good, ""},
+		"a baseline":      {good + "policy = \"random\"\n", ""},
+		"missing name":    {"region = \"central\"\n", `.*vm: want a name`},
+		"host name":       {good + "dispatchers = [\"example:7100\"]\n", `.*:7: .*`},
+		"no port":         {good + "dispatchers = [\"127.0.0.1:0\"]\n", `.*:7: dispatchers\[0\]: want an IP address with a port.*`},
+		"unknown key":     {good + "listn = 1\n", `.*:7: listn: unknown key`},
+		"short lease":     {good + "leaseTtl = \"10ms\"\n", `.*:7: leaseTtl: want at least 1s`},
+		"unknown policy":  {good + "policy = \"best\"\n", `.*:7: policy: want cost, .*`},
+		"bad level":       {good + "logLevel = \"loud\"\n", `.*:7: logLevel: want debug, .*`},
+		"negative number": {good + "requestWorkers = -1\n", `.*:7: requestWorkers: want at least 0.*`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
