--- a/io/ggswire/doc.go
+++ b/io/ggswire/doc.go
@@ -1,12 +1,12 @@
-// Package ggswire holds the wire forms of what gateways and dispatchers tell
-// each other over net/rpc, and maps them by hand to the domain's types.
+// Package ggswire defines the messages between gateways and dispatchers over
+// net/rpc, and converts them to and from the types of package ggscore.
 //
 // # Usage
 //
 //	args := ggswire.SubmitArgs{Request: ggswire.FromRequest(r)}
 //	err := pool.Call(ctx, addr, ggswire.MethodSubmit, &args, &reply)
-//	f := reply.Failure.Failure() // nil when the request was taken
+//	f := reply.Failure.Failure() // nil if the request was accepted
 //
-// Instants never cross processes, since clocks differ: a request carries the
-// time that is left of its budget.
+// Messages have no absolute times, since clocks differ between processes. A request
+// carries the remaining time of its budget.
 package ggswire
--- a/io/ggswire/request.go
+++ b/io/ggswire/request.go
@@ -6,7 +6,7 @@
 	ggscore "greengageslip/core"
 )
 
-// The methods of a dispatcher.
+// The RPC methods of a dispatcher.
 const (
 	MethodSubmit   = "Dispatch.Submit"
 	MethodNext     = "Dispatch.Next"
@@ -26,7 +26,7 @@
 	Body                                        []byte
 }
 
-// FromRequest maps a request to its wire form. Budget is what is left of it.
+// FromRequest converts a request to its wire form. The budget is the remaining one.
 func FromRequest(r *ggscore.Request, budget time.Duration) Request {
 	return Request{
 		ID: string(r.ID), Attempt: r.Attempt, Market: string(r.Market), Service: string(r.Service),
@@ -39,7 +39,7 @@
 	}
 }
 
-// Request maps the wire form to a request that arrived at now.
+// Request converts the wire form to a request that arrived at now.
 func (w *Request) Request(now time.Time) *ggscore.Request {
 	return &ggscore.Request{
 		ID: ggscore.RequestID(w.ID), Attempt: w.Attempt, Market: ggscore.Market(w.Market),
@@ -54,15 +54,14 @@
 	}
 }
 
-// A Failure is the wire form of ggscore.Failure. An empty Kind stands for
-// none.
+// A Failure is the wire form of ggscore.Failure. An empty Kind stands for no failure.
 type Failure struct {
 	Kind, Detail string
 	Outcome      int
 	RetryAfter   time.Duration
 }
 
-// FromFailure maps a failure, or nil, to its wire form.
+// FromFailure converts a failure, or nil, to its wire form.
 func FromFailure(f *ggscore.Failure) Failure {
 	if f == nil {
 		return Failure{}
@@ -73,7 +72,7 @@
 	}
 }
 
-// Failure maps the wire form to a failure, or nil.
+// Failure converts the wire form to a failure, or nil.
 func (w *Failure) Failure() *ggscore.Failure {
 	if w.Kind == "" {
 		return nil
@@ -94,7 +93,7 @@
 	Failure                      Failure
 }
 
-// FromChunk maps a chunk to its wire form.
+// FromChunk converts a chunk to its wire form.
 func FromChunk(c ggscore.Chunk) Chunk {
 	return Chunk{
 		Seq: c.Seq, Data: c.Data, Final: c.Final,
@@ -104,7 +103,7 @@
 	}
 }
 
-// Chunk maps the wire form to a chunk.
+// Chunk converts the wire form to a chunk.
 func (w *Chunk) Chunk() ggscore.Chunk {
 	return ggscore.Chunk{
 		Seq: w.Seq, Data: w.Data, Final: w.Final,
@@ -114,18 +113,18 @@
 	}
 }
 
-// SubmitArgs hands a request to one life of a dispatcher. A repeat with the
-// same id and attempt is the same request.
+// SubmitArgs submits a request to one incarnation of a dispatcher. Submission is
+// idempotent: a repeat with the same id and attempt is the same request.
 type SubmitArgs struct {
 	Incarnation string
 	Request     Request
 }
 
-// SubmitReply says whether the request was taken.
+// SubmitReply reports whether the request was accepted.
 type SubmitReply struct{ Failure Failure }
 
-// NextArgs asks for the pieces of an answer from number From on. Pieces below
-// From are thereby acknowledged.
+// NextArgs requests the chunks of an answer from number From on, and acknowledges
+// the chunks below From. Wait bounds the wait for a chunk.
 type NextArgs struct {
 	ID      string
 	Attempt int
@@ -133,22 +132,22 @@
 	Wait    time.Duration
 }
 
-// NextReply holds pieces in order, or none if none came in time. Lost says
-// that the dispatcher doesn't know the request or no longer has the piece.
+// NextReply holds chunks in order, or none if none came within the wait. Lost means
+// that the dispatcher doesn't know the request or no longer has the chunk.
 type NextReply struct {
 	Chunks []Chunk
 	Stall  time.Duration
 	Lost   bool
 }
 
-// WithdrawArgs takes a request back from the life of a dispatcher that it was
-// handed to. That life then never starts it, not even if a late copy of its
-// submission arrives.
+// WithdrawArgs withdraws a request from the incarnation of a dispatcher that it was
+// submitted to. That incarnation then never starts the request, even if a delayed
+// copy of the submission arrives.
 type WithdrawArgs struct {
 	Incarnation, ID string
 	Attempt         int
 }
 
-// WithdrawReply tells the outcome: notRun where the request never reached an
+// WithdrawReply has the request's outcome: notRun if the request never reached an
 // endpoint.
 type WithdrawReply struct{ Outcome int }
--- a/io/ggswire/summary.go
+++ b/io/ggswire/summary.go
@@ -6,8 +6,8 @@
 	ggscore "greengageslip/core"
 )
 
-// SummaryArgs asks for a dispatcher's summary once it differs from the one whose sequence is
-// After, or when Wait has passed.
+// SummaryArgs requests a dispatcher's summary. The answer comes once the summary's
+// sequence differs from After, or when Wait has passed.
 type SummaryArgs struct {
 	After uint64
 	Wait  time.Duration
@@ -32,7 +32,7 @@
 	Resident, Loading                          []string
 }
 
-// FromSummary maps a summary to its wire form.
+// FromSummary converts a summary to its wire form.
 func FromSummary(s *ggscore.DispatcherSummary) Summary {
 	w := Summary{
 		VM: string(s.VM), Region: string(s.Region), Domain: string(s.Domain),
@@ -51,8 +51,8 @@
 	return w
 }
 
-// Summary maps the wire form to a summary. An adapter that can't be read is
-// left out: it only makes its runner less attractive.
+// Summary converts the wire form to a summary. A malformed adapter reference is left
+// out, which only makes its runner less preferred.
 func (w *Summary) Summary() ggscore.DispatcherSummary {
 	s := ggscore.DispatcherSummary{
 		VM: ggscore.VMID(w.VM), Region: ggscore.Region(w.Region), Domain: ggscore.Domain(w.Domain),
