--- a/io/ggsclock/clock.go
+++ b/io/ggsclock/clock.go
@@ -1,12 +1,12 @@
-// Package ggsclock reads the clock that goes on while the VM is suspended.
+// Package ggsclock reads a clock that keeps running while the VM is suspended.
 //
 // # Usage
 //
 //	now := ggsclock.Boot()
 //
-// Go's monotonic clock stands still while a VM is suspended. A VM that wakes
-// after its right to give orders has passed to another would still believe in
-// it; the boot clock shows that time has gone by.
+// Go's monotonic clock stops while a VM is suspended. A VM that resumes after its
+// ownership of endpoints has passed to another VM would still consider itself the
+// owner. The boot clock includes the time of the suspension.
 package ggsclock
 
 import (
@@ -15,14 +15,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the VM's start as a time of its own: it is only
-// to be compared with others of Boot. It has no monotonic reading, so that
-// comparisons use the boot clock's.
+// Boot returns the time since the VM's boot as an offset from the Unix epoch. The
+// result is only comparable with other results of Boot. It has no monotonic reading,
+// so that comparisons use the boot clock.
 func Boot() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// The clock exists on every Linux that Go runs on. A zero time is before
-		// all others and gives no right to anything.
+		// Every Linux that Go supports has this clock. The zero time precedes all
+		// others and grants no ownership.
 		return time.Time{}
 	}
 	return time.Unix(t.Unix())
