--- a/cmd/ggsctl/app.go
+++ b/cmd/ggsctl/app.go
@@ -21,11 +21,11 @@
 
 const (
 	program = "ggsctl"
-	// callTimeout bounds a call of a process.
+	// callTimeout bounds the read of a process's state.
 	callTimeout = 3 * time.Second
 )
 
-// streams are what a command reads and writes.
+// streams are a command's standard input, output and error.
 type streams struct {
 	in  io.Reader
 	out io.Writer
@@ -41,12 +41,12 @@
 type globalOptions struct {
 	Settings string `description:"settings of this client (TOML)" long:"settings" value-name:"FILE"`
 	Platform string `description:"the platform's service" long:"platform" value-name:"ADDR"`
-	// Entries are the addresses that serve the states of entry processes.
+	// Entries are the state addresses of entry processes.
 	Entries []string `description:"an entry process's state address; may be repeated" long:"entry" value-name:"ADDR"`
 	Verbose bool     `description:"log the calls of the platform to standard error" long:"verbose" short:"v"`
 }
 
-// settingsFile is the client's settings.
+// settingsFile holds the client's settings.
 type settingsFile struct {
 	Platform netip.AddrPort   `toml:"platform"`
 	Entries  []netip.AddrPort `toml:"entries"`
@@ -54,12 +54,12 @@
 	By       string           `toml:"by"`
 }
 
-// An app is what the commands work with.
+// An app holds the streams, options and settings that commands use.
 type app struct {
 	streams  streams
 	options  globalOptions
 	settings settingsFile
-	// newChangeID names changes.
+	// newChangeID returns a new, unique id.
 	newChangeID func() ggsdocument.ChangeID
 }
 
@@ -73,16 +73,16 @@
 
 func commands() []listedCommand {
 	return []listedCommand{
-		{"validate", "check files of sections", validateLong, &validateCommand{}},
+		{"validate", "check section files", validateLong, &validateCommand{}},
 		{"get", "print a section, or the list of sections", getLong, &getCommand{}},
-		{"apply", "replace a section by a file", applyLong, &applyCommand{}},
+		{"apply", "replace a section with a file", applyLong, &applyCommand{}},
 		{"edit", "change values of a section", editLong, &editCommand{}},
 		{"diff", "compare a section with a file", diffLong, &diffCommand{}},
 		{"status", "show the revision in force on each VM", statusLong, &statusCommand{}},
 		{"fleet", "show a deployment on the users' platform", fleetLong, &fleetCommand{}},
 		{"dump", "print a process's state", dumpLong, &dumpCommand{}},
-		{"explain", "tell what became of a request, from logs", explainLong, &explainCommand{}},
-		{"report", "tell where requests missed what their routes want, from logs", reportLong, &reportCommand{}},
+		{"explain", "explain from logs how a request was handled", explainLong, &explainCommand{}},
+		{"report", "count from logs the requests that missed their objectives", reportLong, &reportCommand{}},
 		{"request", "send a request through a gateway", requestLong, &requestCommand{}},
 	}
 }
@@ -124,7 +124,7 @@
 	return byName[p.Active.Name], nil
 }
 
-// readSettings reads the settings and lays the options over them.
+// readSettings reads the settings file and applies the options, which take precedence.
 func (a *app) readSettings() error {
 	if a.options.Settings != "" {
 		if err := ggstoml.ReadSettings(a.options.Settings, &a.settings); err != nil {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// report shows a failure and returns its exit code.
+// report prints a failure and returns its exit code.
 func (a *app) report(err error) exitCode {
 	if err == nil || isA[*shownError](err) {
 		return codeOf(err)
@@ -167,7 +167,7 @@
 	_, _ = fmt.Fprintf(a.streams.err, "%s: %v\n", program, err)
 	var u *ggsconfig.UnknownOutcomeError
 	if errors.As(err, &u) {
-		_, _ = fmt.Fprintf(a.streams.err, "%s: apply it again with --change %s --revision %d: it is never made twice\n",
+		_, _ = fmt.Fprintf(a.streams.err, "%s: repeat it with --change %s --revision %d; the change is applied at most once\n",
 			program, u.Change, u.ReadAt)
 	}
 	return codeOf(err)
@@ -181,8 +181,8 @@
 	return ggsplatform.NewClient(a.settings.Platform), nil
 }
 
-// store returns the store of a command: the platform's service, behind a
-// dry run and a log if these are asked for.
+// store returns the store of a command: the platform's service, wrapped for a dry run
+// and for logging if the options request them.
 func (a *app) store(c *ggsplatform.Client, dryRun bool) ggsconfig.EditorStore {
 	var s ggsconfig.EditorStore = c
 	if dryRun {
@@ -194,8 +194,8 @@
 	return s
 }
 
-// by names the operator in the document's history.
-func (a *app) by() string {
+// operatorName returns the operator's name for the document's history.
+func (a *app) operatorName() string {
 	if a.settings.By != "" {
 		return a.settings.By
 	}
@@ -228,7 +228,7 @@
 func parseAddr(option, s string) (netip.AddrPort, error) {
 	p, err := netip.ParseAddrPort(s)
 	if err != nil || p.Port() == 0 {
-		return p, &usageError{detail: fmt.Sprintf("%s %s: want an IP number and a port, such as 127.0.0.1:7000", option, s)}
+		return p, &usageError{detail: fmt.Sprintf("%s %s: want an IP address and a port, such as 127.0.0.1:7000", option, s)}
 	}
 	return p, nil
 }
--- a/cmd/ggsctl/apply.go
+++ b/cmd/ggsctl/apply.go
@@ -8,14 +8,15 @@
 	"greengageslip/io/ggsconfig"
 )
 
-const applyLong = `Replaces a section by the text in FILE, "-" for standard input.
+const applyLong = `Replaces a section with the text in FILE, or in standard input for "-".
 
-The change is accepted only if the section wasn't changed since the revision
-that was read: that of the file's first line, as get writes it, or --revision.
-Without either the section must be new. The whole document is checked first.
+The change is accepted only if the section has not changed since the revision
+that was read. That revision is in the file's first line, as get writes it, or
+is given with --revision. Without either, the section must be new. The whole
+document is checked first.
 
-Exits with 3 on a conflict, and with 4 where the outcome isn't known: then
-apply the same file again with --change and the id shown.`
+Exits with 3 on a conflict, and with 4 if the outcome is unknown: then apply
+the same file again with --change and the id shown.`
 
 // changeOptions are the options of commands that change a section.
 type changeOptions struct {
@@ -43,8 +44,8 @@
 	return c.apply(ctx, a, n, c.Args.File, t)
 }
 
-// apply makes a change of a section whose text was read from a file, with or
-// without a header.
+// apply replaces a section with a text that was read from a file, with or without a
+// header.
 func (c *changeOptions) apply(ctx context.Context, a *app, n ggscore.SectionName, file string, text []byte) error {
 	t, r, err := cutHeader(n, file, text)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return inFile(err, n, file, len(t) < len(text))
 }
 
-// change makes a change and prints how it was accepted.
+// change makes a change and prints its result.
 func (c *changeOptions) change(ctx context.Context, a *app, d ggsconfig.Edit) error {
 	p, err := a.client()
 	if err != nil {
@@ -70,7 +71,7 @@
 	d.Repeated = c.Change != ""
 	d.By, d.ID = c.By, ggsdocument.ChangeID(c.Change)
 	if d.By == "" {
-		d.By = a.by()
+		d.By = a.operatorName()
 	}
 	if d.ID == "" {
 		d.ID = a.newChangeID()
--- a/cmd/ggsctl/caller_test.go
+++ b/cmd/ggsctl/caller_test.go
@@ -14,15 +14,15 @@
 	"greengageslip/fakes/ggsfakeengine"
 )
 
-// shownHeaders are the headers of an answer that a session shows. Retry-After
-// is shown as present, since its value depends on the queue.
+// shownHeaders are the headers of an answer that a transcript shows. The value of
+// Retry-After is replaced, since it depends on the queue.
 func shownHeaders() []string { return []string{"Content-Type", "X-Served-Model", "Retry-After"} }
 
-// A callerRequest is what a caller sends, as the command line of post says it:
+// A callerRequest is a caller's request, parsed from the command
 //
-//	post WORD PATH [HEADER=VALUE]... BODY
+//	post LABEL PATH [HEADER=VALUE]... BODY
 //
-// BODY is text, or <FILE, or *N for N bytes.
+// BODY is a text, or <FILE, or *N for N bytes.
 type callerRequest struct {
 	shown   string
 	url     string
@@ -52,7 +52,7 @@
 	return r
 }
 
-// send sends the request and returns what a caller sees.
+// send sends the request and returns the answer as text.
 func (r callerRequest) send() string {
 	ctx, cancel := context.WithTimeout(context.Background(), sessionDeadline)
 	defer cancel()
@@ -94,21 +94,21 @@
 	sessionOf(ts).show(r.shown, r.send())
 }
 
-// begin sends a caller's request without waiting: begin NAME post WORD ….
+// begin sends a caller's request without waiting: begin NAME post LABEL ….
 func begin(ts *testscript.TestScript, _ bool, args []string) {
 	r := parsePost(ts, args[2:])
 	c := make(chan string, 1)
-	sessionOf(ts).begun[args[0]] = c
+	sessionOf(ts).pending[args[0]] = c
 	sessionOf(ts).show("begin "+args[0]+": "+r.shown, "")
 	go func() { c <- r.send() }()
 }
 
-// finish waits for a request that was begun and shows the answer.
+// finish waits for the answer to a pending request and shows it.
 func finish(ts *testscript.TestScript, _ bool, args []string) {
-	sessionOf(ts).show("finish "+args[0], <-sessionOf(ts).begun[args[0]])
+	sessionOf(ts).show("finish "+args[0], <-sessionOf(ts).pending[args[0]])
 }
 
-// awaitRunning waits until the runner has started so many requests.
+// awaitRunning waits until the runner has started a number of requests: running N.
 func awaitRunning(ts *testscript.TestScript, _ bool, args []string) {
 	var n uint64
 	_, err := fmt.Sscan(args[0], &n)
@@ -120,7 +120,7 @@
 	for sessionOf(ts).deployed.engine.Stats().Started < n {
 		select {
 		case <-ctx.Done():
-			ts.Fatalf("%d requests don't run", n)
+			ts.Fatalf("the runner has not started %d requests in time", n)
 		case <-t.C:
 		}
 	}
@@ -137,8 +137,8 @@
 	fmt.Fprintf(&s.transcript, "$ %s\n%s", command, s.stable(text))
 }
 
-// cutStreams makes the runner cut every stream after two tokens.
-func cutStreams(ts *testscript.TestScript, _ bool, _ []string) {
+// truncateStreams makes the runner truncate every stream after two tokens.
+func truncateStreams(ts *testscript.TestScript, _ bool, _ []string) {
 	sessionOf(ts).deployed.engine.SetFaults(ggsfakeengine.Faults{CutStreamAfter: 2})
 	sessionOf(ts).show("cut streams after two tokens", "")
 }
--- a/cmd/ggsctl/deployment_test.go
+++ b/cmd/ggsctl/deployment_test.go
@@ -23,7 +23,7 @@
 	"greengageslip/fakes/ggsfakeplain"
 )
 
-// The ports of a session's processes. Each session has an IP number of its own.
+// The ports of a session's processes. Each session has an IP address of its own.
 const (
 	enginePort          = 8000
 	plainPort           = 8100
@@ -42,7 +42,7 @@
 // firstOctet keeps sessions apart from other tests of the same process id.
 const firstOctet = 100
 
-var deployments atomic.Int32 //nolint:gochecknoglobals // gives each session an IP number
+var deployments atomic.Int32 //nolint:gochecknoglobals // gives each session an IP address
 
 // A deployment is a runner, a ledger, a gateway and one or two dispatchers.
 type deployment struct {
@@ -50,13 +50,13 @@
 	s      *session
 	ip     netip.Addr
 	engine *ggsfakeengine.Engine
-	// stops end the processes gracefully, by their words.
+	// stops has the functions that stop the processes gracefully, by label.
 	stops map[string]func() int
 	vms   []ggscore.VM
 }
 
-// startDeployment starts a small deployment of the processes' own code, and
-// waits until the gateway serves.
+// startDeployment starts a small deployment of the real processes' code, and waits
+// until the gateway serves.
 //
 // Flags: "two" starts a second dispatcher, "slow" makes each token take 20 ms,
 // "narrow" gives the runner one slot.
@@ -103,14 +103,13 @@
 	for !d.healthy(ctx) {
 		select {
 		case <-ctx.Done():
-			d.ts.Fatalf("the gateway doesn't serve")
+			d.ts.Fatalf("the gateway is not healthy in time")
 		case <-t.C:
 		}
 	}
 }
 
-// healthy reports whether the gateway has a document and sees an owner for both
-// endpoints.
+// healthy reports whether the gateway has a document and an owner for each endpoint.
 func (d *deployment) healthy(ctx context.Context) bool {
 	state := "http://" + d.addr(gatewayStatePort).String()
 	code, _ := d.get(ctx, state+"/healthz")
@@ -162,9 +161,9 @@
 	})
 }
 
-// start starts a process and stops it at the session's end.
+// start starts a process, and stops it at the end of the session.
 func (d *deployment) start(
-	word, vm string, run func(context.Context, []string, io.Writer, io.Writer) int, port, statePort uint16,
+	label, vm string, run func(context.Context, []string, io.Writer, io.Writer) int, port, statePort uint16,
 ) {
 	text := fmt.Sprintf("vm = %q\nregion = \"central\"\ndomain = \"cr-central-a\"\nlisten = %q\nstateListen = %q\n"+
 		"platform = %q\nlistInterval = \"50ms\"\ndrainTimeout = \"10s\"\n",
@@ -179,7 +178,7 @@
 		cancel()
 		return <-done
 	})
-	d.stops[word] = stop
+	d.stops[label] = stop
 	d.ts.Defer(func() {
 		if code := stop(); code != 0 {
 			d.ts.Logf("process ended with %d\n%s", code, w.String())
@@ -187,7 +186,7 @@
 	})
 }
 
-// A lockedBuffer takes the log of a process.
+// A lockedBuffer holds a process's log and is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
--- a/cmd/ggsctl/diff.go
+++ b/cmd/ggsctl/diff.go
@@ -12,7 +12,7 @@
 )
 
 const diffLong = `Shows what applying FILE to SECTION would change, as a unified
-diff. "-" reads standard input. Prints nothing where nothing would change.`
+diff. "-" reads standard input. Prints nothing if nothing would change.`
 
 type diffCommand struct {
 	Args struct {
--- a/cmd/ggsctl/edit.go
+++ b/cmd/ggsctl/edit.go
@@ -9,9 +9,9 @@
 	"greengageslip/io/ggstoml"
 )
 
-const editLong = `Changes values of a section in place: --set KEY=VALUE, which may
+const editLong = `Changes values of a section in place with --set KEY=VALUE, which may
 be repeated. KEY is a path such as weight or adapters["deposits-es"].current.
-Without --set the section's new text is read from standard input, as by apply.`
+Without --set the section's new text is read from standard input, as with apply.`
 
 type editCommand struct {
 	changeOptions
@@ -31,7 +31,7 @@
 		return c.apply(ctx, a, n, "-", t)
 	}
 	if c.Change != "" && c.Revision == nil {
-		return &usageError{detail: "--change needs --revision, the one that the change was first made with"}
+		return &usageError{detail: "--change needs --revision with the revision of the first attempt"}
 	}
 	p, err := a.client()
 	if err != nil {
--- a/cmd/ggsctl/errors.go
+++ b/cmd/ggsctl/errors.go
@@ -9,13 +9,13 @@
 	"greengageslip/core/ggsdocument"
 )
 
-// A usageError says that the command line is wrong.
+// A usageError reports an invalid command line.
 type usageError struct{ detail string }
 
 // Error implements error.
 func (e *usageError) Error() string { return e.detail }
 
-// A fileError says that a section in a file is not valid.
+// A fileError reports an invalid section in a file.
 type fileError struct {
 	file    string
 	section *ggsdocument.SectionError
@@ -36,32 +36,32 @@
 // Unwrap returns the cause.
 func (e *fileError) Unwrap() error { return e.section }
 
-// A shownError says that failures were shown already.
+// A shownError carries an exit code for failures that were already printed.
 type shownError struct{ code exitCode }
 
 // Error implements error.
 func (e *shownError) Error() string { return "" }
 
-// A stateError says that a process didn't show its state.
+// A stateError reports that a process's state could not be read.
 type stateError struct {
 	addr  netip.AddrPort
 	cause error
 }
 
 // Error implements error.
-func (e *stateError) Error() string { return fmt.Sprintf("state of %s: %v", e.addr, e.cause) }
+func (e *stateError) Error() string { return fmt.Sprintf("read state of %s: %v", e.addr, e.cause) }
 
 // Unwrap returns the cause.
 func (e *stateError) Unwrap() error { return e.cause }
 
-// A statusError says that a process answered with a status other than 200.
+// A statusError reports an HTTP status other than the expected ones.
 type statusError struct{ status int }
 
 // Error implements error.
-func (e *statusError) Error() string { return "status " + strconv.Itoa(e.status) }
+func (e *statusError) Error() string { return "unexpected status " + strconv.Itoa(e.status) }
 
-// A requestError says that a gateway answered a request with a failure, or
-// that its answer broke.
+// A requestError reports that a gateway answered a request with a failure, or that
+// its answer was truncated.
 type requestError struct {
 	kind    string
 	detail  string
@@ -73,15 +73,15 @@
 	return fmt.Sprintf("%s: %s (outcome %s)", e.kind, e.detail, e.outcome)
 }
 
-// A noRequestsError says that no log tells of a request that ended.
+// A noRequestsError reports that no log has the end of any request.
 type noRequestsError struct{ files []string }
 
 // Error implements error.
 func (e *noRequestsError) Error() string {
-	return "no request ended in: " + strings.Join(e.files, ", ")
+	return "no request ended in the logs: " + strings.Join(e.files, ", ")
 }
 
-// A noRequestError says that no log names a request.
+// A noRequestError reports that no log has a line of a request.
 type noRequestError struct {
 	request string
 	files   []string
@@ -89,5 +89,5 @@
 
 // Error implements error.
 func (e *noRequestError) Error() string {
-	return fmt.Sprintf("request %s is in none of: %s", e.request, strings.Join(e.files, ", "))
+	return fmt.Sprintf("request %s is in none of the logs: %s", e.request, strings.Join(e.files, ", "))
 }
--- a/cmd/ggsctl/exit.go
+++ b/cmd/ggsctl/exit.go
@@ -20,8 +20,8 @@
 	exitUnknown  exitCode = 4
 )
 
-// codeOf returns the exit code for a failure. An unknown outcome goes first:
-// its cause may look like any other failure.
+// codeOf returns the exit code for a failure. An unknown outcome takes precedence,
+// since its cause may be any other failure.
 func codeOf(err error) exitCode {
 	var shown *shownError
 	var request *requestError
--- a/cmd/ggsctl/explain.go
+++ b/cmd/ggsctl/explain.go
@@ -14,12 +14,12 @@
 	"greengageslip/io/ggslog"
 )
 
-const explainLong = `Tells what became of a request, from the logs of the
-processes that met it: what each decided, by what it went, and how that ended.
+const explainLong = `Explains how a request was handled, from the logs of the
+processes that handled it: each decision, the data behind it and its result.
 FILEs are logs, "-" is standard input.`
 
-// lineBytes bounds a line of a log.
-const lineBytes = 1 << 20
+// maxLineBytes bounds a line of a log.
+const maxLineBytes = 1 << 20
 
 type explainCommand struct {
 	Args struct {
@@ -28,7 +28,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// A logLine is one line of a log.
+// A logLine is one parsed line of a log.
 type logLine struct {
 	at    time.Time
 	event ggslog.Event
@@ -49,14 +49,14 @@
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.at.Compare(b.at) })
 	for _, l := range lines {
-		if err := a.printf("%8s  %s: %s\n", "+"+l.at.Sub(lines[0].at).Round(time.Millisecond).String(), l.keys["vm"], l.story()); err != nil {
+		if err := a.printf("%8s  %s: %s\n", "+"+l.at.Sub(lines[0].at).Round(time.Millisecond).String(), l.keys["vm"], l.describe()); err != nil {
 			return err
 		}
 	}
 	return a.printf("so: %s\n", verdict(lines))
 }
 
-// readLog returns the lines of a log that bear the request's identity.
+// readLog returns the lines of a log that have the request's id.
 func (a *app) readLog(name, request string) ([]logLine, error) {
 	var lines []logLine
 	err := a.scanLog(name, "request="+request, func(l logLine) {
@@ -67,7 +67,7 @@
 	return lines, err
 }
 
-// scanLog hands on the lines of a log that contain a text; "-" is standard input.
+// scanLog calls f for each line of a log that contains a text; "-" is standard input.
 func (a *app) scanLog(name, text string, f func(logLine)) error {
 	r := a.streams.in
 	if name != "-" {
@@ -79,13 +79,13 @@
 		r = o
 	}
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineBytes)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		t := s.Text()
 		if !strings.Contains(t, text) {
 			continue
 		}
-		// What collects the lines may have put words of its own before them.
+		// A log collector may have put a prefix before the line.
 		if i := strings.Index(t, "ts="); i > 0 {
 			t = t[i:]
 		}
@@ -96,7 +96,7 @@
 	return errors.Wrap(s.Err(), "reading a log")
 }
 
-// parseLine reads one line. ok is false where it isn't one of key=value pairs
+// parseLine parses one line. ok is false unless the line consists of key=value pairs
 // with a time and an event.
 func parseLine(t string) (l logLine, ok bool) {
 	l.keys = map[string]string{}
@@ -115,8 +115,8 @@
 	return l, l.event != ""
 }
 
-// story tells a line in words.
-func (l *logLine) story() string {
+// describe returns a sentence for a line.
+func (l *logLine) describe() string {
 	k := l.keys
 	switch l.event {
 	case ggslog.EventRequestSent:
@@ -124,21 +124,21 @@
 		if k["adapter"] != "" {
 			s += "; " + k["adapter"] + map[bool]string{true: " was resident there", false: " was loaded for it"}[k["resident"] == "true"]
 		}
-		return s + "; " + k["left"] + " were left"
+		return s + "; " + k["left"] + " of the deadline remained"
 	case ggslog.EventEndpointRefused:
 		return k["endpoint"] + " answered " + k["status"] + " and did not run it"
 	case ggslog.EventAttemptFailed:
-		return k["endpoint"] + " gave no answer (outcome " + k["outcome"] + "): " + k["err"]
+		return k["endpoint"] + " did not answer (outcome " + k["outcome"] + "): " + k["err"]
 	case ggslog.EventAnswerBroken:
-		s := "the answer of " + k["endpoint"] + " was unfit"
+		s := "the answer of " + k["endpoint"] + " was invalid"
 		if k["begun"] == "true" {
-			s = "the answer of " + k["endpoint"] + " broke off after it had begun"
+			s = "the answer of " + k["endpoint"] + " was truncated"
 		}
 		return s + ": " + k["err"]
 	case ggslog.EventLoadFailed:
-		return k["adapter"] + " could not be had at " + k["endpoint"] + ": " + k["err"]
+		return k["adapter"] + " could not be loaded at " + k["endpoint"] + ": " + k["err"]
 	case ggslog.EventCallerLeft:
-		return "the caller left after " + k["took"] + ", " + k["sends"] + " endpoints had been asked"
+		return "the caller left after " + k["took"] + " and " + k["sends"] + " sends"
 	case ggslog.EventRequestEnded:
 		if k["endpoint"] != "" {
 			return "passed on the answer of " + k["endpoint"] + ", status " + k["status"] + ", after " + k["took"]
@@ -148,14 +148,14 @@
 	return string(l.event)
 }
 
-// verdict says what the lines come to.
+// verdict summarizes the lines of a request.
 func verdict(lines []logLine) string {
 	last := lines[len(lines)-1]
 	cause := ""
 	for _, l := range lines {
 		switch l.event {
 		case ggslog.EventAttemptFailed, ggslog.EventAnswerBroken, ggslog.EventEndpointRefused, ggslog.EventLoadFailed:
-			cause = "; before that, " + l.story()
+			cause = "; before that, " + l.describe()
 		}
 	}
 	switch last.event {
@@ -168,11 +168,11 @@
 		if last.keys["runs"] == "0" {
 			return "not run: " + last.keys["why"] + cause
 		}
-		return "it may have run: " + last.keys["why"] + cause
+		return "may have run: " + last.keys["why"] + cause
 	case ggslog.EventCallerLeft:
 		return "the caller left" + cause
 	case ggslog.EventAnswerBroken:
-		return "the caller got a part of an answer and saw that it broke off" + cause
+		return "the caller got a truncated answer and could detect the truncation" + cause
 	}
-	return "no end in these logs: the process was killed, or they stop too early" + cause
+	return "the request has no end in these logs: the process was killed, or the logs end too early" + cause
 }
--- a/cmd/ggsctl/fleet.go
+++ b/cmd/ggsctl/fleet.go
@@ -12,21 +12,23 @@
 	"greengageslip/io/ggsedge"
 )
 
-const fleetLong = `Shows a deployment on the users' platform, as its VMs see it: for
-each VM whose state address is known (--entry or the settings) the version of the
-configuration in force, the age of its list of endpoints and the peers that it
-hears; then each endpoint, which VM gives it orders and how many adapters it holds.
-It exits with 1 where a VM can't be reached, or VMs differ in the configuration's
-version or in who gives an endpoint orders.`
+const fleetLong = `Shows a deployment on the users' platform, as its VMs see it. For
+each VM whose state address is known (--entry or the settings) it shows the version
+of the configuration in force, the age of the list of endpoints and the number of
+reachable peers. For each endpoint it shows the VM that gives it orders and the
+number of adapters that it holds. It exits with 1 if a VM can't be reached, or if
+VMs differ in the configuration's version or in the VM that gives an endpoint its
+orders.`
 
-// peerSilence is the silence after which a peer counts as not heard: six words.
-const peerSilence = time.Second
+// peerTimeout is the age of the last heartbeat from which a peer counts as
+// unreachable: six missed heartbeats.
+const peerTimeout = time.Second
 
 type fleetCommand struct{}
 
 func (c *fleetCommand) run(ctx context.Context, a *app) error {
 	if len(a.settings.Entries) == 0 {
-		return &usageError{detail: "no VM to ask: give --entry or --settings"}
+		return &usageError{detail: "no VM is known: give --entry or --settings"}
 	}
 	states := a.states(ctx)
 	if err := printVMs(a, states); err != nil {
@@ -36,7 +38,7 @@
 	if err := printEndpoints(a, l); err != nil {
 		return err
 	}
-	if !agreed(states, l) {
+	if !consistent(states, l) {
 		return &shownError{code: exitFailure}
 	}
 	return nil
@@ -45,14 +47,13 @@
 // A knownEndpoint is an endpoint as several VMs know it.
 type knownEndpoint struct {
 	ggsedge.EndpointState
-	// seen is the number of VMs that list it, orderers the VMs that are said to
-	// give it orders.
-	seen     int
-	orderers []ggscore.VMID
+	// listedBy is the number of VMs that list it. owners are the VMs that, according
+	// to any VM, give it orders.
+	listedBy int
+	owners   []ggscore.VMID
 }
 
-// endpointsOf puts together what VMs know of endpoints, in the order of services
-// and names.
+// endpointsOf merges the endpoints of all VMs' states, sorted by service and id.
 func endpointsOf(states []processState) []*knownEndpoint {
 	byID := map[ggscore.EndpointID]*knownEndpoint{}
 	for _, s := range states {
@@ -65,13 +66,13 @@
 				k = &knownEndpoint{EndpointState: n}
 				byID[n.ID] = k
 			}
-			k.seen++
+			k.listedBy++
 			k.Leaving = k.Leaving || n.Leaving
 			if len(n.Held) > 0 {
 				k.Held = n.Held
 			}
-			if n.Owner != "" && !slices.Contains(k.orderers, n.Owner) {
-				k.orderers = append(k.orderers, n.Owner)
+			if n.Owner != "" && !slices.Contains(k.owners, n.Owner) {
+				k.owners = append(k.owners, n.Owner)
 			}
 		}
 	}
@@ -102,17 +103,17 @@
 				store = "away"
 			}
 			r.add(string(s.vm), string(e.Domain), strconv.FormatUint(e.Config, 10), strconv.Itoa(e.Routes),
-				e.ListAge.Round(time.Millisecond).String(), strconv.Itoa(len(e.Endpoints)), strconv.Itoa(heard(e)), store, strconv.FormatUint(uint64(e.Epoch), 10))
+				e.ListAge.Round(time.Millisecond).String(), strconv.Itoa(len(e.Endpoints)), strconv.Itoa(reachablePeers(e)), store, strconv.FormatUint(uint64(e.Epoch), 10))
 		}
 	}
 	return w.Flush()
 }
 
-// heard returns the number of peers that a VM hears.
-func heard(e *ggsedge.State) int {
+// reachablePeers returns the number of peers whose heartbeats reach a VM.
+func reachablePeers(e *ggsedge.State) int {
 	n := 0
 	for _, p := range e.Peers {
-		if p.HeartbeatAge < peerSilence {
+		if p.HeartbeatAge < peerTimeout {
 			n++
 		}
 	}
@@ -128,20 +129,21 @@
 		if k.Leaving {
 			state = "leaving"
 		}
-		orderer := unknownText
-		if len(k.orderers) > 0 {
-			orderer = string(k.orderers[0])
+		owner := unknownText
+		if len(k.owners) > 0 {
+			owner = string(k.owners[0])
 		}
-		if len(k.orderers) > 1 {
-			orderer = "disputed"
+		if len(k.owners) > 1 {
+			owner = "disputed"
 		}
-		r.add(string(k.ID), string(k.Service), string(k.Domain), state, strconv.Itoa(k.seen), orderer, strconv.Itoa(len(k.Held)))
+		r.add(string(k.ID), string(k.Service), string(k.Domain), state, strconv.Itoa(k.listedBy), owner, strconv.Itoa(len(k.Held)))
 	}
 	return w.Flush()
 }
 
-// agreed reports whether all VMs answered and know the same.
-func agreed(states []processState, l []*knownEndpoint) bool {
+// consistent reports whether all VMs answered, have the same version of the
+// configuration and agree on the owner of each endpoint.
+func consistent(states []processState, l []*knownEndpoint) bool {
 	var version uint64
 	for _, s := range states {
 		if s.err != nil || s.edge == nil {
@@ -154,5 +156,5 @@
 			return false
 		}
 	}
-	return !slices.ContainsFunc(l, func(k *knownEndpoint) bool { return len(k.orderers) > 1 })
+	return !slices.ContainsFunc(l, func(k *knownEndpoint) bool { return len(k.owners) > 1 })
 }
--- a/cmd/ggsctl/get.go
+++ b/cmd/ggsctl/get.go
@@ -11,9 +11,9 @@
 	"greengageslip/io/ggsconfig"
 )
 
-const getLong = `Prints a section's text as the platform has it. The first line
-holds the revision that was read; apply takes it from there. Without SECTION
-it lists the sections.`
+const getLong = `Prints a section's text as stored by the platform. The first line
+holds the revision that was read, which apply uses. Without SECTION it lists
+the sections.`
 
 type getCommand struct {
 	Args struct {
--- a/cmd/ggsctl/losses.go
+++ b/cmd/ggsctl/losses.go
@@ -7,27 +7,28 @@
 	"greengageslip/io/ggslog"
 )
 
-// A loss is how a request missed what its route wants, or that it didn't.
+// A loss classifies how a request missed its route's objectives, or says that it
+// met them.
 type loss string
 
 // The losses, in the order of a report's columns.
 const (
 	lossNone loss = "inTime"
-	// lossLoad, lossTurn and lossFirst are first pieces that came late, by the part
-	// of the way that took longest: the wait for the adapter, for the prompt's turn,
-	// or the endpoint's own work.
+	// lossLoad, lossTurn and lossFirst are late first chunks, by the step that took
+	// longest: the wait for the adapter, the wait for the prompt's turn, or the
+	// endpoint's own work.
 	lossLoad  loss = "load"
 	lossTurn  loss = "turn"
 	lossFirst loss = "first"
-	// lossPause is a pause between two pieces that was too long.
+	// lossPause is a gap between two chunks that was too long.
 	lossPause loss = "pause"
-	// lossBroken is an answer that broke off after it had begun.
+	// lossBroken is a truncated answer.
 	lossBroken loss = "broken"
-	// lossRefused is an answer that the request has not run, lossFailed one that it
-	// may have, or an endpoint's failure that was passed on.
+	// lossRefused is an answer for a request that has not run. lossFailed is an answer
+	// for one that may have run, or a forwarded failure of an endpoint.
 	lossRefused loss = "refused"
 	lossFailed  loss = "failed"
-	// lossLeft is a caller that left before the end.
+	// lossLeft is a caller that disconnected before the end.
 	lossLeft loss = "left"
 )
 
@@ -35,30 +36,30 @@
 	return []loss{lossNone, lossLoad, lossTurn, lossFirst, lossPause, lossBroken, lossRefused, lossFailed, lossLeft}
 }
 
-// A journey is what the logs tell of a request: where it was sent last, and its end.
-type journey struct {
+// A trace holds the lines of a request's last send and of its end.
+type trace struct {
 	sent logLine
 	end  logLine
 }
 
-// add takes a line of the request.
-func (j *journey) add(l logLine) {
+// add adds a line of the request.
+func (t *trace) add(l logLine) {
 	switch l.event {
 	case ggslog.EventRequestSent:
-		j.sent = l
+		t.sent = l
 	case ggslog.EventRequestEnded, ggslog.EventCallerLeft:
-		j.end = l
+		t.end = l
 	case ggslog.EventAnswerBroken:
 		if l.keys["begun"] == "true" {
-			j.end = l
+			t.end = l
 		}
 	}
 }
 
-// loss returns how the request missed what its route wants.
-func (j *journey) loss() loss {
-	k := j.end.keys
-	switch j.end.event {
+// loss classifies the request.
+func (t *trace) loss() loss {
+	k := t.end.keys
+	switch t.end.event {
 	case ggslog.EventCallerLeft:
 		return lossLeft
 	case ggslog.EventAnswerBroken:
@@ -72,20 +73,20 @@
 	case status >= 400:
 		return lossFailed
 	}
-	return j.late()
+	return t.latency()
 }
 
-// late returns which part of the way made an answer late. A first piece that came too
-// late goes before a pause.
-func (j *journey) late() loss {
-	first, target := duration(j.end.keys["first"]), duration(j.end.keys["target"])
+// latency classifies a successful answer by its latency: the step that delayed the
+// first chunk, else a gap that was too long. A late first chunk takes precedence.
+func (t *trace) latency() loss {
+	first, target := duration(t.end.keys["first"]), duration(t.end.keys["target"])
 	if target <= 0 || first <= target {
-		if aim := duration(j.end.keys["gapAim"]); aim > 0 && duration(j.end.keys["gap"]) > aim {
+		if aim := duration(t.end.keys["gapAim"]); aim > 0 && duration(t.end.keys["gap"]) > aim {
 			return lossPause
 		}
 		return lossNone
 	}
-	waited, turn := duration(j.sent.keys["waited"]), duration(j.sent.keys["turnWait"])
+	waited, turn := duration(t.sent.keys["waited"]), duration(t.sent.keys["turnWait"])
 	work := first - waited
 	switch load := waited - turn; {
 	case load >= turn && load >= work:
@@ -96,7 +97,7 @@
 	return lossFirst
 }
 
-// duration reads a duration of a line, zero where there is none.
+// duration parses a duration of a line. It is zero if absent or malformed.
 func duration(t string) time.Duration {
 	d, err := time.ParseDuration(t)
 	if err != nil {
--- a/cmd/ggsctl/main.go
+++ b/cmd/ggsctl/main.go
@@ -15,9 +15,8 @@
 //	ggsctl explain 9c41d07be2a35f68 edge-1.log edge-2.log
 //	ggsctl request --market cr --service asistente --model deposits-es --message 'Hola'
 //
-// It exits with 0 on success, 1 on failure, 2 on wrong usage or bad input, 3 on
-// a conflict with another operator's change and 4 where the outcome isn't
-// known.
+// It exits with 0 on success, 1 on failure, 2 on invalid usage or input, 3 on a
+// conflict with another operator's change and 4 if the outcome is unknown.
 package main
 
 import (
--- a/cmd/ggsctl/report.go
+++ b/cmd/ggsctl/report.go
@@ -16,16 +16,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-const reportLong = `Tells from the logs of a deployment's processes where requests missed what their
-routes want: by route, by time, and by endpoint. FILEs are logs, "-" is standard
-input.`
+const reportLong = `Counts from the logs of a deployment's processes the requests that missed their
+routes' objectives: by route, by time, and by endpoint. FILEs are logs, "-" is
+standard input.`
 
 // The size of the plot.
 const (
 	reportWidth  = 24 * vg.Centimeter
 	reportHeight = 12 * vg.Centimeter
 	barWidth     = 9 * vg.Millimeter
-	// leftGray is the shade of callers that left: the palette has a colour too few.
+	// leftGray is the shade for lossLeft, since the palette has one colour too few.
 	leftGray = 0x99
 )
 
@@ -63,45 +63,45 @@
 	if c.Every <= 0 {
 		return &usageError{detail: "--every: want a positive duration"}
 	}
-	journeys := map[string]*journey{}
+	traces := map[string]*trace{}
 	for _, f := range c.Args.Files {
 		err := a.scanLog(f, "request=", func(l logLine) {
 			id := l.keys["request"]
-			if journeys[id] == nil {
-				journeys[id] = &journey{}
+			if traces[id] == nil {
+				traces[id] = &trace{}
 			}
-			journeys[id].add(l)
+			traces[id].add(l)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	var ended []*journey
-	for _, j := range journeys {
-		if j.end.event != "" && j.end.keys["status"] != "404" {
-			ended = append(ended, j)
+	var ended []*trace
+	for _, t := range traces {
+		if t.end.event != "" && t.end.keys["status"] != "404" {
+			ended = append(ended, t)
 		}
 	}
 	if len(ended) == 0 {
 		return &noRequestsError{files: c.Args.Files}
 	}
-	slices.SortFunc(ended, func(a, b *journey) int { return a.end.at.Compare(b.end.at) })
+	slices.SortFunc(ended, func(a, b *trace) int { return a.end.at.Compare(b.end.at) })
 	return c.print(a, ended)
 }
 
-// print writes the tables, and the plot where one is asked for.
-func (c *reportCommand) print(a *app, ended []*journey) error {
+// print writes the tables, and the plot if a file is given for it.
+func (c *reportCommand) print(a *app, ended []*trace) error {
 	routes, times, endpoints := lossTable{}, lossTable{}, lossTable{}
 	var steps []string
-	for _, j := range ended {
-		l := j.loss()
-		routes.add(cmp.Or(j.sent.keys["route"], "(not sent)"), l)
-		step := "+" + j.end.at.Sub(ended[0].end.at).Truncate(c.Every).String()
+	for _, t := range ended {
+		l := t.loss()
+		routes.add(cmp.Or(t.sent.keys["route"], "(not sent)"), l)
+		step := "+" + t.end.at.Sub(ended[0].end.at).Truncate(c.Every).String()
 		if times[step] == nil {
 			steps = append(steps, step)
 		}
 		times.add(step, l)
-		if e := j.sent.keys["endpoint"]; e != "" {
+		if e := t.sent.keys["endpoint"]; e != "" {
 			endpoints.add(e, l)
 		}
 	}
@@ -112,7 +112,7 @@
 		return err
 	}
 	rows := rowsOf(endpoints)
-	slices.SortStableFunc(rows, func(x, y string) int { return cmp.Compare(endpoints.lost(y), endpoints.lost(x)) })
+	slices.SortStableFunc(rows, func(x, y string) int { return cmp.Compare(endpoints.missed(y), endpoints.missed(x)) })
 	if err := a.printLosses("endpoint", endpoints, rows[:min(worstEndpoints, len(rows))]); err != nil {
 		return err
 	}
@@ -122,8 +122,8 @@
 	return plotLosses(c.Plot, times, steps)
 }
 
-// lost returns the number of requests of a row that missed what their routes want.
-func (t lossTable) lost(row string) int { return t.total(row) - t[row][lossNone] }
+// missed returns the number of requests of a row that missed their routes' objectives.
+func (t lossTable) missed(row string) int { return t.total(row) - t[row][lossNone] }
 
 func rowsOf(t lossTable) []string {
 	var rows []string
@@ -160,10 +160,10 @@
 	return a.printf("\n")
 }
 
-// plotLosses draws the losses by time as bars upon each other.
+// plotLosses draws the losses by time as stacked bars.
 func plotLosses(file string, t lossTable, steps []string) error {
 	p := plot.New()
-	p.Title.Text = "Requests that missed what their routes want"
+	p.Title.Text = "Requests that missed their routes' objectives"
 	p.X.Label.Text = "ended"
 	p.Y.Label.Text = "requests"
 	p.Legend.Top = true
--- a/cmd/ggsctl/report_test.go
+++ b/cmd/ggsctl/report_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestReportDrawsAPlot(t *testing.T) {
+func TestReportWritesPlot(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		file  string
--- a/cmd/ggsctl/request.go
+++ b/cmd/ggsctl/request.go
@@ -19,23 +19,23 @@
 
 const requestLong = `Sends one request through a gateway and prints the answer.
 
-With --model it asks a model service; the message is the user's. With
---operation it calls a plain service; the message is the body. A request with
---key runs at most once; --new-key makes a key and shows it on standard error,
-so that the request can be repeated under it. The outcome of a failed request is shown: notRun, done
-or unknown; unknown exits with 4.`
+With --model it calls a model service, and the message is the user's. With
+--operation it calls a plain service, and the message is the body. A request
+with --key runs at most once. --new-key makes a key and shows it on standard
+error, so that the request can be repeated with it. The outcome of a failed
+request is shown: notRun, done or unknown. An unknown outcome exits with 4.`
 
 // The headers of requests.
 const (
 	headerMarket  = "X-Market"
 	headerService = "X-Service"
 	headerKey     = "Idempotency-Key"
-	// headerFirstSend says that the key was never sent before, so that a
-	// refusal may say notRun.
+	// headerFirstSend marks a key that was never sent before, so that a refusal may
+	// have the outcome notRun.
 	headerFirstSend = "Idempotency-First-Send"
 )
 
-// The lines of a stream of events.
+// The lines of a stream of server-sent events.
 const (
 	eventErrorLine = "event: error"
 	dataPrefix     = "data:"
@@ -65,7 +65,7 @@
 	Content string `json:"content"`
 }
 
-// choicesWire is what is read of an answer, whole or piece.
+// choicesWire is the part of a whole answer or of one chunk that is read.
 type choicesWire struct {
 	Choices []struct {
 		Message messageWire `json:"message"`
@@ -108,8 +108,8 @@
 	return a.printf("%s\n", bytes.TrimRight(contentOf(b), "\n"))
 }
 
-// broken returns the failure of a call whose answer didn't come whole. It isn't
-// known whether the request ran, unless no connection was made.
+// broken returns the failure of a call without a complete answer. Its outcome is
+// unknown, unless no connection was made.
 func (c *requestCommand) broken(err error) error {
 	o := ggscore.OutcomeUnknown
 	var n *net.OpError
@@ -119,9 +119,9 @@
 	return &requestError{kind: string(ggscore.FailureBroken), detail: err.Error(), outcome: o.String()}
 }
 
-// makeKey makes a key if that is asked for. It is shown before the request is
-// sent: an operator who learned it with the answer only could not repeat a
-// request whose answer was lost.
+// makeKey makes a key if --new-key is given. It prints the key before the request is
+// sent: if it came with the answer, an operator could not repeat a request whose
+// answer was lost.
 func (c *requestCommand) makeKey(a *app) error {
 	if !c.NewKey {
 		return nil
@@ -138,9 +138,8 @@
 	return err
 }
 
-// printStream prints the pieces of a streamed answer. A stream that ends
-// without its last event was cut short, which must not look like a whole
-// answer.
+// printStream prints the chunks of a streamed answer. A stream that ends without its
+// last event is truncated, and must not be reported as a whole answer.
 func (c *requestCommand) printStream(a *app, body io.Reader) error {
 	r := bufio.NewReader(body)
 	failed := false
@@ -164,7 +163,7 @@
 		case data == doneData:
 			return a.printf("\n")
 		default:
-			if err = a.printf("%s", pieceOf([]byte(data))); err != nil {
+			if err = a.printf("%s", chunkContent([]byte(data))); err != nil {
 				return err
 			}
 		}
@@ -212,8 +211,8 @@
 	return r, nil
 }
 
-// contentOf returns the content of a whole answer, or the answer itself where
-// it has another shape.
+// contentOf returns the content of a whole answer, or the answer itself if it has
+// another format.
 func contentOf(b []byte) []byte {
 	var w choicesWire
 	if json.Unmarshal(b, &w) == nil && len(w.Choices) > 0 {
@@ -222,8 +221,8 @@
 	return b
 }
 
-// pieceOf returns the content of a piece of an answer.
-func pieceOf(b []byte) []byte {
+// chunkContent returns the content of one chunk of an answer.
+func chunkContent(b []byte) []byte {
 	var w choicesWire
 	if json.Unmarshal(b, &w) == nil && len(w.Choices) > 0 {
 		return []byte(w.Choices[0].Delta.Content)
@@ -231,7 +230,7 @@
 	return nil
 }
 
-// failureOf returns the failure that a gateway answered with.
+// failureOf decodes the failure that a gateway answered with.
 func failureOf(b []byte, status int) error {
 	var w failureWire
 	if err := json.Unmarshal(b, &w); err != nil || w.Error.Type == "" {
--- a/cmd/ggsctl/script_test.go
+++ b/cmd/ggsctl/script_test.go
@@ -46,22 +46,22 @@
 
 type sessionKey struct{}
 
-// A session is one script: a platform stand-in, entry processes that only
-// follow the document, and what the operator saw.
+// A session is the state of one script: a fake platform, entry processes that only
+// follow the document, and the transcript of the operator's terminal.
 type session struct {
 	platform   *ggsfakeplatform.Platform
 	server     *httptest.Server
 	transcript bytes.Buffer
-	words      map[string]string
+	labels     map[string]string
 	addrs      map[string]netip.AddrPort
 	deployed   *deployment
-	begun      map[string]chan string
-	// outageNext says that an outage follows the next lost answer.
+	pending    map[string]chan string
+	// outageNext makes an outage follow the next lost answer.
 	outageNext atomic.Bool
 }
 
-// Each script is a whole session of an operator at a terminal: each command,
-// its output and its exit code. Ids and ports are replaced by stable words.
+// Each script is an operator's session at a terminal, compared with a golden
+// transcript of commands, output and exit codes. Labels replace ids and ports.
 func TestSessions(t *testing.T) {
 	t.Parallel()
 	testscript.Run(t, testscript.Params{
@@ -71,7 +71,7 @@
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
 			"ggsctl":  ctl,
 			"begin":   begin,
-			"cut":     cutStreams,
+			"cut":     truncateStreams,
 			"deploy":  startDeployment,
 			"finish":  finish,
 			"post":    post,
@@ -88,8 +88,8 @@
 }
 
 func setup(e *testscript.Env) error {
-	s := &session{words: map[string]string{}, addrs: map[string]netip.AddrPort{}, begun: map[string]chan string{}}
-	s.platform = ggsfakeplatform.New(ggsfakeplatform.Options{Now: time.Now, MaxValueBytes: 1 << 20}) //nolint:forbidigo // a stand-in's clock
+	s := &session{labels: map[string]string{}, addrs: map[string]netip.AddrPort{}, pending: map[string]chan string{}}
+	s.platform = ggsfakeplatform.New(ggsfakeplatform.Options{Now: time.Now, MaxValueBytes: 1 << 20}) //nolint:forbidigo // a fake's clock
 	s.platform.SetVMs([]ggscore.VM{
 		{ID: "cr-1", Role: ggscore.RoleEntry, Region: "central", Domain: "cr-central-a", Addr: anyAddr()},
 		{ID: "cr-2", Role: ggscore.RoleEntry, Region: "pacific", Domain: "cr-pacific-a", Addr: anyAddr()},
@@ -101,10 +101,10 @@
 	return nil
 }
 
-// anyAddr is the address of VMs that nobody calls.
+// anyAddr is the address of VMs that are never called.
 func anyAddr() netip.AddrPort { return netip.MustParseAddrPort("127.0.0.1:1") }
 
-// outageAfterLoss lets an outage follow a lost answer if that is asked for.
+// outageAfterLoss starts an outage after a lost answer if outageNext is set.
 func (s *session) outageAfterLoss(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
@@ -121,38 +121,38 @@
 	})
 }
 
-// name replaces an address by a word in the transcript, and the word by the
-// address in command lines.
-func (s *session) name(word string, a netip.AddrPort) {
-	s.addrs[word] = a
-	s.words[a.String()] = word
+// name sets the label that replaces an address in the transcript, and that command
+// lines use for the address.
+func (s *session) name(label string, a netip.AddrPort) {
+	s.addrs[label] = a
+	s.labels[a.String()] = label
 }
 
-// stable replaces ids and ports by stable words.
+// stable replaces ids and addresses with labels, which are the same in each run.
 func (s *session) stable(text string) string {
 	for _, m := range shownKey.FindAllStringSubmatch(text, -1) {
 		s.nameAll(m[1:], "KEY-")
 	}
 	s.nameAll(changeID.FindAllString(text, -1), "CHANGE-")
 	s.nameAll(requestID.FindAllString(text, -1), "REQUEST-")
-	for from, to := range s.words {
+	for from, to := range s.labels {
 		text = strings.ReplaceAll(text, from, to)
 	}
 	return text
 }
 
-// nameAll gives ids words in the order in which they are seen.
+// nameAll assigns numbered labels to ids in the order of their appearance.
 func (s *session) nameAll(ids []string, prefix string) {
 	for _, id := range ids {
-		if s.words[id] == "" {
-			s.words[id] = prefix + strconv.Itoa(s.countOf(prefix)+1)
+		if s.labels[id] == "" {
+			s.labels[id] = prefix + strconv.Itoa(s.countOf(prefix)+1)
 		}
 	}
 }
 
 func (s *session) countOf(prefix string) int {
 	n := 0
-	for _, w := range s.words {
+	for _, w := range s.labels {
 		if strings.HasPrefix(w, prefix) {
 			n++
 		}
@@ -160,9 +160,9 @@
 	return n
 }
 
-// expand replaces stable words by what they stand for.
+// expand returns the id or address of a label, and other arguments unchanged.
 func (s *session) expand(arg string) string {
-	for from, to := range s.words {
+	for from, to := range s.labels {
 		if arg == to {
 			return from
 		}
@@ -175,8 +175,8 @@
 	return s
 }
 
-// ctl runs ggsctl; a last argument <FILE is its standard input, one >FILE takes
-// its standard output.
+// ctl runs ggsctl. An argument <FILE redirects its standard input, and >FILE its
+// standard output.
 func ctl(ts *testscript.TestScript, _ bool, args []string) {
 	s := sessionOf(ts)
 	var in io.Reader = strings.NewReader("")
@@ -206,7 +206,7 @@
 	fmt.Fprintf(&s.transcript, "$ ggsctl %s\n%s[exit %d]\n", s.stable(shown), s.stable(text), code)
 }
 
-// absolute makes a file absolute, also behind SECTION=.
+// absolute makes the path of FILE or SECTION=FILE absolute.
 func absolute(ts *testscript.TestScript, arg string) string {
 	if n, f, found := strings.Cut(arg, "="); found {
 		return n + "=" + ts.MkAbs(f)
@@ -230,8 +230,8 @@
 
 func (memberList) Members() []ggsconfig.Member { return nil }
 
-// startEntry starts an entry process that follows the document and shows its
-// state: entry WORD VM.
+// startEntry starts an entry process that follows the document and serves its state:
+// entry LABEL VM.
 func startEntry(ts *testscript.TestScript, _ bool, args []string) {
 	s := sessionOf(ts)
 	p := ggsplatform.NewClient(s.addrs["PLATFORM"])
@@ -254,7 +254,8 @@
 	s.name(args[0], netip.MustParseAddrPort(h.Listener.Addr().String()))
 }
 
-// startEdge serves the state of a VM on the users' platform, as a file has it.
+// startEdge serves the state of a VM on the users' platform from a file:
+// edge LABEL VM FILE.
 func startEdge(ts *testscript.TestScript, _ bool, args []string) {
 	s := sessionOf(ts)
 	var e ggsedge.State
@@ -266,8 +267,8 @@
 	s.name(args[0], netip.MustParseAddrPort(h.Listener.Addr().String()))
 }
 
-// setFault sets the platform's fault: none, lose, loseThenOutage, delay or
-// outage. Lost and delayed are writes of the head.
+// setFault sets the platform's fault: none, lose, loseThenOutage, delay or outage.
+// The faults lose and delay apply to writes of the document's head.
 func setFault(ts *testscript.TestScript, _ bool, args []string) {
 	s := sessionOf(ts)
 	f := ggsfakeplatform.Faults{LosePrefix: string(ggsconfig.HeadKey)}
@@ -288,7 +289,7 @@
 	s.platform.SetFaults(f)
 }
 
-// leave lists a VM and an endpoint as leaving.
+// leave marks a VM and an endpoint as leaving in the platform's list: leave VM.
 func leave(ts *testscript.TestScript, _ bool, args []string) {
 	sessionOf(ts).platform.SetVMs([]ggscore.VM{
 		{ID: "cr-1", Role: ggscore.RoleEntry, Region: "central", Domain: "cr-central-a", Addr: anyAddr()},
@@ -297,7 +298,7 @@
 	})
 }
 
-// awaitInForce waits until an entry process has a revision: inforce WORD N.
+// awaitInForce waits until an entry process has a revision: inforce LABEL N.
 func awaitInForce(ts *testscript.TestScript, _ bool, args []string) {
 	ctx, cancel := context.WithTimeout(context.Background(), sessionDeadline)
 	defer cancel()
@@ -315,7 +316,7 @@
 	}
 }
 
-// showSession prints the transcript, to be compared with the golden file.
+// showSession prints the transcript for the comparison with the golden file.
 func showSession(ts *testscript.TestScript, _ bool, _ []string) {
 	_, err := sessionOf(ts).transcript.WriteTo(ts.Stdout())
 	ts.Check(err)
--- a/cmd/ggsctl/state.go
+++ b/cmd/ggsctl/state.go
@@ -15,13 +15,13 @@
 
 const (
 	statePath = "/state"
-	// maxStateBytes bounds the state that is read of a process.
+	// maxStateBytes bounds the state that is read from a process.
 	maxStateBytes = 64 << 20
-	// stateCalls bounds the calls of states at once.
-	stateCalls = 16
+	// maxStateCalls bounds the concurrent reads of states.
+	maxStateCalls = 16
 )
 
-// stateWire is what is read of a process's state.
+// stateWire is the part of a process's state that is read.
 type stateWire struct {
 	Program string `json:"program"`
 	VM      string `json:"vm"`
@@ -29,18 +29,18 @@
 		Document struct {
 			Revision uint64 `json:"revision"`
 		} `json:"document"`
-		// Edge is what a VM on the users' platform goes by.
+		// Edge is the state of a VM on the users' platform.
 		Edge *ggsedge.State `json:"edge"`
 	} `json:"parts"`
 }
 
-// A processState is what a process says of itself.
+// A processState is a process's state, or the error of reading it.
 type processState struct {
 	addr     netip.AddrPort
 	program  string
 	vm       ggscore.VMID
 	revision ggscore.Revision
-	// edge is nil for the processes of the product's own interface.
+	// edge is nil for gateways and dispatchers.
 	edge *ggsedge.State
 	err  error
 }
@@ -69,12 +69,11 @@
 	return b, nil
 }
 
-// states asks all entry processes for their states, in the order of the
-// settings.
+// states reads the states of all entry processes, in the order of the settings.
 func (a *app) states(ctx context.Context) []processState {
 	l := make([]processState, len(a.settings.Entries))
 	var g errgroup.Group
-	g.SetLimit(stateCalls)
+	g.SetLimit(maxStateCalls)
 	for i, addr := range a.settings.Entries {
 		g.Go(func() error {
 			l[i] = stateOf(ctx, addr)
@@ -100,12 +99,12 @@
 	}
 }
 
-// revisionInForce returns the highest revision that an entry process has, zero
-// where none is known.
+// revisionInForce returns the highest revision that any entry process has, or zero if
+// none is known.
 //
-// It guards against a platform that was restored from an older copy: a change
-// accepted there would get a revision that the processes have passed, so none
-// would take it, and it would be lost without a word.
+// It guards against a platform that was restored from an older backup: a change
+// accepted there would get a revision not above that of the processes, so none would
+// apply it, and the change would be lost silently.
 func (a *app) revisionInForce(ctx context.Context) ggscore.Revision {
 	var r ggscore.Revision
 	for _, s := range a.states(ctx) {
--- a/cmd/ggsctl/status.go
+++ b/cmd/ggsctl/status.go
@@ -13,13 +13,13 @@
 
 const statusLong = `Shows the revision of the document at the platform, the
 revision in force in each entry process whose state address is known (--entry
-or the settings), and the VMs that are leaving. It exits with 1 where a process
+or the settings), and the VMs that are leaving. It exits with 1 if a process
 can't be reached or has another revision than the platform, so that a script
 can wait for a change to be in force everywhere.`
 
 type statusCommand struct{}
 
-// unknownText stands for what isn't known.
+// unknownText is printed for an unknown value.
 const unknownText = "-"
 
 func (c *statusCommand) run(ctx context.Context, a *app) error {
@@ -28,7 +28,7 @@
 		return err
 	}
 	defer p.Close()
-	// The processes show what is in force also while the platform is away.
+	// The processes' states are shown even while the platform is unavailable.
 	h, headErr := ggsconfig.NewEditor(a.store(p, true), ggsconfig.EditorOptions{}).ReadHead(ctx)
 	vms, listErr := p.ListVMs(ctx)
 	states := a.states(ctx)
@@ -66,8 +66,8 @@
 	return true
 }
 
-// printStates prints a row for each process. Unless the VMs are listed, their
-// states aren't known.
+// printStates prints a row for each process. Without the list of VMs their states are
+// unknown.
 func printStates(a *app, l []processState, vms []ggscore.VM, listed bool) error {
 	if len(l) == 0 {
 		return nil
@@ -101,7 +101,7 @@
 	return w.Flush()
 }
 
-// printLeaving prints the VMs that are leaving, entry VMs and endpoints.
+// printLeaving prints the entry VMs and endpoints that are leaving.
 func printLeaving(a *app, vms []ggscore.VM) error {
 	for _, v := range vms {
 		if v.State != ggscore.VMLeaving {
--- a/cmd/ggsctl/table.go
+++ b/cmd/ggsctl/table.go
@@ -9,7 +9,7 @@
 	ggscore "greengageslip/core"
 )
 
-// rows writes the rows of a table.
+// rows writes the rows of a table, with cells separated by tabs.
 type rows struct{ w io.Writer }
 
 func (r rows) add(cells ...string) {
--- a/cmd/ggsctl/validate.go
+++ b/cmd/ggsctl/validate.go
@@ -19,9 +19,9 @@
 
 A file named services.toml or policy.toml holds that section, one named
 market/NAME.toml holds the section market/NAME. SECTION=FILE names the section
-of any other file. With --merge the files are checked beside the platform's
-other sections. With --vm each file is what the users' platform tells a process of
-its VM, and every failure is named with its line.`
+of any other file. With --merge the files are checked together with the
+platform's other sections. With --vm each file holds the settings that the users'
+platform writes for a VM, and every failure is reported with its line.`
 
 type validateCommand struct {
 	VM    bool `description:"check settings that the users' platform writes for a VM" long:"vm"`
@@ -73,7 +73,7 @@
 	return a.printf("valid: %s, %s, %s\n", count(len(texts), "section"), count(len(d.Markets), "market"), count(adapters(d), "adapter"))
 }
 
-// settings checks settings of VMs.
+// settings checks files of VM settings.
 func (c *validateCommand) settings(a *app) error {
 	bad := false
 	for _, f := range c.Args.Files {
@@ -112,7 +112,7 @@
 	return e.Check(s, texts)
 }
 
-// read reads the file of an argument.
+// read reads the file that an argument names, as FILE or SECTION=FILE.
 func (c *validateCommand) read(a *app, arg string) (sectionFile, []byte, error) {
 	f := sectionFile{file: arg}
 	if n, file, found := strings.Cut(arg, "="); found {
@@ -129,7 +129,7 @@
 	return f, rest, err
 }
 
-// sectionOfFile returns the name of the section that a file holds by its name.
+// sectionOfFile returns the section that a file holds according to its name.
 func sectionOfFile(file string) ggscore.SectionName {
 	n := strings.TrimSuffix(filepath.Base(file), ".toml")
 	dir := filepath.Base(filepath.Dir(file))
@@ -147,9 +147,9 @@
 	return n
 }
 
-func count(n int, what string) string {
+func count(n int, noun string) string {
 	if n == 1 {
-		return "1 " + what
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, what)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
