--- a/cmd/ggsload/answer.go
+++ b/cmd/ggsload/answer.go
@@ -47,41 +47,41 @@
 	Outcome string `json:"outcome"`
 }
 
-// A reader reads one answer and notes when its pieces come.
+// A reader reads one answer and records when its chunks arrive.
 type reader struct {
 	clock func() time.Time
 	due   time.Time
 	last  time.Time
 	body  io.Reader
-	got   answered
+	got   response
 	id    string
 	model string
-	// text is what has come of the answer.
-	text   strings.Builder
-	pieces int
-	ended  bool
+	// text is the content received so far.
+	text     strings.Builder
+	chunks   int
+	finished bool
 }
 
-// failure reads the body of a refusal.
-func (r *reader) failure(res *http.Response) answered {
+// failure decodes the body of an answer with a status other than 200.
+func (r *reader) failure(res *http.Response) response {
 	var b chatAnswer
 	if err := json.NewDecoder(r.body).Decode(&b); err != nil || b.Error == nil {
-		return answered{outcome: outcomeUnknown, kind: fmt.Sprintf("status%d", res.StatusCode)}
+		return response{outcome: outcomeUnknown, kind: fmt.Sprintf("status%d", res.StatusCode)}
 	}
-	return failed(b.Error)
+	return failureOf(b.Error)
 }
 
-// failed maps an error of the gateway's.
-func failed(e *chatError) answered {
+// failureOf converts an error of the gateway.
+func failureOf(e *chatError) response {
 	switch o := outcome(e.Outcome); o {
 	case outcomeNotRun, outcomeDone:
-		return answered{outcome: o, kind: e.Type}
+		return response{outcome: o, kind: e.Type}
 	}
-	return answered{outcome: outcomeUnknown, kind: e.Type}
+	return response{outcome: outcomeUnknown, kind: e.Type}
 }
 
 // read reads and checks an answer.
-func (r *reader) read(res *http.Response, o *runCommand, q *planned) answered {
+func (r *reader) read(res *http.Response, o *runCommand, q *plannedRequest) response {
 	r.id = res.Header.Get(headerRequestID)
 	r.model = q.adapter
 	if d, err := time.ParseDuration(res.Header.Get(headerStall)); err == nil {
@@ -95,35 +95,35 @@
 	}
 	b, err := io.ReadAll(r.body)
 	if err != nil {
-		return answered{outcome: outcomeUnknown, kind: "cut"}
+		return response{outcome: outcomeUnknown, kind: "cut"}
 	}
-	r.piece()
+	r.chunk()
 	if !json.Valid(b) {
-		return wrong("the answer of " + q.kind.operation + " is no JSON")
+		return wrong("the answer of " + q.kind.operation + " is not valid JSON")
 	}
 	r.got.outcome = outcomeDone
 	return r.got
 }
 
 // whole reads an answer that isn't streamed.
-func (r *reader) whole(o *runCommand) answered {
+func (r *reader) whole(o *runCommand) response {
 	b, err := io.ReadAll(r.body)
 	if err != nil {
-		return answered{outcome: outcomeUnknown, kind: "cut"}
+		return response{outcome: outcomeUnknown, kind: "cut"}
 	}
-	r.piece()
+	r.chunk()
 	var a chatAnswer
 	if err := json.Unmarshal(b, &a); err != nil || len(a.Choices) == 0 {
-		return wrong("the answer is no chat completion")
+		return wrong("the answer is not a chat completion")
 	}
 	r.text.WriteString(a.Choices[0].Message.Content)
-	r.ended = a.Choices[0].FinishReason != ""
+	r.finished = a.Choices[0].FinishReason != ""
 	return r.check(o, a.Model)
 }
 
-// stream reads an answer of server-sent events. One that ends without its last
-// event and without an error event is a silent short answer.
-func (r *reader) stream(o *runCommand) answered {
+// stream reads an answer of server-sent events. An answer that ends without its last
+// event and without an error event was truncated silently, which is wrong.
+func (r *reader) stream(o *runCommand) response {
 	model := ""
 	s := bufio.NewScanner(r.body)
 	s.Buffer(nil, maxAnswerBytes)
@@ -137,48 +137,48 @@
 		}
 		var a chatAnswer
 		if json.Unmarshal([]byte(data), &a) != nil {
-			return wrong("an event is no JSON")
+			return wrong("an event is not valid JSON")
 		}
 		if a.Error != nil {
-			return failed(a.Error)
+			return failureOf(a.Error)
 		}
-		r.piece()
+		r.chunk()
 		model = a.Model
 		for _, c := range a.Choices {
 			r.text.WriteString(c.Delta.Content)
-			r.ended = r.ended || c.FinishReason != ""
+			r.finished = r.finished || c.FinishReason != ""
 		}
 	}
 	if s.Err() != nil {
-		return answered{outcome: outcomeUnknown, kind: "cut"}
+		return response{outcome: outcomeUnknown, kind: "cut"}
 	}
 	return wrong("the stream ended early without an error")
 }
 
-// piece notes that a piece has come.
-func (r *reader) piece() {
+// chunk records the arrival of a chunk.
+func (r *reader) chunk() {
 	now := r.clock()
-	if r.pieces == 0 {
+	if r.chunks == 0 {
 		r.got.firstByte = now.Sub(r.due)
 	} else {
 		r.got.gaps = append(r.got.gaps, now.Sub(r.last))
 	}
 	r.last = now
-	r.pieces++
+	r.chunks++
 }
 
-// check compares a whole answer with what was asked for. A stand-in's tokens
-// each name the adapter, the request and their own number, so that a missing,
-// repeated or foreign one shows.
-func (r *reader) check(o *runCommand, model string) answered {
-	asked, _, versioned := strings.Cut(r.model, "@")
+// check compares a complete answer with its request. Each token of a fake engine
+// names the adapter, the request and the token's number, so that a missing, repeated
+// or foreign token is detected.
+func (r *reader) check(o *runCommand, model string) response {
+	adapter, _, versioned := strings.Cut(r.model, "@")
 	switch {
-	case versioned && model != r.model, !strings.HasPrefix(model, asked+"@"):
+	case versioned && model != r.model, !strings.HasPrefix(model, adapter+"@"):
 		return wrong(fmt.Sprintf("%s answered for %s", model, r.model))
-	case !r.ended:
-		return wrong("the answer has no end")
+	case !r.finished:
+		return wrong("the answer has no finish reason")
 	case r.id == "":
-		return wrong("the answer names no request")
+		return wrong("the answer has no request id")
 	}
 	if !o.AnyTokens {
 		tokens := strings.Fields(r.text.String())
@@ -187,7 +187,7 @@
 		}
 		for i, t := range tokens {
 			if want := fmt.Sprintf("%s/%s/%d", model, r.id, i); t != want {
-				return wrong(fmt.Sprintf("token %s where %s was due", t, want))
+				return wrong(fmt.Sprintf("token %s where %s was expected", t, want))
 			}
 		}
 	}
@@ -195,7 +195,7 @@
 	return r.got
 }
 
-// wrong returns the end of an answer that breaks a promise.
-func wrong(detail string) answered {
-	return answered{outcome: outcomeWrong, kind: (&wrongAnswerError{detail: detail}).Error()}
+// wrong returns the response for an answer that violates a guarantee.
+func wrong(detail string) response {
+	return response{outcome: outcomeWrong, kind: (&wrongAnswerError{detail: detail}).Error()}
 }
--- a/cmd/ggsload/app.go
+++ b/cmd/ggsload/app.go
@@ -17,7 +17,7 @@
 	exitUsage   = 2
 )
 
-// An app is what the commands work with.
+// An app holds the outputs and the clock that commands use.
 type app struct {
 	out   io.Writer
 	err   io.Writer
--- a/cmd/ggsload/client.go
+++ b/cmd/ggsload/client.go
@@ -21,7 +21,7 @@
 	stateTimeout   = 3 * time.Second
 )
 
-// An outcome is what became of a request.
+// An outcome says whether a request has run.
 type outcome string
 
 // The outcomes.
@@ -29,18 +29,19 @@
 	outcomeDone    outcome = "done"
 	outcomeNotRun  outcome = "notRun"
 	outcomeUnknown outcome = "unknown"
-	// outcomeWrong is an answer that breaks a promise.
+	// outcomeWrong is an answer that violates a guarantee.
 	outcomeWrong outcome = "wrong"
 )
 
-// An answered is one request's end as its caller saw it.
-type answered struct {
+// A response is the result of one request as its caller observes it.
+type response struct {
 	outcome outcome
-	// kind is the failure's type, or what was wrong.
+	// kind is the failure's type, or describes a wrong answer.
 	kind      string
 	firstByte time.Duration
 	whole     time.Duration
-	// stall is what the answer told; hasStall says that it did.
+	// stall is the load stall from the answer's header; hasStall reports whether the
+	// answer has one.
 	stall    time.Duration
 	hasStall bool
 	gaps     []time.Duration
@@ -80,13 +81,13 @@
 
 func (c *client) close() { c.http.CloseIdleConnections() }
 
-// do sends one request and reads its answer.
-func (c *client) do(ctx context.Context, clock func() time.Time, due time.Time, n int, q *planned) answered {
+// do sends one request and reads its answer. Times count from when the request was due.
+func (c *client) do(ctx context.Context, clock func() time.Time, due time.Time, n int, q *plannedRequest) response {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
 	req, err := c.request(ctx, clock(), n, q)
 	if err != nil {
-		return answered{outcome: outcomeNotRun, kind: "request"}
+		return response{outcome: outcomeNotRun, kind: "request"}
 	}
 	res, err := c.http.Do(req)
 	if err != nil {
@@ -102,7 +103,7 @@
 	return a
 }
 
-func (c *client) request(ctx context.Context, now time.Time, n int, q *planned) (*http.Request, error) {
+func (c *client) request(ctx context.Context, now time.Time, n int, q *plannedRequest) (*http.Request, error) {
 	path := "/v1/chat/completions"
 	body := chatRequest{
 		Model:     q.adapter,
@@ -134,7 +135,8 @@
 	return req, nil
 }
 
-// states returns the processes' counters.
+// states returns the processes' counters by address. Processes that can't be read are
+// left out.
 func (c *client) states(ctx context.Context) map[string]json.RawMessage {
 	states := map[string]json.RawMessage{}
 	for _, a := range c.addrs {
@@ -145,7 +147,7 @@
 	return states
 }
 
-// state returns a process's counters, or nil.
+// state returns a process's counters, or nil if they can't be read.
 func (c *client) state(ctx context.Context, a netip.AddrPort) []byte {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -171,12 +173,12 @@
 	return vars.Counts
 }
 
-// transportFailure classifies a request that got no answer. Only one whose
+// transportFailure classifies a request without an answer. Only a request whose
 // connection was never made is known not to have run.
-func transportFailure(err error) answered {
+func transportFailure(err error) response {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return answered{outcome: outcomeNotRun, kind: "dial"}
+		return response{outcome: outcomeNotRun, kind: "dial"}
 	}
-	return answered{outcome: outcomeUnknown, kind: "transport"}
+	return response{outcome: outcomeUnknown, kind: "transport"}
 }
--- a/cmd/ggsload/errors.go
+++ b/cmd/ggsload/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// A usageError says that the command line is wrong.
+// A usageError reports an invalid command line.
 type usageError struct{ detail string }
 
 // Error implements error.
 func (e *usageError) Error() string { return e.detail }
 
-// A wrongAnswersError says that answers were not what they had to be.
+// A wrongAnswersError reports that a run had wrong answers.
 type wrongAnswersError struct {
 	count int
 	first string
@@ -19,15 +19,15 @@
 	return fmt.Sprintf("%d wrong answers, the first: %s", e.count, e.first)
 }
 
-// A noAnswersError says that no request was answered.
+// A noAnswersError reports that no request of a run was done.
 type noAnswersError struct{ sent int }
 
 // Error implements error.
 func (e *noAnswersError) Error() string {
-	return fmt.Sprintf("none of %d requests was done", e.sent)
+	return fmt.Sprintf("no request was done: %d sent", e.sent)
 }
 
-// A wrongAnswerError says what is wrong with an answer.
+// A wrongAnswerError describes what is wrong with an answer.
 type wrongAnswerError struct{ detail string }
 
 // Error implements error.
--- a/cmd/ggsload/load_test.go
+++ b/cmd/ggsload/load_test.go
@@ -18,7 +18,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// serve answers a chat as a gateway does, with the tokens that edit leaves.
+// serve answers a chat as a gateway does, with the model and tokens that edit returns.
 func serve(edit func(model, id string, tokens []string) (string, []string)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q chatRequest
@@ -65,9 +65,9 @@
 	return code, r
 }
 
-// A caller gets another's answer, or the first half of its own, with nothing
-// to show it. A load tool that only counts statuses reports a perfect run.
-func TestWrongAnswersAreFound(t *testing.T) {
+// A caller may get another caller's answer, or a silently truncated one. A load tool
+// that only counts statuses would not detect it.
+func TestWrongAnswersAreDetected(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		edit func(model, id string, tokens []string) (string, []string)
@@ -139,14 +139,14 @@
 	}
 }
 
-// The system stalls for a moment. A tool that waits for answers sends nothing
-// meanwhile, and its percentiles show no stall.
+// A closed-loop tool sends nothing while the system stalls, so that its percentiles
+// don't show the stall.
 func TestSlowAnswersDontSlowArrivals(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	var arrived atomic.Int32
 	_, r := load(c, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		// The server watches for the caller's end once the body is read.
+		// The server detects a disconnected caller only once the body is read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		arrived.Add(1)
 		<-r.Context().Done()
@@ -198,13 +198,13 @@
 func TestBadUsage(t *testing.T) {
 	t.Parallel()
 	for name, args := range map[string][]string{
-		"no gateway":   {"run"},
-		"bad gateway":  {"run", "--gateway", "localhost:1"},
-		"endless rate": {"run", "--gateway", "127.0.0.1:1", "--rate", "1e9"},
-		"endless run":  {"run", "--gateway", "127.0.0.1:1", "--duration", "2h"},
-		"bad mix":      {"run", "--gateway", "127.0.0.1:1", "--mix", "call:x"},
-		"no result":    {"report"},
-		"bad weight":   {"run", "--gateway", "127.0.0.1:1", "--market", "cr=0"},
+		"no gateway":         {"run"},
+		"bad gateway":        {"run", "--gateway", "localhost:1"},
+		"excessive rate":     {"run", "--gateway", "127.0.0.1:1", "--rate", "1e9"},
+		"excessive duration": {"run", "--gateway", "127.0.0.1:1", "--duration", "2h"},
+		"bad mix":            {"run", "--gateway", "127.0.0.1:1", "--mix", "call:x"},
+		"no result":          {"report"},
+		"bad weight":         {"run", "--gateway", "127.0.0.1:1", "--market", "cr=0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/ggsload/main.go
+++ b/cmd/ggsload/main.go
@@ -1,5 +1,5 @@
-// Command ggsload measures a deployment: it sends requests on a fixed schedule,
-// whether or not earlier ones are answered, and checks each answer.
+// Command ggsload measures a deployment under an open load: it sends requests on a
+// fixed schedule, whether or not earlier ones are answered, and checks each answer.
 //
 // # Usage
 //
@@ -8,14 +8,13 @@
 //		--shift-at 15s --out result.json
 //	ggsload report --csv table.csv --png stalls.png result.json
 //
-// Adapters are named by --adapter-format and their number; the most popular
-// has number zero until --shift-at, when the popularity moves on by half of
-// the adapters. A request's time counts from when it was due. A run ends by
-// itself: after its duration, or its --max-requests, and --timeout more.
+// The name of an adapter is its number in --adapter-format. The most popular adapter
+// has number zero until --shift-at, when the popularity shifts by half of the adapters.
+// Latencies count from when a request was due. A run ends after --duration or
+// --max-requests, and at most --timeout later.
 //
-// It exits with 0 on success, 1 where an answer was wrong, cut short without
-// an error or another caller's, or where nothing was answered, and 2 on wrong
-// usage.
+// It exits with 0 on success, 1 if an answer was wrong, truncated without an error or
+// meant for another caller, or if no request was done, and 2 on invalid usage.
 package main
 
 import (
--- a/cmd/ggsload/plan.go
+++ b/cmd/ggsload/plan.go
@@ -10,12 +10,14 @@
 	"time"
 )
 
-// planStream separates the plan's random numbers from others of one seed.
+// planStream is the random stream of the plan, so that other users of the same seed
+// draw other numbers.
 const planStream = 0x6c6f6164
 
+// A kind is a kind of request.
 type kind struct {
-	// stream and whole are chats; else the call names a plain service's
-	// operation, and once says that it carries an idempotency key.
+	// stream and whole are chat requests. Other kinds call an operation of a plain
+	// service; once means with an idempotency key.
 	stream    bool
 	whole     bool
 	once      bool
@@ -23,8 +25,8 @@
 	operation string
 }
 
-// A planned is a request of the schedule.
-type planned struct {
+// A plannedRequest is a request of the schedule.
+type plannedRequest struct {
 	due     time.Duration
 	kind    kind
 	market  string
@@ -32,37 +34,37 @@
 	gateway int
 }
 
-// A weighted draws one of its items by weight.
-type weighted[T any] struct {
+// A weightedSet draws items at random by weight.
+type weightedSet[T any] struct {
 	items []T
 	sums  []float64
 }
 
-func (w *weighted[T]) add(item T, weight float64) {
+func (w *weightedSet[T]) add(item T, weight float64) {
 	w.items = append(w.items, item)
 	w.sums = append(w.sums, weight+w.total())
 }
 
-func (w *weighted[T]) draw(g *rand.Rand) T {
+func (w *weightedSet[T]) draw(g *rand.Rand) T {
 	x := g.Float64() * w.total()
 	i := sort.Search(len(w.sums), func(i int) bool { return w.sums[i] > x })
 	return w.items[min(i, len(w.items)-1)]
 }
 
-func (w *weighted[T]) total() float64 {
+func (w *weightedSet[T]) total() float64 {
 	if len(w.sums) == 0 {
 		return 0
 	}
 	return w.sums[len(w.sums)-1]
 }
 
-// A plan is a schedule. The same options and seed always give the same one.
+// A plan is a schedule, which the options and the seed determine.
 type plan struct {
 	options *runCommand
 	rng     *rand.Rand
-	kinds   weighted[kind]
-	markets weighted[string]
-	ranks   weighted[int]
+	kinds   weightedSet[kind]
+	markets weightedSet[string]
+	ranks   weightedSet[int]
 	at      time.Duration
 	sent    int
 }
@@ -93,13 +95,13 @@
 	return p, nil
 }
 
-// next returns the next request, or false after the last.
-func (p *plan) next() (planned, bool) {
+// next returns the next request, or false after the last one.
+func (p *plan) next() (plannedRequest, bool) {
 	p.at += time.Duration(p.rng.ExpFloat64() / p.rate() * float64(time.Second))
 	if p.at >= p.options.Duration {
-		return planned{}, false
+		return plannedRequest{}, false
 	}
-	q := planned{
+	q := plannedRequest{
 		due:     p.at,
 		kind:    p.kinds.draw(p.rng),
 		market:  p.markets.draw(p.rng),
@@ -114,7 +116,7 @@
 	return q, true
 }
 
-// rate returns the rate at the plan's time.
+// rate returns the rate in requests a second at the plan's current time.
 func (p *plan) rate() float64 {
 	o := p.options
 	if o.PeakFor > 0 && p.at >= o.PeakAt && p.at < o.PeakAt+o.PeakFor {
@@ -123,8 +125,8 @@
 	return o.Rate
 }
 
-// adapterName returns the name of an adapter. A format without a verb names
-// the one adapter.
+// adapterName returns the name of an adapter. A format without a verb is the name of
+// a single adapter.
 func adapterName(format string, n int) string {
 	if !strings.Contains(format, "%") {
 		return format
@@ -132,7 +134,7 @@
 	return fmt.Sprintf(format, n)
 }
 
-// parseKind parses a kind of requests.
+// parseKind parses a kind of request.
 func parseKind(s string) (kind, error) {
 	switch s {
 	case "stream":
@@ -140,15 +142,15 @@
 	case "whole":
 		return kind{whole: true}, nil
 	}
-	how, what, _ := strings.Cut(s, ":")
-	service, operation, ok := strings.Cut(what, "/")
-	if !ok || service == "" || operation == "" || (how != "call" && how != "once") {
+	mode, target, _ := strings.Cut(s, ":")
+	service, operation, ok := strings.Cut(target, "/")
+	if !ok || service == "" || operation == "" || (mode != "call" && mode != "once") {
 		return kind{}, &usageError{detail: fmt.Sprintf("--mix %q: want stream, whole, call:SERVICE/OPERATION or once:SERVICE/OPERATION", s)}
 	}
-	return kind{service: service, operation: operation, once: how == "once"}, nil
+	return kind{service: service, operation: operation, once: mode == "once"}, nil
 }
 
-// parseWeight parses "name=weight"; the weight may be missing.
+// parseWeight parses NAME=WEIGHT. The weight defaults to 1.
 func parseWeight(option, s string) (string, float64, error) {
 	name, text, found := strings.Cut(s, "=")
 	if !found {
--- a/cmd/ggsload/report.go
+++ b/cmd/ggsload/report.go
@@ -17,8 +17,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-const reportLong = `Prints a table of results, and writes it as CSV and the stalls over time as a
-PNG plot where asked.`
+const reportLong = `Prints a table of results. With --csv it also writes the table as CSV, and with
+--png a plot of the load stalls over time.`
 
 // The size of the plot.
 const (
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// header names the table's columns.
+// header returns the names of the table's columns.
 func header() []string {
 	return []string{
 		"name", "seed", "sent", "done", "notRun", "unknown", "wrong", "dropped",
@@ -68,7 +68,7 @@
 	}
 }
 
-// row returns the table's row of a result.
+// row returns a result's row of the table.
 func (r *result) row() []string {
 	row := []string{r.Name, strconv.FormatUint(r.Seed, 10)}
 	for _, n := range []int{r.Sent, r.Done, r.NotRun, r.Unknown, r.Wrong, r.Dropped} {
@@ -99,7 +99,7 @@
 	return errors.Wrap(w.Flush(), "printing the table")
 }
 
-// writeCSV writes the table.
+// writeCSV writes the table as CSV.
 func writeCSV(file string, results []*result) error {
 	f, err := os.Create(file)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return errors.Wrap(errors.CombineErrors(w.Error(), f.Close()), "writing the table")
 }
 
-// writePlot draws the stalls' 95th percentile over time.
+// writePlot draws the 95th percentile of the load stalls over time.
 func writePlot(file string, results []*result) error {
 	p := plot.New()
 	p.Title.Text = "Load stalls, 95th percentile by second"
--- a/cmd/ggsload/result.go
+++ b/cmd/ggsload/result.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A result is a run's result as it is written.
+// A result is the result of a run, as stored in its file.
 type result struct {
 	Name       string                     `json:"name"`
 	Seed       uint64                     `json:"seed"`
@@ -26,17 +26,17 @@
 	Wrong      int                        `json:"wrong"`
 	FirstWrong string                     `json:"firstWrong,omitempty"`
 	Kinds      map[string]int             `json:"kinds"`
-	FirstByte  spread                     `json:"firstByte"`
-	Whole      spread                     `json:"whole"`
-	Stall      spread                     `json:"stall"`
-	Gap        spread                     `json:"gapBetweenTokens"`
+	FirstByte  distribution               `json:"firstByte"`
+	Whole      distribution               `json:"whole"`
+	Stall      distribution               `json:"stall"`
+	Gap        distribution               `json:"gapBetweenTokens"`
 	Seconds    []secondResult             `json:"seconds"`
 	Before     map[string]json.RawMessage `json:"countersBefore,omitempty"`
 	After      map[string]json.RawMessage `json:"countersAfter,omitempty"`
 }
 
-// A spread is a distribution of durations.
-type spread struct {
+// A distribution summarizes durations in microseconds.
+type distribution struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50Micros"`
 	P95   int64 `json:"p95Micros"`
@@ -44,7 +44,7 @@
 	Max   int64 `json:"maxMicros"`
 }
 
-// A secondResult is one second of a run.
+// A secondResult holds the requests that were due in one second of a run.
 type secondResult struct {
 	Done         int   `json:"done"`
 	NotRun       int   `json:"notRun"`
@@ -54,8 +54,8 @@
 	FirstByteP95 int64 `json:"firstByteP95Micros"`
 }
 
-func spreadOf(h *hdrhistogram.Histogram) spread {
-	return spread{
+func distributionOf(h *hdrhistogram.Histogram) distribution {
+	return distribution{
 		Count: h.TotalCount(),
 		P50:   h.ValueAtQuantile(50),
 		P95:   h.ValueAtQuantile(95),
@@ -64,7 +64,7 @@
 	}
 }
 
-// result returns what the tally holds after the run.
+// result returns the result of the run.
 func (t *tally) result(r *runCommand, took time.Duration) result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -73,9 +73,9 @@
 		Took: took.Seconds(), Sent: t.sent, Dropped: t.dropped,
 		Done: t.counts[outcomeDone], NotRun: t.counts[outcomeNotRun],
 		Unknown: t.counts[outcomeUnknown], Wrong: t.counts[outcomeWrong],
-		FirstWrong: t.firstBad, Kinds: t.kinds,
-		FirstByte: spreadOf(t.firstByte), Whole: spreadOf(t.whole),
-		Stall: spreadOf(t.stall), Gap: spreadOf(t.gap),
+		FirstWrong: t.firstWrong, Kinds: t.kinds,
+		FirstByte: distributionOf(t.firstByte), Whole: distributionOf(t.whole),
+		Stall: distributionOf(t.stall), Gap: distributionOf(t.gap),
 	}
 	for _, s := range t.seconds {
 		res.Seconds = append(res.Seconds, secondResult{
@@ -94,7 +94,7 @@
 	return append(b, '\n'), errors.Wrap(err, "encoding the result")
 }
 
-// line returns the result in one line.
+// line returns the result as a log line.
 func (r *result) line() string {
 	return fmt.Sprintf("event=loadEnded name=%q sent=%d done=%d notRun=%d unknown=%d wrong=%d dropped=%d "+
 		"firstByteP95=%s stallP50=%s stallP95=%s stallP99=%s gapP95=%s",
@@ -111,7 +111,7 @@
 	}
 	r := &result{}
 	if err := json.Unmarshal(b, r); err != nil {
-		return nil, &usageError{detail: fmt.Sprintf("%s is no result: %v", file, err)}
+		return nil, &usageError{detail: fmt.Sprintf("%s is not a result of ggsload run: %v", file, err)}
 	}
 	if r.Name == "" {
 		r.Name = file
--- a/cmd/ggsload/run.go
+++ b/cmd/ggsload/run.go
@@ -11,12 +11,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-const runLong = `Sends requests to the gateways in turn, on a schedule that is fixed by the seed,
-and writes a result as JSON. --mix KIND=WEIGHT may be repeated; KIND is stream,
+const runLong = `Sends requests to the gateways in turn, on a schedule that the seed determines,
+and writes a result as JSON. --mix KIND=WEIGHT may be repeated. KIND is stream,
 whole, call:SERVICE/OPERATION, or once:SERVICE/OPERATION for calls with an
 idempotency key.`
 
-// Bounds of a run.
+// The limits of a run.
 const (
 	maxDuration = time.Hour
 	maxRate     = 20_000
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// plan checks the options and works out the schedule.
+// plan checks the options and returns the schedule.
 func (r *runCommand) plan() (*plan, error) {
 	switch {
 	case r.Rate <= 0 || r.Rate*max(r.PeakFactor, 1) > maxRate:
@@ -90,20 +90,19 @@
 	case r.MaxInFlight <= 0 || r.MaxInFlight > maxInFlight:
 		return nil, &usageError{detail: fmt.Sprintf("--max-in-flight must be 1 to %d", maxInFlight)}
 	case r.Adapters <= 0 || r.Tokens <= 0 || r.Zipf < 0 || r.BodyBytes < 0 || r.Timeout <= 0:
-		return nil, &usageError{detail: "--adapters, --tokens and --timeout must be above 0; --zipf and --body-bytes not below"}
+		return nil, &usageError{detail: "--adapters, --tokens and --timeout must be above 0; --zipf and --body-bytes must not be negative"}
 	}
 	return newPlan(r)
 }
 
 // send sends the planned requests when they are due and waits for the answers.
 //
-// A tool that waits for an answer before it sends the next request slows down
-// with the system that it measures, and misses just the requests that would
-// have waited longest. Each request has its own goroutine and counts from when
-// it was due; one that is due while too many are in flight is counted as
-// dropped.
+// A closed loop, which waits for an answer before it sends the next request, slows
+// down with the measured system and omits the requests that would have waited longest.
+// So each request has its own goroutine, and its latency counts from when it was due.
+// A request that is due while too many are in flight counts as dropped.
 func (r *runCommand) send(ctx context.Context, a *app, p *plan, c *client, t *tally, start time.Time) {
-	places := make(chan struct{}, r.MaxInFlight)
+	slots := make(chan struct{}, r.MaxInFlight)
 	var w sync.WaitGroup
 	defer w.Wait()
 	timer := time.NewTimer(0)
@@ -123,19 +122,19 @@
 			}
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			t.drop(q.due)
 			continue
 		}
 		w.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			t.add(q.due, c.do(ctx, a.clock, due, n, &q))
 		})
 	}
 }
 
-// writeResult writes a result to a file, or to out where there is none.
+// writeResult writes a result to a file, or to out if the file name is empty.
 func writeResult(out interface{ Write([]byte) (int, error) }, file string, result *result) error {
 	b, err := result.encode()
 	if err != nil {
@@ -148,7 +147,7 @@
 	return errors.Wrap(os.WriteFile(file, b, 0o600), "writing the result")
 }
 
-// parseAddr parses an option's address.
+// parseAddr parses the address of an option.
 func parseAddr(option, s string) (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
--- a/cmd/ggsload/tally.go
+++ b/cmd/ggsload/tally.go
@@ -13,22 +13,22 @@
 	histogramDigits = 3
 )
 
-// A tally gathers the answers of a run. Its mutex is a leaf.
+// A tally counts the responses of a run. No other lock is taken while its mutex is held.
 type tally struct {
-	mu        sync.Mutex
-	sent      int
-	dropped   int
-	counts    map[outcome]int
-	kinds     map[string]int
-	firstBad  string
-	firstByte *hdrhistogram.Histogram
-	whole     *hdrhistogram.Histogram
-	stall     *hdrhistogram.Histogram
-	gap       *hdrhistogram.Histogram
-	seconds   []*second
+	mu         sync.Mutex
+	sent       int
+	dropped    int
+	counts     map[outcome]int
+	kinds      map[string]int
+	firstWrong string
+	firstByte  *hdrhistogram.Histogram
+	whole      *hdrhistogram.Histogram
+	stall      *hdrhistogram.Histogram
+	gap        *hdrhistogram.Histogram
+	seconds    []*second
 }
 
-// A second is what became of the requests that were due in one second.
+// A second counts the responses to the requests that were due in one second.
 type second struct {
 	counts    map[outcome]int
 	dropped   int
@@ -47,8 +47,8 @@
 	}
 }
 
-// add takes an answer to a request that was due then.
-func (t *tally) add(due time.Duration, a answered) {
+// add records the response to a request that was due at a time of the run.
+func (t *tally) add(due time.Duration, a response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.second(due)
@@ -58,8 +58,8 @@
 	if a.kind != "" && a.outcome != outcomeWrong {
 		t.kinds[string(a.outcome)+"."+a.kind]++
 	}
-	if a.outcome == outcomeWrong && t.firstBad == "" {
-		t.firstBad = a.kind
+	if a.outcome == outcomeWrong && t.firstWrong == "" {
+		t.firstWrong = a.kind
 	}
 	if a.outcome != outcomeDone || a.whole == 0 {
 		return
@@ -84,7 +84,7 @@
 	t.second(due).dropped++
 }
 
-// second returns the entry of a time. The mutex is held.
+// second returns the counts of a time's second. The caller holds the mutex.
 func (t *tally) second(due time.Duration) *second {
 	n := int(due / time.Second)
 	for len(t.seconds) <= n {
@@ -101,7 +101,7 @@
 	return hdrhistogram.New(1, histogramMax, histogramDigits)
 }
 
-// record records a duration; one out of range counts as the range's end.
+// record records a duration, clamped to the histogram's range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 1), histogramMax))
 }
