--- a/cmd/ggsedge/main.go
+++ b/cmd/ggsedge/main.go
@@ -1,11 +1,13 @@
-// Command ggsedge serves an entry VM on the users' platform: it faces callers,
-// passes their requests on to endpoints and gives endpoints their orders.
+// Command ggsedge is the server of an entry VM on the users' platform. It accepts
+// callers' requests, forwards them to endpoints, and sends endpoints their orders to
+// load and unload adapters.
 //
 // # Usage
 //
 //	ggsedge
 //
-// The platform's variable names the file with its settings.
+// The environment variable GREENGAGESLIP_NODE_FILE holds the path of the settings
+// file, which the platform writes.
 package main
 
 import (
