--- a/cmd/ggsgateway/main.go
+++ b/cmd/ggsgateway/main.go
@@ -1,5 +1,5 @@
-// Command ggsgateway faces callers: it resolves their requests on the document
-// in force and relays the answers of the dispatchers.
+// Command ggsgateway accepts callers' requests. It resolves them with the document in
+// force, submits them to dispatchers and relays the dispatchers' answers.
 //
 // # Usage
 //
