--- a/cmd/ggsdispatcher/main.go
+++ b/cmd/ggsdispatcher/main.go
@@ -1,5 +1,4 @@
-// Command ggsdispatcher owns endpoints of its failure domain and runs requests
-// on them.
+// Command ggsdispatcher owns endpoints of its failure domain and runs requests on them.
 //
 // # Usage
 //
