--- a/cmd/ggsctl/app.go
+++ b/cmd/ggsctl/app.go
@@ -40,10 +40,10 @@
 // globalOptions are the options before the command.
 type globalOptions struct {
 	Settings string `description:"settings of this client (TOML)" long:"settings" value-name:"FILE"`
-	Platform string `description:"the platform's service" long:"platform" value-name:"ADDR"`
+	Platform string `description:"address of the platform's service" long:"platform" value-name:"ADDR"`
 	// Entries are the state addresses of entry processes.
-	Entries []string `description:"an entry process's state address; may be repeated" long:"entry" value-name:"ADDR"`
-	Verbose bool     `description:"log the calls of the platform to standard error" long:"verbose" short:"v"`
+	Entries []string `description:"state address of an entry process; may be repeated" long:"entry" value-name:"ADDR"`
+	Verbose bool     `description:"log calls to the platform to standard error" long:"verbose" short:"v"`
 }
 
 // settingsFile holds the client's settings.
--- a/cmd/ggsctl/apply.go
+++ b/cmd/ggsctl/apply.go
@@ -21,10 +21,10 @@
 // changeOptions are the options of commands that change a section.
 type changeOptions struct {
 	Revision *uint64 `description:"the document's revision that was read" long:"revision" value-name:"N"`
-	Change   string  `description:"the id of a change whose outcome wasn't known" long:"change" value-name:"ID"`
+	Change   string  `description:"the id of an earlier change whose outcome is unknown" long:"change" value-name:"ID"`
 	By       string  `description:"the operator's name (default: settings or $USER)" long:"by" value-name:"NAME"`
-	DryRun   bool    `description:"check and show, but write nothing" long:"dry-run"`
-	Tries    int     `description:"tries before giving up (12)" long:"tries" value-name:"N"`
+	DryRun   bool    `description:"check and show the result, but write nothing" long:"dry-run"`
+	Tries    int     `description:"maximum number of attempts (default: 12)" long:"tries" value-name:"N"`
 }
 
 type applyCommand struct {
--- a/cmd/ggsctl/report.go
+++ b/cmd/ggsctl/report.go
@@ -33,8 +33,8 @@
 const worstEndpoints = 5
 
 type reportCommand struct {
-	Every time.Duration `default:"2s" description:"length of a row of the table by time" long:"every" value-name:"DURATION"`
-	Plot  string        `description:"where a plot of the losses by time goes (.svg or .png)" long:"plot" value-name:"FILE"`
+	Every time.Duration `default:"2s" description:"time span of a row of the table by time" long:"every" value-name:"DURATION"`
+	Plot  string        `description:"file for a plot of the losses by time (.svg or .png)" long:"plot" value-name:"FILE"`
 	Args  struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
 	} `positional-args:"yes" required:"yes"`
--- a/cmd/ggsctl/request.go
+++ b/cmd/ggsctl/request.go
@@ -51,7 +51,7 @@
 	Message   string `description:"the message" long:"message" value-name:"TEXT"`
 	Key       string `description:"the idempotency key" long:"key" value-name:"KEY"`
 	NewKey    bool   `description:"make an idempotency key and show it" long:"new-key"`
-	Stream    bool   `description:"print the answer piece by piece" long:"stream"`
+	Stream    bool   `description:"print the answer as it arrives" long:"stream"`
 }
 
 type chatWire struct {
--- a/cmd/ggsctl/validate.go
+++ b/cmd/ggsctl/validate.go
@@ -25,7 +25,7 @@
 
 type validateCommand struct {
 	VM    bool `description:"check settings that the users' platform writes for a VM" long:"vm"`
-	Merge bool `description:"check beside the platform's other sections" long:"merge"`
+	Merge bool `description:"check together with the platform's other sections" long:"merge"`
 	Args  struct {
 		Files []string `positional-arg-name:"FILE" required:"1"`
 	} `positional-args:"yes"`
--- a/cmd/ggsload/report.go
+++ b/cmd/ggsload/report.go
@@ -28,8 +28,8 @@
 
 // A reportCommand compares results.
 type reportCommand struct {
-	CSV  string `long:"csv" value-name:"FILE" description:"where the table goes as CSV"`
-	PNG  string `long:"png" value-name:"FILE" description:"where the plot goes"`
+	CSV  string `long:"csv" value-name:"FILE" description:"file for the table as CSV"`
+	PNG  string `long:"png" value-name:"FILE" description:"file for the plot"`
 	Args struct {
 		Files []string `positional-arg-name:"RESULT" required:"1"`
 	} `positional-args:"true"`
--- a/cmd/ggsload/run.go
+++ b/cmd/ggsload/run.go
@@ -29,25 +29,25 @@
 	States      []string      `long:"state" value-name:"ADDR" description:"a process's state address, whose counters go into the result; may be repeated"`
 	Markets     []string      `long:"market" value-name:"NAME[=WEIGHT]" default:"cr" description:"a market; may be repeated"`
 	Service     string        `long:"service" description:"the model service; the gateway's default if empty"`
-	Mix         []string      `long:"mix" value-name:"KIND=WEIGHT" default:"stream=1" description:"the kinds of requests"`
+	Mix         []string      `long:"mix" value-name:"KIND=WEIGHT" default:"stream=1" description:"a kind of request; may be repeated"`
 	Rate        float64       `long:"rate" default:"20" description:"requests a second"`
 	Duration    time.Duration `long:"duration" default:"10s"`
 	Seed        uint64        `long:"seed" default:"1"`
 	Adapters    int           `long:"adapters" default:"1" description:"number of adapters"`
-	Format      string        `long:"adapter-format" default:"adapter-%05d@v1" description:"an adapter's name and version by its number"`
+	Format      string        `long:"adapter-format" default:"adapter-%05d@v1" description:"format of an adapter's name and version from its number"`
 	Zipf        float64       `long:"zipf" default:"1" description:"exponent of the popularity; 0 is even"`
-	ShiftAt     time.Duration `long:"shift-at" description:"when the popularity moves on"`
-	PeakAt      time.Duration `long:"peak-at" description:"when the rate rises"`
-	PeakFor     time.Duration `long:"peak-for" description:"for how long"`
-	PeakFactor  float64       `long:"peak-factor" default:"5" description:"how many times the rate"`
-	Tokens      int           `long:"tokens" default:"16" description:"tokens to ask for"`
+	ShiftAt     time.Duration `long:"shift-at" description:"when the popularity shifts by half of the adapters"`
+	PeakAt      time.Duration `long:"peak-at" description:"start of the peak"`
+	PeakFor     time.Duration `long:"peak-for" description:"duration of the peak"`
+	PeakFactor  float64       `long:"peak-factor" default:"5" description:"factor of the rate during the peak"`
+	Tokens      int           `long:"tokens" default:"16" description:"tokens per answer"`
 	BodyBytes   int           `long:"body-bytes" default:"200" description:"size of the prompt"`
 	Timeout     time.Duration `long:"timeout" default:"30s" description:"bound on each request"`
-	MaxInFlight int           `long:"max-in-flight" default:"1000" description:"requests beyond it are counted as dropped"`
+	MaxInFlight int           `long:"max-in-flight" default:"1000" description:"bound on requests in flight; further ones count as dropped"`
 	MaxRequests int           `long:"max-requests" default:"100000"`
-	AnyTokens   bool          `long:"any-tokens" description:"don't compare the tokens with those of the stand-in engines"`
+	AnyTokens   bool          `long:"any-tokens" description:"don't compare the tokens with those of the fake engines"`
 	Name        string        `long:"name" description:"the run's name in reports"`
-	Out         string        `long:"out" value-name:"FILE" description:"where the result goes; standard output if empty"`
+	Out         string        `long:"out" value-name:"FILE" description:"file for the result; standard output if empty"`
 }
 
 // run implements command.
