--- a/cmd/ggsctl/script_test.go
+++ b/cmd/ggsctl/script_test.go
@@ -240,7 +240,7 @@
 		PollInterval: 10 * time.Millisecond,
 	})
 	t := ggsstate.New("ggsgateway", ggscore.VMID(args[1]), func() time.Time { return time.Unix(0, 0) })
-	t.Add("document", func() any { return f.State() })
+	t.AddPart("document", func() any { return f.State() })
 	h := httptest.NewServer(t.Handler())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -261,7 +261,7 @@
 	var e ggsedge.State
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[2])), &e))
 	t := ggsstate.New("ggsedge", ggscore.VMID(args[1]), func() time.Time { return time.Unix(0, 0) })
-	t.Add("edge", func() any { return e })
+	t.AddPart("edge", func() any { return e })
 	h := httptest.NewServer(t.Handler())
 	ts.Defer(h.Close)
 	s.name(args[0], netip.MustParseAddrPort(h.Listener.Addr().String()))
--- a/cmd/ggsnode/common.go
+++ b/cmd/ggsnode/common.go
@@ -64,12 +64,12 @@
 ) {
 	v.SetMembers(&listMembership{node: n, role: r, members: m})
 	h.background("document", f.Run)
-	t.Add("document", func() any { return f.State() })
-	t.Add("vms", func() any {
+	t.AddPart("document", func() any { return f.State() })
+	t.AddPart("vms", func() any {
 		vms, _ := v.List()
 		return len(vms)
 	})
-	t.Count("revision", func() int64 { return int64(f.Head().Revision) })
+	t.AddCounter("revision", func() int64 { return int64(f.Head().Revision) })
 }
 
 // A listedMembers lists the dispatchers on the platform's list of VMs, or those of the settings
--- a/cmd/ggsnode/dispatcher.go
+++ b/cmd/ggsnode/dispatcher.go
@@ -131,10 +131,10 @@
 		return s.Register("Dispatch", ggsdispatch.NewService(ctx, p.Dispatcher))
 	})
 	registerDispatcherCounters(p.State, p.Dispatcher.Stats())
-	p.State.Add("dispatcher", func() any { return p.Dispatcher.State() })
-	p.State.Add("owners", func() any { return ownerStates(p.Owners.Status(p.Clock())) })
-	p.State.Add("members", func() any { return memberStates(p.Heartbeats.Members()) })
-	p.State.Add("claims", func() any { return p.Claims.Stats() })
+	p.State.AddPart("dispatcher", func() any { return p.Dispatcher.State() })
+	p.State.AddPart("owners", func() any { return ownerStates(p.Owners.Status(p.Clock())) })
+	p.State.AddPart("members", func() any { return memberStates(p.Heartbeats.Members()) })
+	p.State.AddPart("claims", func() any { return p.Claims.Stats() })
 	h.serveHTTP("state", p.Settings.StateListen, p.State.Handler())
 	h.Lifecycle.Append(fx.Hook{OnStop: func(ctx context.Context) error { return p.drain(ctx, h.Log) }})
 }
@@ -169,13 +169,13 @@
 }
 
 func registerDispatcherCounters(t *ggsstate.State, k *ggsdispatch.Stats) {
-	t.Count("submitted", k.Submitted.Load)
-	t.Count("done", k.Done.Load)
-	t.Count("notRun", k.NotRun.Load)
-	t.Count("unknown", k.Unknown.Load)
-	t.Count("loads", k.Loads.Load)
-	t.Count("loadsFailed", k.LoadsFailed.Load)
-	t.Count("unloads", k.Unloads.Load)
-	t.Count("wrongAdapter", k.WrongAdapter.Load)
-	t.Count("fenced", k.Fenced.Load)
+	t.AddCounter("submitted", k.Submitted.Load)
+	t.AddCounter("done", k.Done.Load)
+	t.AddCounter("notRun", k.NotRun.Load)
+	t.AddCounter("unknown", k.Unknown.Load)
+	t.AddCounter("loads", k.Loads.Load)
+	t.AddCounter("loadsFailed", k.LoadsFailed.Load)
+	t.AddCounter("unloads", k.Unloads.Load)
+	t.AddCounter("wrongAdapter", k.WrongAdapter.Load)
+	t.AddCounter("fenced", k.Fenced.Load)
 }
--- a/cmd/ggsnode/edge.go
+++ b/cmd/ggsnode/edge.go
@@ -115,7 +115,7 @@
 		stop()
 		<-done
 	}()
-	l := log.Logger(ggslog.NewLimit(ggslog.New(w, edgeProgram, s.VM, ggslog.Level(c.LogLevel)), time.Now)) //nolint:forbidigo // the clock of the log
+	l := log.Logger(ggslog.NewSampler(ggslog.New(w, edgeProgram, s.VM, ggslog.Level(c.LogLevel)), time.Now)) //nolint:forbidigo // the clock of the log
 	return runEdge(ctx, &c, &s, policy, l)
 }
 
@@ -157,7 +157,7 @@
 		VM:     s.VM + "@" + ggscore.VMID(s.Addr.String()),
 		Domain: s.Domain, Regions: s.Regions, Seed: h.Sum64() ^ uint64(t().UnixNano()),
 		Capacity:     edgeCapacity(s),
-		DatagramAddr: edgeDatagramAddr(s), ControlAddr: s.Control, Seeds: s.Seeds, MinOrderGap: s.OrderTurn, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack,
+		DatagramAddr: edgeDatagramAddr(s), ControlAddr: s.Control, Seeds: s.Seeds, MinOrderGap: s.MinOrderGap, FirstStart: s.FirstStart, RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack,
 		MaxInFlight:    int64(float64(cmp.Or(s.MaxFiles, defaultFiles)-reservedFiles) * inFlightShare),
 		MaxBodiesBytes: int64(float64(cmp.Or(s.MemoryBytes, defaultMemory)) * bodiesShare),
 		IDHeader:       ggsdialect.HeaderRequestID,
@@ -256,16 +256,16 @@
 func edgeState(s *ggsdialect.Settings, e *ggsedge.Edge, c clock) http.Handler {
 	t := ggsstate.New(edgeProgram, s.VM, c)
 	k := e.Stats()
-	t.Count("requests", k.Requests.Load)
-	t.Count("answered", k.Answered.Load)
-	t.Count("refused", k.Refused.Load)
-	t.Count("failed", k.Failed.Load)
-	t.Count("callersLeft", k.CallersLeft.Load)
-	t.Count("retries", k.Retries.Load)
-	t.Count("orders", k.Orders.Load)
-	t.Count("storeCalls", k.StoreCalls.Load)
-	t.Count("active", k.InFlight.Load)
-	t.Add("edge", func() any { return e.State() })
+	t.AddCounter("requests", k.Requests.Load)
+	t.AddCounter("answered", k.Answered.Load)
+	t.AddCounter("refused", k.Refused.Load)
+	t.AddCounter("failed", k.Failed.Load)
+	t.AddCounter("callersLeft", k.CallersLeft.Load)
+	t.AddCounter("retries", k.Retries.Load)
+	t.AddCounter("orders", k.Orders.Load)
+	t.AddCounter("storeCalls", k.StoreCalls.Load)
+	t.AddCounter("active", k.InFlight.Load)
+	t.AddPart("edge", func() any { return e.State() })
 	t.SetHealth(e.Ready)
 	g := t.HandlerWithHealth(ggsdialect.PathReady)
 	g.GET(metricsPath, gin.WrapH(e.Metrics()))
--- a/cmd/ggsnode/edge_bandwidth_test.go
+++ b/cmd/ggsnode/edge_bandwidth_test.go
@@ -82,13 +82,13 @@
 	t.Parallel()
 	s, l := startSlowLinkSite(t)
 	config := ggsfakesite.LargeConfig(2, "/talk/", largeRoutes)
-	before, snapshots := l.Stats().BytesFromTarget, s.site.Store.Snapshots("op/")
+	before, snapshots := l.Stats().BytesFromTarget, s.site.Store.ListCalls("op/")
 	s.site.Store.Put("op/config", config)
 	s.eventually("the change is in force at the edge with the slow link", func() bool { return s.served(1, "/talk/x") })
 	received := l.Stats().BytesFromTarget - before
 	once := uint64(len(config)) * 4 / 3
 	s.c.Assert(received < once*3/2, qt.IsTrue, qt.Commentf("received %d bytes for an answer of %d bytes", received, once))
-	s.c.Assert(s.site.Store.Snapshots("op/"), qt.Equals, snapshots)
+	s.c.Assert(s.site.Store.ListCalls("op/"), qt.Equals, snapshots)
 }
 
 // Guards against a VM that never becomes ready while the store is unavailable, because the
@@ -98,7 +98,7 @@
 	s := startSite(t, 1)
 	s.site.Store.Put("op/config", ggsfakesite.LargeConfig(2, "/talk/", largeRoutes))
 	s.eventually("the change is in force", func() bool { return s.served(0, "/talk/x") })
-	s.site.Store.SetAway(true)
+	s.site.Store.SetUnavailable(true)
 	_, at := s.linkTo(t, s.edges[0].settings.Control)
 	known := s.edges
 	s.edges = nil
--- a/cmd/ggsnode/edge_epoch_test.go
+++ b/cmd/ggsnode/edge_epoch_test.go
@@ -26,30 +26,30 @@
 
 // restoreFromCopy restores the store from a copy of its present state.
 func (s *siteTest) restoreFromCopy(meanwhile func()) {
-	s.restoreFrom(s.site.Store.Copy(), meanwhile)
+	s.restoreFrom(s.site.Store.Backup(), meanwhile)
 }
 
 // restoreFrom restores the store from a copy after the edges have read and written revisions
 // that the restore discards, and waits until every edge knows the new epoch. Endpoints rewrite
 // their entries only on Site.Rewrite.
-func (s *siteTest) restoreFrom(k ggsfakesite.Copy, meanwhile func()) {
+func (s *siteTest) restoreFrom(k ggsfakesite.Backup, meanwhile func()) {
 	const list, own = "servers/", "greengageslip/vm/"
 	meanwhile()
-	s.site.Store.Advance(lostRevisions)
-	mark, read := s.site.Store.Revision(), s.site.Store.Snapshots(list)
-	s.eventually("the list is read", func() bool { return s.site.Store.Snapshots(list) > read+1 })
+	s.site.Store.AdvanceRevision(lostRevisions)
+	mark, read := s.site.Store.Revision(), s.site.Store.ListCalls(list)
+	s.eventually("the list is read", func() bool { return s.site.Store.ListCalls(list) > read+1 })
 	s.eventually("heartbeats are written", func() bool { return s.site.Store.Written(own, mark) > 0 })
-	s.site.Store.SetAway(true)
+	s.site.Store.SetUnavailable(true)
 	s.eachEdge("the store is unreachable", func(e ggsedge.State) bool { return e.StoreUnavailable })
-	s.site.Return(k, neverRewrite)
-	s.site.Store.SetAway(false)
+	s.site.Restore(k, neverRewrite)
+	s.site.Store.SetUnavailable(false)
 	s.eachEdge("the epoch is known", func(e ggsedge.State) bool { return uint64(e.Epoch) == s.site.Store.Era() })
 }
 
 // rewrite makes all endpoints write their entries again and waits for the writes.
 func (s *siteTest) rewrite() {
 	mark := s.site.Store.Revision()
-	s.site.Rewrite()
+	s.site.ResumeEntries()
 	s.eventually("all entries are written", func() bool {
 		return s.site.Store.Written("servers/", mark) == len(s.site.Endpoints)
 	})
@@ -103,9 +103,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := startSite(t, 2)
-			k := s.site.Store.Copy()
+			k := s.site.Store.Backup()
 			if tc.older {
-				k = k.Without("greengageslip/")
+				k = k.WithoutPrefix("greengageslip/")
 			}
 			s.restoreFrom(k, func() {})
 			s.rewrite()
@@ -152,7 +152,7 @@
 func TestEndpointsAreKeptWhileTheirEntriesAreLost(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
-	s.restoreFrom(s.site.Store.Copy().Without("servers/"), func() {})
+	s.restoreFrom(s.site.Store.Backup().WithoutPrefix("servers/"), func() {})
 	for range 2 {
 		served, all := s.callSteadily(http.MethodGet, "/look/1", "", 20*time.Millisecond, time.Second)
 		s.c.Check(served, qt.Equals, all)
--- a/cmd/ggsnode/edge_leaving_test.go
+++ b/cmd/ggsnode/edge_leaving_test.go
@@ -29,7 +29,7 @@
 			s := startSite(t, 2)
 			s.callSteadily(tc.method, tc.path, tc.model, 100*time.Millisecond, time.Second)
 			e := s.site.Endpoints[tc.endpoint]
-			s.site.Store.SetAway(tc.storeUnavailable)
+			s.site.Store.SetUnavailable(tc.storeUnavailable)
 			e.SetLeaving(true)
 			begun := time.Now()
 			served, all := s.callSteadily(tc.method, tc.path, tc.model, 100*time.Millisecond, 2*drainTime)
--- a/cmd/ggsnode/edge_retryafter_test.go
+++ b/cmd/ggsnode/edge_retryafter_test.go
@@ -33,7 +33,7 @@
 			s.callSteadily(tc.method, tc.path, tc.model, 100*time.Millisecond, time.Second)
 			e := s.site.Endpoints[tc.endpoint]
 			e.SetRetryAfter(testRetryAfter)
-			e.SetFault(always(ggsfakesite.FaultShed))
+			e.SetFault(always(ggsfakesite.FaultRefuse))
 			begun := time.Now()
 			served, all := s.callSteadily(tc.method, tc.path, tc.model, 50*time.Millisecond, testRetryAfter)
 			e.SetFault(always(ggsfakesite.FaultNone))
--- a/cmd/ggsnode/edge_store_test.go
+++ b/cmd/ggsnode/edge_store_test.go
@@ -94,13 +94,13 @@
 		return s.call(0, http.MethodPost, path, "m/a7", "Hola").status == http.StatusOK
 	}
 	s.eventually("the adapter is served", func() bool { return served("/chat/x") })
-	s.site.Store.SetAway(true)
+	s.site.Store.SetUnavailable(true)
 	for range 5 {
 		s.c.Assert(served("/chat/x"), qt.IsTrue)
 	}
 	s.site.Store.Put("op/config", ggsfakesite.Config(9, "/talk/"))
 	s.site.Store.Compact()
-	s.site.Store.SetAway(false)
+	s.site.Store.SetUnavailable(false)
 	s.eventually("the change is in force", func() bool { return served("/talk/x") })
 }
 
@@ -109,7 +109,7 @@
 func TestNoConfigurationYet(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 0)
-	s.site.Store.SetAway(true)
+	s.site.Store.SetUnavailable(true)
 	s.startEdge(t, 0)
 	var r reply
 	s.eventually("the edge answers", func() bool {
@@ -126,7 +126,7 @@
 	t.Parallel()
 	s := startSite(t, 1)
 	s.c.Assert(s.call(0, http.MethodPost, "/chat/x", "m/a7", "Hola").status, qt.Equals, http.StatusOK)
-	s.site.Store.SetAway(true)
+	s.site.Store.SetUnavailable(true)
 	s.startEdge(t, 1)
 	s.eventually("the second edge is ready", func() bool {
 		return s.ready(1) == http.StatusOK
@@ -144,7 +144,7 @@
 func TestOrdersContinueAfterAStartWithoutTheStore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
-	s.site.Store.SetAway(true)
+	s.site.Store.SetUnavailable(true)
 	s.edges[0].cancel()
 	s.edges[0].done <- <-s.edges[0].done
 	again := s.edges[0]
@@ -153,7 +153,7 @@
 	s.eventually("the edge is ready again", func() bool { return s.ready(1) == http.StatusOK })
 	s.c.Assert(s.edges[1].settings.Callers, qt.Equals, again.settings.Callers)
 	time.Sleep(time.Second)
-	s.site.Store.SetAway(false)
+	s.site.Store.SetUnavailable(false)
 	n := 0
 	s.eventually("its runner gets orders", func() bool {
 		n++
--- a/cmd/ggsnode/edge_test.go
+++ b/cmd/ggsnode/edge_test.go
@@ -103,7 +103,7 @@
 		VM: ggscore.VMID(fmt.Sprintf("edge-%d", n)), Addr: ip, Domain: ggscore.Domain([]string{"a", "b"}[n%2]),
 		Regions: map[ggscore.Domain]ggscore.Region{"a": "west", "b": "east"},
 		Callers: netip.AddrPortFrom(ip, 7100), Ready: netip.AddrPortFrom(ip, 7101), Control: netip.AddrPortFrom(ip, 7300), FirstPort: 7200,
-		Cores: 1, MaxFiles: 4100, MemoryBytes: 284 << 20, Store: store, FirstStart: true, Grace: 4 * time.Second, OrderTurn: 3 * time.Second, RetryRatio: 0.2, RetrySlack: 58,
+		Cores: 1, MaxFiles: 4100, MemoryBytes: 284 << 20, Store: store, FirstStart: true, Grace: 4 * time.Second, MinOrderGap: 3 * time.Second, RetryRatio: 0.2, RetrySlack: 58,
 	}}
 	change(&e.settings)
 	for _, o := range s.edges {
@@ -257,7 +257,7 @@
 	}{
 		"no route":       {method: http.MethodGet, path: "/nowhere/", want: http.StatusNotFound},
 		"body too long":  {method: http.MethodPost, path: "/pay/1", body: strings.Repeat("x", 70000), want: http.StatusRequestEntityTooLarge},
-		"endpoints full": {method: http.MethodGet, path: "/look/1", fault: ggsfakesite.FaultShed, want: http.StatusServiceUnavailable},
+		"endpoints full": {method: http.MethodGet, path: "/look/1", fault: ggsfakesite.FaultRefuse, want: http.StatusServiceUnavailable},
 	} {
 		s.setFault("ledger", always(tc.fault))
 		r := s.call(0, tc.method, tc.path, "", tc.body)
@@ -312,8 +312,8 @@
 	t.Parallel()
 	for name, fault := range map[string]ggsfakesite.Fault{
 		"connection closed": ggsfakesite.FaultReset,
-		"answer cut":        ggsfakesite.FaultCut,
-		"answer unsigned":   ggsfakesite.FaultUnsigned,
+		"answer cut":        ggsfakesite.FaultTruncate,
+		"answer unsigned":   ggsfakesite.FaultNoStamp,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -332,10 +332,10 @@
 	t.Parallel()
 	for name, fault := range map[string]ggsfakesite.Fault{
 		"connection closed": ggsfakesite.FaultReset,
-		"answer cut":        ggsfakesite.FaultCut,
-		"answer unsigned":   ggsfakesite.FaultUnsigned,
+		"answer cut":        ggsfakesite.FaultTruncate,
+		"answer unsigned":   ggsfakesite.FaultNoStamp,
 		"failure":           ggsfakesite.FaultError,
-		"shed":              ggsfakesite.FaultShed,
+		"shed":              ggsfakesite.FaultRefuse,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -353,7 +353,7 @@
 func TestFirstFailureIsReturnedWhenTheRetryFails(t *testing.T) {
 	t.Parallel()
 	for name, other := range map[string]ggsfakesite.Fault{
-		"sheds":  ggsfakesite.FaultShed,
+		"sheds":  ggsfakesite.FaultRefuse,
 		"resets": ggsfakesite.FaultReset,
 		"fails":  ggsfakesite.FaultError,
 	} {
@@ -390,7 +390,7 @@
 func TestBrokenStreamIsIncompleteForTheCaller(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
-	s.setFault("runner", always(ggsfakesite.FaultCut))
+	s.setFault("runner", always(ggsfakesite.FaultTruncate))
 	r := s.call(0, http.MethodPost, "/chat/x", "", "Hola")
 	s.c.Assert(r.status, qt.Equals, http.StatusOK)
 	s.c.Assert(r.complete, qt.IsFalse)
@@ -411,7 +411,7 @@
 	s.eventually("its run ends", func() bool {
 		n := 0
 		for _, e := range s.site.Endpoints {
-			n += e.Left()
+			n += e.CallersLeft()
 		}
 		return n == 1
 	})
--- a/cmd/ggsnode/errors.go
+++ b/cmd/ggsnode/errors.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// An UnwantedArgumentError reports a positional argument, which no program takes.
-type UnwantedArgumentError struct{ Argument string }
+// An UnexpectedArgumentError reports a positional argument, which no program takes.
+type UnexpectedArgumentError struct{ Argument string }
 
 // Error implements error.
-func (e *UnwantedArgumentError) Error() string {
+func (e *UnexpectedArgumentError) Error() string {
 	return fmt.Sprintf("unexpected argument %q", e.Argument)
 }
 
--- a/cmd/ggsnode/run.go
+++ b/cmd/ggsnode/run.go
@@ -53,7 +53,7 @@
 		return exitOK, false
 	}
 	if err == nil && len(rest) > 0 {
-		err = &UnwantedArgumentError{Argument: rest[0]}
+		err = &UnexpectedArgumentError{Argument: rest[0]}
 	}
 	if err != nil {
 		_, _ = fmt.Fprintf(stderr, "%s: %v\n", program, err)
--- a/cmd/ggsnode/soak_answers_test.go
+++ b/cmd/ggsnode/soak_answers_test.go
@@ -77,7 +77,7 @@
 func (s *soak) shedRequests(r *rand.Rand, d time.Duration) {
 	e := s.site.Endpoints[s.endpoint(r, "")]
 	e.SetRetryAfter(d)
-	e.SetFault(func(ggsfakesite.Query) ggsfakesite.Fault { return ggsfakesite.FaultShed })
+	e.SetFault(func(ggsfakesite.Query) ggsfakesite.Fault { return ggsfakesite.FaultRefuse })
 	s.sleep(d)
 	e.SetFault(func(ggsfakesite.Query) ggsfakesite.Fault { return ggsfakesite.FaultNone })
 	e.SetRetryAfter(0)
--- a/cmd/ggsnode/soak_faults_test.go
+++ b/cmd/ggsnode/soak_faults_test.go
@@ -153,9 +153,9 @@
 }
 
 func (s *soak) storeUnavailable(_ *rand.Rand, d time.Duration) {
-	s.site.Store.SetAway(true)
+	s.site.Store.SetUnavailable(true)
 	s.sleep(d)
-	s.site.Store.SetAway(false)
+	s.site.Store.SetUnavailable(false)
 }
 
 func (s *soak) storeLosesAnswers(r *rand.Rand, d time.Duration) {
@@ -166,7 +166,7 @@
 
 func (s *soak) failEndpoints(r *rand.Rand, d time.Duration) {
 	faults := []ggsfakesite.Fault{
-		ggsfakesite.FaultReset, ggsfakesite.FaultShed, ggsfakesite.FaultCut, ggsfakesite.FaultError, ggsfakesite.FaultUnsigned,
+		ggsfakesite.FaultReset, ggsfakesite.FaultRefuse, ggsfakesite.FaultTruncate, ggsfakesite.FaultError, ggsfakesite.FaultNoStamp,
 	}
 	f := faults[r.IntN(len(faults))]
 	e := s.site.Endpoints[s.endpoint(r, "")]
@@ -213,18 +213,18 @@
 // restoreStore restores the store from a copy, sometimes twice in short succession. Writes are
 // held meanwhile and applied later; endpoints and operators rewrite the lost entries.
 func (s *soak) restoreStore(r *rand.Rand, d time.Duration) {
-	k := s.site.Store.Copy()
+	k := s.site.Store.Backup()
 	s.sleep(d)
 	rewrite := func() time.Duration { return time.Duration(r.IntN(int(soakRewriteBound))) }
 	for range 1 + r.IntN(2) {
 		s.site.Store.HoldWrites(r.IntN(4))
-		s.site.Store.SetAway(r.IntN(3) > 0)
+		s.site.Store.SetUnavailable(r.IntN(3) > 0)
 		s.sleep(time.Duration(r.IntN(1000)) * time.Millisecond)
-		s.site.Return(k, rewrite())
-		s.site.Store.SetAway(false)
+		s.site.Restore(k, rewrite())
+		s.site.Store.SetUnavailable(false)
 		s.sleep(rewrite())
 		s.site.Store.HoldWrites(0)
-		s.site.Store.CarryOutHeld()
+		s.site.Store.ApplyHeld()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fakes/ggsfake/plain.go
+++ b/fakes/ggsfake/plain.go
@@ -18,6 +18,6 @@
 	if c.Time < 0 {
 		return service{}, &BadFlagError{Flag: "time", Want: "at least 0s"}
 	}
-	p := ggsfakeplain.New(ggsfakeplain.Options{ID: ggscore.EndpointID(c.ID), Time: c.Time})
+	p := ggsfakeplain.New(ggsfakeplain.Options{ID: ggscore.EndpointID(c.ID), CallTime: c.Time})
 	return service{name: "plain", handler: p.Handler(), labels: c.fields()}, nil
 }
--- a/fakes/ggsfake/weights.go
+++ b/fakes/ggsfake/weights.go
@@ -21,11 +21,11 @@
 		return service{}, &BadFlagError{Flag: "at-once", Want: "at least 1"}
 	}
 	w := ggsfakeweights.New(ggsfakeweights.Options{
-		LoadsPerSecond: c.LoadsPerSecond,
-		AtOnce:         c.AtOnce,
-		InTransit:      c.InTransit,
-		LoadTime:       c.LoadTime,
-		Seed:           c.Seed,
+		LoadsPerSecond:   c.LoadsPerSecond,
+		Burst:            c.AtOnce,
+		LoadsAtFullSpeed: c.InTransit,
+		LoadTime:         c.LoadTime,
+		Seed:             c.Seed,
 	})
 	return service{name: "weights", handler: w.Handler()}, nil
 }
--- a/fakes/ggsfakebatch/engine.go
+++ b/fakes/ggsfakebatch/engine.go
@@ -23,8 +23,8 @@
 	"time"
 )
 
-// A Shape holds the parameters of an engine.
-type Shape struct {
+// A Params holds the parameters of an engine.
+type Params struct {
 	// Slots is the maximum number of running requests. Memory is the maximum number of
 	// tokens that running requests occupy together.
 	Slots  int
@@ -60,14 +60,14 @@
 
 // An Engine simulates the processing of requests. It is not safe for concurrent use.
 type Engine struct {
-	shape   Shape
+	shape   Params
 	now     time.Time
 	waiting []Request
 	running []*run
-	// Read counts the prompt tokens that were read. Preempted counts the requests that
+	// PromptTokensRead counts the prompt tokens that were read. Preempted counts the requests that
 	// went back to the queue because memory ran out.
-	Read      int
-	Preempted int
+	PromptTokensRead int
+	Preempted        int
 }
 
 // A run is a running request.
@@ -80,7 +80,7 @@
 }
 
 // New returns an engine without requests whose virtual time is start.
-func New(s Shape, start time.Time) *Engine { return &Engine{shape: s, now: start} }
+func New(s Params, start time.Time) *Engine { return &Engine{shape: s, now: start} }
 
 // Submit adds a request to the queue. The request waits there for a slot and for memory.
 func (e *Engine) Submit(now time.Time, r Request) {
@@ -97,8 +97,8 @@
 	e.running = slices.DeleteFunc(e.running, func(r *run) bool { return r.ID == id })
 }
 
-// Running returns the number of running and waiting requests.
-func (e *Engine) Running() int { return len(e.running) + len(e.waiting) }
+// InFlight returns the number of running and waiting requests.
+func (e *Engine) InFlight() int { return len(e.running) + len(e.waiting) }
 
 // Advance simulates the steps that end no later than now and returns the pieces that they
 // generate.
@@ -154,7 +154,7 @@
 	for _, r := range e.running {
 		n := min(r.unreadPrompt, budget)
 		budget -= n
-		e.Read += n
+		e.PromptTokensRead += n
 		if r.unreadPrompt -= n; r.unreadPrompt == 0 {
 			r.generated++
 		}
--- a/fakes/ggsfakebatch/engine_test.go
+++ b/fakes/ggsfakebatch/engine_test.go
@@ -11,8 +11,8 @@
 
 func at(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 
-func shape() ggsfakebatch.Shape {
-	return ggsfakebatch.Shape{
+func shape() ggsfakebatch.Params {
+	return ggsfakebatch.Params{
 		Slots: 4, Memory: 10_000, Step: 10 * time.Millisecond, PerToken: 50 * time.Microsecond, Chunk: 2000, PieceTokens: 3,
 	}
 }
@@ -31,7 +31,7 @@
 	c.Assert(ps[0], qt.Equals, ggsfakebatch.Piece{ID: 1, At: at(15*time.Millisecond + 2*110*time.Millisecond + 60*time.Millisecond)})
 	c.Assert(ps[1], qt.Equals, ggsfakebatch.Piece{ID: 2, At: ps[0].At, First: true, Last: true})
 	c.Assert(ps[len(ps)-1], qt.Equals, ggsfakebatch.Piece{ID: 1, At: ps[0].At.Add(6 * 10 * time.Millisecond), Last: true})
-	c.Assert(e.Read, qt.Equals, 5100)
+	c.Assert(e.PromptTokensRead, qt.Equals, 5100)
 }
 
 // Checks that growing answers that exceed the memory preempt the newest request of the
@@ -74,5 +74,5 @@
 	e.Cancel(0)
 	e.Cancel(5)
 	c.Assert(first(200*time.Millisecond), qt.Equals, 1)
-	c.Assert(e.Running(), qt.Equals, 4)
+	c.Assert(e.InFlight(), qt.Equals, 4)
 }
--- a/fakes/ggsfakebatch/fleet_test.go
+++ b/fakes/ggsfakebatch/fleet_test.go
@@ -32,7 +32,7 @@
 
 // A workload describes the engines, the VMs and the requests of a simulation.
 type workload struct {
-	shape   ggsfakebatch.Shape
+	shape   ggsfakebatch.Params
 	engines int
 	vms     int
 	// readShare is the share of the engines' time that is spent on reading prompts, from
@@ -346,7 +346,7 @@
 // 350 ms and eight of wideEngine 870 ms. Both exceed the gapAim of their workload.
 func slowEngine() workload {
 	return workload{
-		shape: ggsfakebatch.Shape{
+		shape: ggsfakebatch.Params{
 			Slots: 64, Memory: 120_000, Step: 9 * time.Millisecond, PerSlot: 40 * time.Microsecond,
 			PerToken: time.Second / 19_000, Chunk: 2048, PieceTokens: 3,
 		},
@@ -356,7 +356,7 @@
 
 func wideEngine() workload {
 	return workload{
-		shape: ggsfakebatch.Shape{
+		shape: ggsfakebatch.Params{
 			Slots: 24, Memory: 200_000, Step: 6 * time.Millisecond, PerSlot: 20 * time.Microsecond,
 			PerToken: time.Second / 28_000, Chunk: 4096, PieceTokens: 8,
 		},
--- a/fakes/ggsfakeplain/service.go
+++ b/fakes/ggsfakeplain/service.go
@@ -10,8 +10,8 @@
 // Options configure a service.
 type Options struct {
 	ID ggscore.EndpointID
-	// Time is the duration of a call.
-	Time time.Duration
+	// CallTime is the duration of a call.
+	CallTime time.Duration
 }
 
 // Faults are the failures that a service simulates. The zero value means none.
@@ -68,7 +68,7 @@
 func (s *Service) time() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.options.Time + s.faults.Slow
+	return s.options.CallTime + s.faults.Slow
 }
 
 // consumeRefusal reports whether Faults.Refuse applies to a call, and counts it down.
--- a/fakes/ggsfakesite/endpoint.go
+++ b/fakes/ggsfakesite/endpoint.go
@@ -51,16 +51,16 @@
 	FaultNone Fault = iota
 	// FaultReset runs the request and closes the connection without an answer.
 	FaultReset
-	// FaultShed answers 503 without running the request and marks the answer as not run.
-	FaultShed
-	// FaultCut runs the request and truncates the answer.
-	FaultCut
+	// FaultRefuse answers 503 without running the request and marks the answer as not run.
+	FaultRefuse
+	// FaultTruncate runs the request and truncates the answer.
+	FaultTruncate
 	// FaultError runs the request and answers 500.
 	FaultError
 	// FaultHang runs the request and sends no answer until the caller disconnects.
 	FaultHang
-	// FaultUnsigned runs the request and answers 200 without the Server-Stamp header.
-	FaultUnsigned
+	// FaultNoStamp runs the request and answers 200 without the Server-Stamp header.
+	FaultNoStamp
 )
 
 // An Endpoint is a runner or an instance of a plain service.
@@ -211,8 +211,8 @@
 	return e.lastRun
 }
 
-// Left returns the number of requests whose callers disconnected before the answer ended.
-func (e *Endpoint) Left() int {
+// CallersLeft returns the number of requests whose callers disconnected before the answer ended.
+func (e *Endpoint) CallersLeft() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.callersLeft
@@ -326,7 +326,7 @@
 	e.arrivals = append(e.arrivals, Arrival{ID: id, At: e.options.Now()})
 	f := e.fault(Query{ID: id, Path: r.URL.Path, Number: e.requestCount})
 	missing := e.missing(r)
-	if f != FaultShed && !missing {
+	if f != FaultRefuse && !missing {
 		e.runs[id]++
 		e.lastRun = e.options.Now()
 		e.bodies[id] = string(b)
@@ -339,7 +339,7 @@
 	case missing:
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
-	case f == FaultShed:
+	case f == FaultRefuse:
 		h.Set("Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -350,7 +350,7 @@
 		e.recordCallerLeft()
 		panic(http.ErrAbortHandler)
 	}
-	if f != FaultUnsigned {
+	if f != FaultNoStamp {
 		h.Set("Server-Stamp", "stamp-of-"+e.options.ID)
 	}
 	if f == FaultError {
@@ -369,7 +369,7 @@
 	if e.leaving {
 		h.Set("Server-Leaving", "1")
 	}
-	if f == FaultShed && e.retryAfter > 0 {
+	if f == FaultRefuse && e.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(e.retryAfter.Seconds(), 'f', -1, 64))
 	}
 }
@@ -378,7 +378,7 @@
 	if !e.options.Engine {
 		text := "answer to " + id + " by " + e.options.ID + "\n"
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-		if f == FaultCut {
+		if f == FaultTruncate {
 			text = text[:5]
 		}
 		_, _ = io.WriteString(w, text)
@@ -389,7 +389,7 @@
 	for n := range e.options.Events {
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s by %s\n\n", n+1, id, e.options.ID)
 		_ = c.Flush()
-		if f == FaultCut && n == e.options.Events/2 {
+		if f == FaultTruncate && n == e.options.Events/2 {
 			panic(http.ErrAbortHandler)
 		}
 		t := time.NewTimer(e.options.EventTime)
--- a/fakes/ggsfakesite/site.go
+++ b/fakes/ggsfakesite/site.go
@@ -155,17 +155,17 @@
 	s.writeEntry(id)
 }
 
-// Return restores the store from a copy. Endpoints don't write their entries for the given
+// Restore restores the store from a copy. Endpoints don't write their entries for the given
 // time after the restore.
-func (s *Site) Return(c Copy, after time.Duration) {
+func (s *Site) Restore(c Backup, after time.Duration) {
 	s.mu.Lock()
 	s.entriesPausedUntil = s.options.Now().Add(after)
 	s.mu.Unlock()
-	s.Store.Return(c)
+	s.Store.Restore(c)
 }
 
-// Rewrite ends the pause that Return began: endpoints write their entries again.
-func (s *Site) Rewrite() {
+// ResumeEntries ends the pause that Return began: endpoints write their entries again.
+func (s *Site) ResumeEntries() {
 	s.mu.Lock()
 	s.entriesPausedUntil = time.Time{}
 	s.mu.Unlock()
--- a/fakes/ggsfakesite/store.go
+++ b/fakes/ggsfakesite/store.go
@@ -35,8 +35,8 @@
 	heldWrites []transaction
 }
 
-// A Copy is a backup of a store's state.
-type Copy struct {
+// A Backup is a backup of a store's state.
+type Backup struct {
 	revision uint64
 	items    map[string]item
 	history  []item
@@ -72,23 +72,23 @@
 	}
 }
 
-// Copy returns a backup of the store.
-func (s *Store) Copy() Copy {
+// Backup returns a backup of the store.
+func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history)}
+	return Backup{revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history)}
 }
 
-// Without returns the copy without the keys below a prefix.
-func (c Copy) Without(prefix string) Copy {
+// WithoutPrefix returns the copy without the keys below a prefix.
+func (c Backup) WithoutPrefix(prefix string) Backup {
 	c.items = maps.Clone(c.items)
 	maps.DeleteFunc(c.items, func(k string, _ item) bool { return strings.HasPrefix(k, prefix) })
 	return c
 }
 
-// Return restores the store from a copy and increases its era. Later writes are lost, and
+// Restore restores the store from a copy and increases its era. Later writes are lost, and
 // their revisions are assigned again to new writes.
-func (s *Store) Return(c Copy) {
+func (s *Store) Restore(c Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era++
@@ -111,8 +111,8 @@
 	s.holdWrites = n
 }
 
-// CarryOutHeld applies the held writes whose conditions are met and returns their number.
-func (s *Store) CarryOutHeld() int {
+// ApplyHeld applies the held writes whose conditions are met and returns their number.
+func (s *Store) ApplyHeld() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	done := 0
@@ -150,8 +150,8 @@
 	return s.items[key].Value
 }
 
-// Advance increases the revision by n, as writes of other clients do.
-func (s *Store) Advance(n uint64) {
+// AdvanceRevision increases the revision by n, as writes of other clients do.
+func (s *Store) AdvanceRevision(n uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision += n
@@ -177,8 +177,8 @@
 	return s.revision
 }
 
-// SetAway sets whether the store is unavailable and answers every call with status 503.
-func (s *Store) SetAway(unavailable bool) {
+// SetUnavailable sets whether the store is unavailable and answers every call with status 503.
+func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unavailable = unavailable
@@ -207,8 +207,8 @@
 	return s.calls[path]
 }
 
-// Snapshots returns the number of list calls with a prefix.
-func (s *Store) Snapshots(prefix string) int {
+// ListCalls returns the number of list calls with a prefix.
+func (s *Store) ListCalls(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshots[prefix]
--- a/fakes/ggsfakesite/store_test.go
+++ b/fakes/ggsfakesite/store_test.go
@@ -72,12 +72,12 @@
 		return resp.Body.Close()
 	}
 	s.Put("a", []byte("1"))
-	k := s.Copy()
+	k := s.Backup()
 	s.Put("b", []byte("2"))
 	s.HoldWrites(1)
 	c.Assert(txn("a", 2), qt.IsNotNil)
 	s.Put("a", []byte("3"))
-	s.Return(k)
+	s.Restore(k)
 
 	c.Check(s.Get("b"), qt.IsNil)
 	c.Check(string(s.Get("a")), qt.Equals, "1")
@@ -88,11 +88,11 @@
 	status, era, _ = get("kv-watch?pathPrefix=&after=4&waitMs=1000")
 	c.Check(status, qt.Equals, http.StatusGone)
 	c.Check(era, qt.Equals, "2")
-	s.SetAway(true)
+	s.SetUnavailable(true)
 	_, era, _ = get("kv-range?pathPrefix=")
 	c.Check(era, qt.Equals, "2")
 
 	// The condition of the held write is met again: the copy has the expected revision.
-	c.Check(s.CarryOutHeld(), qt.Equals, 1)
+	c.Check(s.ApplyHeld(), qt.Equals, 1)
 	c.Check(string(s.Get("a")), qt.Equals, "x")
 }
--- a/fakes/ggsfakeweights/store.go
+++ b/fakes/ggsfakeweights/store.go
@@ -15,11 +15,11 @@
 type Options struct {
 	// LoadsPerSecond is the rate at which loads start; zero means no limit.
 	LoadsPerSecond float64
-	// AtOnce is the burst of LoadsPerSecond.
-	AtOnce int
-	// InTransit is the number of loads in transit above which all loads slow down; zero
+	// Burst is the burst of LoadsPerSecond.
+	Burst int
+	// LoadsAtFullSpeed is the number of loads in transit above which all loads slow down; zero
 	// means that they never slow down.
-	InTransit int
+	LoadsAtFullSpeed int
 	// LoadTime is the duration of a load while at most InTransit loads are in transit.
 	LoadTime time.Duration
 	// Seed seeds the choice of failing loads.
@@ -59,14 +59,14 @@
 // DefaultOptions returns the limits that the project's specification gives for the weight
 // store.
 func DefaultOptions() Options {
-	return Options{LoadsPerSecond: 4, AtOnce: 3, InTransit: 24, LoadTime: 250 * time.Millisecond}
+	return Options{LoadsPerSecond: 4, Burst: 3, LoadsAtFullSpeed: 24, LoadTime: 250 * time.Millisecond}
 }
 
 // New returns a store.
 func New(o Options) *Store {
 	return &Store{
 		options: o,
-		limiter: rate.NewLimiter(limitOf(o, 1), o.AtOnce),
+		limiter: rate.NewLimiter(limitOf(o, 1), o.Burst),
 		random:  rand.New(rand.NewPCG(o.Seed, o.Seed)),
 	}
 }
@@ -94,8 +94,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	slowdown := 1.0
-	if s.options.InTransit > 0 {
-		slowdown = max(1, float64(s.stats.InTransit)/float64(s.options.InTransit))
+	if s.options.LoadsAtFullSpeed > 0 {
+		slowdown = max(1, float64(s.stats.InTransit)/float64(s.options.LoadsAtFullSpeed))
 	}
 	return time.Duration(float64(s.options.LoadTime) * slowdown / s.faults.speed())
 }
--- a/fakes/ggsfakeweights/store_test.go
+++ b/fakes/ggsfakeweights/store_test.go
@@ -18,7 +18,7 @@
 func TestLoadsInTransitSlowDownLoads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s := ggsfakeweights.New(ggsfakeweights.Options{InTransit: 2, LoadTime: 20 * time.Millisecond})
+	s := ggsfakeweights.New(ggsfakeweights.Options{LoadsAtFullSpeed: 2, LoadTime: 20 * time.Millisecond})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	c.Assert(s.LoadTime(), qt.Equals, 20*time.Millisecond)
@@ -44,7 +44,7 @@
 func TestFailuresOverHTTP(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s := ggsfakeweights.New(ggsfakeweights.Options{AtOnce: 1})
+	s := ggsfakeweights.New(ggsfakeweights.Options{Burst: 1})
 	cl := ggsfakeweights.NewClient(ggsfakebench.AddrOf(c, ggsfakebench.Serve(c, s.Handler())))
 	defer cl.Close()
 	s.SetFaults(ggsfakeweights.Faults{FailNext: 1})
--- a/io/ggsedge/control.go
+++ b/io/ggsedge/control.go
@@ -102,7 +102,7 @@
 		Shapes:   shapeRecords(shapes),
 	})
 	if err != nil {
-		_ = level.Error(e.Log).Log("event", ggslog.EventBeatUnencoded, "err", err)
+		_ = level.Error(e.Log).Log("event", ggslog.EventHeartbeatUnencoded, "err", err)
 		return heartbeatUnsent
 	}
 	t := ggscore.Txn{
@@ -125,14 +125,14 @@
 	var conflict *ggscore.TxnConflictError
 	refused := errors.As(err, &conflict)
 	if err != nil && !refused {
-		_ = level.Info(e.Log).Log("event", ggslog.EventBeatFailed, "err", err)
+		_ = level.Info(e.Log).Log("event", ggslog.EventHeartbeatFailed, "err", err)
 		return heartbeatUnsent
 	}
 	e.mu.Lock()
 	e.ownership.HeartbeatAnswered(sent, p, at, refused)
 	e.mu.Unlock()
 	if refused {
-		_ = level.Info(e.Log).Log("event", ggslog.EventBeatRefused, "revision", p.Revision, "records", len(p.Records))
+		_ = level.Info(e.Log).Log("event", ggslog.EventHeartbeatRefused, "revision", p.Revision, "records", len(p.Records))
 		e.rereadRecords(ctx)
 		return heartbeatRefused
 	}
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -84,7 +84,7 @@
 // logUnsent logs a datagram that wasn't sent. The next datagram replaces it.
 func (e *Edge) logUnsent(err error) {
 	if err != nil {
-		_ = level.Debug(e.Log).Log("event", ggslog.EventBeatUnsent, "err", err)
+		_ = level.Debug(e.Log).Log("event", ggslog.EventHeartbeatUnsent, "err", err)
 	}
 }
 
--- a/io/ggsedge/turns.go
+++ b/io/ggsedge/turns.go
@@ -104,7 +104,7 @@
 	for relay, addrs := range e.routes(reach, n.Number) {
 		n.Relay = relay
 		if err := e.Peers.SendNotice(n, addrs); err != nil {
-			_ = level.Debug(e.Log).Log("event", ggslog.EventBeatUnsent, "err", err)
+			_ = level.Debug(e.Log).Log("event", ggslog.EventHeartbeatUnsent, "err", err)
 		}
 	}
 }
--- a/io/ggslog/events.go
+++ b/io/ggslog/events.go
@@ -10,10 +10,10 @@
 const (
 	EventAnswerBroken       Event = "answerBroken"
 	EventAttemptFailed      Event = "attemptFailed"
-	EventBeatFailed         Event = "beatFailed"
-	EventBeatRefused        Event = "beatRefused"
-	EventBeatUnencoded      Event = "beatUnencoded"
-	EventBeatUnsent         Event = "beatUnsent"
+	EventHeartbeatFailed    Event = "beatFailed"
+	EventHeartbeatRefused   Event = "beatRefused"
+	EventHeartbeatUnencoded Event = "beatUnencoded"
+	EventHeartbeatUnsent    Event = "beatUnsent"
 	EventCallerLeft         Event = "callerLeft"
 	EventClaimUnencoded     Event = "claimUnencoded"
 	EventConfigAdopted      Event = "configAdopted"
@@ -63,10 +63,10 @@
 	l := []Event{
 		EventAnswerBroken,
 		EventAttemptFailed,
-		EventBeatFailed,
-		EventBeatRefused,
-		EventBeatUnencoded,
-		EventBeatUnsent,
+		EventHeartbeatFailed,
+		EventHeartbeatRefused,
+		EventHeartbeatUnencoded,
+		EventHeartbeatUnsent,
 		EventCallerLeft,
 		EventClaimUnencoded,
 		EventConfigAdopted,
--- a/io/ggslog/limit.go
+++ b/io/ggslog/limit.go
@@ -16,9 +16,9 @@
 	limitWindow = time.Second
 )
 
-// A Limit is a logger that drops lines of an event above a rate, and logs the
+// A Sampler is a logger that drops lines of an event above a rate, and logs the
 // number of dropped lines with EventLogSampled. It is safe for concurrent use.
-type Limit struct {
+type Sampler struct {
 	next log.Logger
 	now  func() time.Time
 
@@ -33,16 +33,16 @@
 	dropped int
 }
 
-var _ log.Logger = (*Limit)(nil)
+var _ log.Logger = (*Sampler)(nil)
 
-// NewLimit returns a logger that passes lines on to next. The function now is its
+// NewSampler returns a logger that passes lines on to next. The function now is its
 // clock.
-func NewLimit(next log.Logger, now func() time.Time) *Limit {
-	return &Limit{next: next, now: now, windows: map[any]*window{}}
+func NewSampler(next log.Logger, now func() time.Time) *Sampler {
+	return &Sampler{next: next, now: now, windows: map[any]*window{}}
 }
 
 // Log implements log.Logger.
-func (l *Limit) Log(keyvals ...any) error {
+func (l *Sampler) Log(keyvals ...any) error {
 	pass, dropped, event := l.count(keyvals)
 	if dropped > 0 {
 		if err := l.next.Log("event", EventLogSampled, "sampled", event, "count", dropped); err != nil {
@@ -57,7 +57,7 @@
 
 // count reports whether a line passes, and how many lines of its event were dropped
 // in the previous window.
-func (l *Limit) count(keyvals []any) (pass bool, dropped int, event any) {
+func (l *Sampler) count(keyvals []any) (pass bool, dropped int, event any) {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		if keyvals[i] == "event" {
 			event = keyvals[i+1]
--- a/io/ggslog/writer_test.go
+++ b/io/ggslog/writer_test.go
@@ -55,7 +55,7 @@
 	c := qt.New(t)
 	var b bytes.Buffer
 	now := time.Unix(0, 0)
-	l := ggslog.NewLimit(log.NewLogfmtLogger(&b), func() time.Time { return now })
+	l := ggslog.NewSampler(log.NewLogfmtLogger(&b), func() time.Time { return now })
 	for range 1000 {
 		c.Assert(l.Log("event", ggslog.EventRequestEnded), qt.IsNil)
 	}
--- a/io/ggsstate/state.go
+++ b/io/ggsstate/state.go
@@ -58,15 +58,15 @@
 	}
 }
 
-// Add adds a part to the state dump. encoding/json must be able to encode its value.
-func (s *State) Add(name string, part func() any) {
+// AddPart adds a part to the state dump. encoding/json must be able to encode its value.
+func (s *State) AddPart(name string, part func() any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.parts[name] = part
 }
 
-// Count adds a counter, which is read on each request for /debug/vars.
-func (s *State) Count(name string, value func() int64) {
+// AddCounter adds a counter, which is read on each request for /debug/vars.
+func (s *State) AddCounter(name string, value func() int64) {
 	s.counts.Set(name, expvar.Func(func() any { return value() }))
 }
 
