--- a/cmd/ggsctl/fleet.go
+++ b/cmd/ggsctl/fleet.go
@@ -15,10 +15,10 @@
 const fleetLong = `Shows a deployment on the users' platform, as its VMs see it. For
 each VM whose state address is known (--entry or the settings) it shows the version
 of the configuration in force, the age of the list of endpoints and the number of
-reachable peers. For each endpoint it shows the VM that gives it orders and the
-number of adapters that it holds. It exits with 1 if a VM can't be reached, or if
-VMs differ in the configuration's version or in the VM that gives an endpoint its
-orders.`
+reachable peers. For each endpoint it shows the endpoint's owner, the VM that may
+send it placement orders, and the number of adapters that it holds. It exits with 1
+if a VM can't be reached, or if VMs differ in the configuration's version or in the
+owner of an endpoint.`
 
 // peerTimeout is the age of the last heartbeat from which a peer counts as
 // unreachable: six missed heartbeats.
@@ -47,8 +47,8 @@
 // A knownEndpoint is an endpoint as several VMs know it.
 type knownEndpoint struct {
 	ggsedge.EndpointState
-	// listedBy is the number of VMs that list it. owners are the VMs that, according
-	// to any VM, give it orders.
+	// listedBy is the number of VMs that list the endpoint. owners are the endpoint's
+	// owners as the VMs report them: more than one if the VMs disagree.
 	listedBy int
 	owners   []ggscore.VMID
 }
--- a/cmd/ggsctl/losses.go
+++ b/cmd/ggsctl/losses.go
@@ -7,12 +7,12 @@
 	"greengageslip/io/ggslog"
 )
 
-// A loss classifies how a request missed its route's objectives, or says that it
-// met them.
+// A loss is the class of a request by the objective of its route that it missed.
 type loss string
 
 // The losses, in the order of a report's columns.
 const (
+	// lossNone is a request that met its route's objectives.
 	lossNone loss = "inTime"
 	// lossLoad, lossTurn and lossFirst are late first chunks, by the step that took
 	// longest: the wait for the adapter, the wait for the prompt's turn, or the
@@ -20,8 +20,8 @@
 	lossLoad  loss = "load"
 	lossTurn  loss = "turn"
 	lossFirst loss = "first"
-	// lossPause is a gap between two chunks that was too long.
-	lossPause loss = "pause"
+	// lossGap is a gap between two chunks that was too long.
+	lossGap loss = "pause"
 	// lossBroken is a truncated answer.
 	lossBroken loss = "broken"
 	// lossRefused is an answer for a request that has not run. lossFailed is an answer
@@ -33,7 +33,7 @@
 )
 
 func losses() []loss {
-	return []loss{lossNone, lossLoad, lossTurn, lossFirst, lossPause, lossBroken, lossRefused, lossFailed, lossLeft}
+	return []loss{lossNone, lossLoad, lossTurn, lossFirst, lossGap, lossBroken, lossRefused, lossFailed, lossLeft}
 }
 
 // A trace holds the lines of a request's last send and of its end.
@@ -81,8 +81,8 @@
 func (t *trace) latency() loss {
 	first, target := duration(t.end.keys["first"]), duration(t.end.keys["target"])
 	if target <= 0 || first <= target {
-		if aim := duration(t.end.keys["gapAim"]); aim > 0 && duration(t.end.keys["gap"]) > aim {
-			return lossPause
+		if targetGap := duration(t.end.keys["gapAim"]); targetGap > 0 && duration(t.end.keys["gap"]) > targetGap {
+			return lossGap
 		}
 		return lossNone
 	}
--- a/cmd/ggsctl/report_test.go
+++ b/cmd/ggsctl/report_test.go
@@ -24,7 +24,7 @@
 			c := qt.New(t)
 			log := filepath.Join(t.TempDir(), "one.log")
 			c.Assert(os.WriteFile(log, []byte(
-				"ts=2026-01-02T03:04:05Z vm=edge-1 event=requestEnded request=7 status=503 why=\"no room\" sends=0 runs=0 took=30ms\n"), 0o600), qt.IsNil)
+				"ts=2026-01-02T03:04:05Z vm=edge-1 event=requestEnded request=7 status=503 why=\"no capacity\" sends=0 runs=0 took=30ms\n"), 0o600), qt.IsNil)
 			r := reportCommand{Every: time.Second, Plot: filepath.Join(t.TempDir(), tc.file)}
 			r.Args.Files = []string{log}
 			w, err := os.Create(filepath.Join(t.TempDir(), "out"))
--- a/cmd/ggsctl/request.go
+++ b/cmd/ggsctl/request.go
@@ -65,7 +65,7 @@
 	Content string `json:"content"`
 }
 
-// choicesWire is the part of a whole answer or of one chunk that is read.
+// choicesWire holds the decoded fields of a complete answer or of one chunk.
 type choicesWire struct {
 	Choices []struct {
 		Message messageWire `json:"message"`
@@ -139,7 +139,7 @@
 }
 
 // printStream prints the chunks of a streamed answer. A stream that ends without its
-// last event is truncated, and must not be reported as a whole answer.
+// last event is truncated, and must not be reported as complete.
 func (c *requestCommand) printStream(a *app, body io.Reader) error {
 	r := bufio.NewReader(body)
 	failed := false
@@ -211,8 +211,8 @@
 	return r, nil
 }
 
-// contentOf returns the content of a whole answer, or the answer itself if it has
-// another format.
+// contentOf returns the content of a complete answer, or the answer itself if the
+// answer has another format.
 func contentOf(b []byte) []byte {
 	var w choicesWire
 	if json.Unmarshal(b, &w) == nil && len(w.Choices) > 0 {
--- a/cmd/ggsctl/script_test.go
+++ b/cmd/ggsctl/script_test.go
@@ -225,10 +225,10 @@
 	return l
 }
 
-// A memberList lists no peers.
-type memberList struct{}
+// noMembers is a list of members without entries.
+type noMembers struct{}
 
-func (memberList) Members() []ggsconfig.Member { return nil }
+func (noMembers) Members() []ggsconfig.Member { return nil }
 
 // startEntry starts an entry process that follows the document and serves its state:
 // entry LABEL VM.
@@ -236,7 +236,7 @@
 	s := sessionOf(ts)
 	p := ggsplatform.NewClient(s.addrs["PLATFORM"])
 	f := ggsconfig.NewFollower(ggsconfig.FollowerOptions{
-		Self: ggscore.VMID(args[1]), Domain: ggscore.Domain(args[1]), Store: p, Members: memberList{},
+		Self: ggscore.VMID(args[1]), Domain: ggscore.Domain(args[1]), Store: p, Members: noMembers{},
 		PollInterval: 10 * time.Millisecond,
 	})
 	t := ggsstate.New("ggsgateway", ggscore.VMID(args[1]), func() time.Time { return time.Unix(0, 0) })
--- a/cmd/ggsctl/state.go
+++ b/cmd/ggsctl/state.go
@@ -102,9 +102,9 @@
 // revisionInForce returns the highest revision that any entry process has, or zero if
 // none is known.
 //
-// It guards against a platform that was restored from an older backup: a change
-// accepted there would get a revision not above that of the processes, so none would
-// apply it, and the change would be lost silently.
+// A change must get a higher revision. On a platform that was restored from an older
+// backup, a change could otherwise be accepted with a revision that the processes have
+// passed: none would apply it, and the change would be lost silently.
 func (a *app) revisionInForce(ctx context.Context) ggscore.Revision {
 	var r ggscore.Revision
 	for _, s := range a.states(ctx) {
