--- a/cmd/ggsload/answer.go
+++ b/cmd/ggsload/answer.go
@@ -19,7 +19,7 @@
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
-	MaxTokens int           `json:"max_tokens"` //nolint:tagliatelle // the name in the OpenAI shape
+	MaxTokens int           `json:"max_tokens"` //nolint:tagliatelle // the name in the OpenAI API
 	User      string        `json:"user"`
 	Messages  []chatMessage `json:"messages"`
 }
@@ -29,7 +29,7 @@
 	Content string `json:"content"`
 }
 
-// A chatAnswer is a whole answer, or one event of a stream.
+// A chatAnswer is a complete answer, or one event of a stream.
 type chatAnswer struct {
 	Model   string       `json:"model"`
 	Choices []chatChoice `json:"choices"`
@@ -39,7 +39,7 @@
 type chatChoice struct {
 	Delta        chatMessage `json:"delta"`
 	Message      chatMessage `json:"message"`
-	FinishReason string      `json:"finish_reason"` //nolint:tagliatelle // the name in the OpenAI shape
+	FinishReason string      `json:"finish_reason"` //nolint:tagliatelle // the name in the OpenAI API
 }
 
 type chatError struct {
--- a/cmd/ggsload/client.go
+++ b/cmd/ggsload/client.go
@@ -21,7 +21,7 @@
 	stateTimeout   = 3 * time.Second
 )
 
-// An outcome says whether a request has run.
+// An outcome is what a caller knows about the run of its request.
 type outcome string
 
 // The outcomes.
@@ -39,7 +39,8 @@
 	// kind is the failure's type, or describes a wrong answer.
 	kind      string
 	firstByte time.Duration
-	whole     time.Duration
+	// total is the time until the end of the answer.
+	total time.Duration
 	// stall is the load stall from the answer's header; hasStall reports whether the
 	// answer has one.
 	stall    time.Duration
@@ -51,9 +52,10 @@
 type client struct {
 	options  *runCommand
 	gateways []netip.AddrPort
-	addrs    []netip.AddrPort
-	http     *http.Client
-	prompt   string
+	// stateAddrs are the processes whose counters are read.
+	stateAddrs []netip.AddrPort
+	http       *http.Client
+	prompt     string
 }
 
 func newClient(r *runCommand) (*client, error) {
@@ -70,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c.addrs = append(c.addrs, a)
+		c.stateAddrs = append(c.stateAddrs, a)
 	}
 	c.http = &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: r.Timeout}).DialContext,
@@ -99,7 +101,7 @@
 		return r.failure(res)
 	}
 	a := r.read(res, c.options, q)
-	a.whole = clock().Sub(due)
+	a.total = clock().Sub(due)
 	return a
 }
 
@@ -139,7 +141,7 @@
 // left out.
 func (c *client) states(ctx context.Context) map[string]json.RawMessage {
 	states := map[string]json.RawMessage{}
-	for _, a := range c.addrs {
+	for _, a := range c.stateAddrs {
 		if b := c.state(ctx, a); json.Valid(b) {
 			states[a.String()] = b
 		}
--- a/cmd/ggsload/load_test.go
+++ b/cmd/ggsload/load_test.go
@@ -73,7 +73,7 @@
 		edit func(model, id string, tokens []string) (string, []string)
 		want string
 	}{
-		"whole answers": {edit: func(m, _ string, ts []string) (string, []string) { return m, ts }},
+		"complete answers": {edit: func(m, _ string, ts []string) (string, []string) { return m, ts }},
 		"a missing token": {
 			edit: func(m, _ string, ts []string) (string, []string) { return m, ts[:2] }, want: "2 tokens of 3",
 		},
--- a/cmd/ggsload/result.go
+++ b/cmd/ggsload/result.go
@@ -27,7 +27,7 @@
 	FirstWrong string                     `json:"firstWrong,omitempty"`
 	Kinds      map[string]int             `json:"kinds"`
 	FirstByte  distribution               `json:"firstByte"`
-	Whole      distribution               `json:"whole"`
+	Total      distribution               `json:"whole"`
 	Stall      distribution               `json:"stall"`
 	Gap        distribution               `json:"gapBetweenTokens"`
 	Seconds    []secondResult             `json:"seconds"`
@@ -74,7 +74,7 @@
 		Done: t.counts[outcomeDone], NotRun: t.counts[outcomeNotRun],
 		Unknown: t.counts[outcomeUnknown], Wrong: t.counts[outcomeWrong],
 		FirstWrong: t.firstWrong, Kinds: t.kinds,
-		FirstByte: distributionOf(t.firstByte), Whole: distributionOf(t.whole),
+		FirstByte: distributionOf(t.firstByte), Total: distributionOf(t.total),
 		Stall: distributionOf(t.stall), Gap: distributionOf(t.gap),
 	}
 	for _, s := range t.seconds {
--- a/cmd/ggsload/tally.go
+++ b/cmd/ggsload/tally.go
@@ -22,7 +22,7 @@
 	kinds      map[string]int
 	firstWrong string
 	firstByte  *hdrhistogram.Histogram
-	whole      *hdrhistogram.Histogram
+	total      *hdrhistogram.Histogram
 	stall      *hdrhistogram.Histogram
 	gap        *hdrhistogram.Histogram
 	seconds    []*second
@@ -41,7 +41,7 @@
 		counts:    map[outcome]int{},
 		kinds:     map[string]int{},
 		firstByte: newHistogram(),
-		whole:     newHistogram(),
+		total:     newHistogram(),
 		stall:     newHistogram(),
 		gap:       newHistogram(),
 	}
@@ -61,12 +61,12 @@
 	if a.outcome == outcomeWrong && t.firstWrong == "" {
 		t.firstWrong = a.kind
 	}
-	if a.outcome != outcomeDone || a.whole == 0 {
+	if a.outcome != outcomeDone || a.total == 0 {
 		return
 	}
 	record(t.firstByte, a.firstByte)
 	record(s.firstByte, a.firstByte)
-	record(t.whole, a.whole)
+	record(t.total, a.total)
 	for _, g := range a.gaps {
 		record(t.gap, g)
 	}
