--- a/cmd/ggsnode/bench_test.go
+++ b/cmd/ggsnode/bench_test.go
@@ -105,7 +105,8 @@
 )
 
 // A testDeployment is a small deployment in one process, with fakes on loopback addresses and the
-// code of the entry processes. Each has an IP address of its own, so that ports don't collide.
+// code of the entry processes. Each deployment has an IP address of its own, so that ports don't
+// collide.
 type testDeployment struct {
 	c        *qt.C
 	ctx      context.Context //nolint:containedctx // ends with the test, for its helpers
--- a/cmd/ggsnode/doc.go
+++ b/cmd/ggsnode/doc.go
@@ -9,8 +9,8 @@
 // Dispatcher and gateway take --settings FILE; the edge reads the settings file that the
 // environment variable GREENGAGESLIP_NODE_FILE names. SIGTERM, SIGINT or the context's end starts
 // a graceful shutdown: the program refuses new requests and finishes those in progress. The edge
-// first serves on until the load balancer has removed it. The exit code is 0 after a graceful
-// shutdown, 1 after a failure and 2 if the command line or the settings are invalid.
+// first continues to serve until the load balancer has removed it. The exit code is 0 after a
+// graceful shutdown, 1 after a failure and 2 if the command line or the settings are invalid.
 //
 // The parts are constructed and started by uber/fx. They stop in reverse order, so the part that
 // drains is started last.
--- a/cmd/ggsnode/edge.go
+++ b/cmd/ggsnode/edge.go
@@ -151,9 +151,9 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(s.VM))
 	return ggsedge.New(ggsedge.Options{
+		Policy: policy,
 		// The address is part of the ID, so that endpoints distinguish a VM from an earlier one
 		// of the same name at another address.
-		Policy: policy,
 		VM:     s.VM + "@" + ggscore.VMID(s.Addr.String()),
 		Domain: s.Domain, Regions: s.Regions, Seed: h.Sum64() ^ uint64(t().UnixNano()),
 		Capacity:     edgeCapacity(s),
--- a/cmd/ggsnode/edge_epoch_test.go
+++ b/cmd/ggsnode/edge_epoch_test.go
@@ -20,18 +20,18 @@
 	// of writes during a test, so that revisions stay below those already read.
 	lostRevisions = 10_000
 	// neverRewrite exceeds the length of any test: endpoints rewrite their entries only on
-	// Site.Rewrite.
+	// Site.ResumeEntries.
 	neverRewrite = time.Hour
 )
 
-// restoreFromCopy restores the store from a copy of its present state.
-func (s *siteTest) restoreFromCopy(meanwhile func()) {
+// restoreFromBackup restores the store from a backup of its present state.
+func (s *siteTest) restoreFromBackup(meanwhile func()) {
 	s.restoreFrom(s.site.Store.Backup(), meanwhile)
 }
 
-// restoreFrom restores the store from a copy after the edges have read and written revisions
+// restoreFrom restores the store from a backup after the edges have read and written revisions
 // that the restore discards, and waits until every edge knows the new epoch. Endpoints rewrite
-// their entries only on Site.Rewrite.
+// their entries only on Site.ResumeEntries.
 func (s *siteTest) restoreFrom(k ggsfakesite.Backup, meanwhile func()) {
 	const list, own = "servers/", "greengageslip/vm/"
 	meanwhile()
@@ -80,7 +80,7 @@
 func TestLeavingEndpointGetsNoRequestsAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 3)
-	s.restoreFromCopy(func() { s.callSteadily(http.MethodGet, "/look/1", "", 100*time.Millisecond, time.Second) })
+	s.restoreFromBackup(func() { s.callSteadily(http.MethodGet, "/look/1", "", 100*time.Millisecond, time.Second) })
 	s.rewrite()
 	begun := time.Now()
 	s.site.Drain("ledger-0")
@@ -97,8 +97,8 @@
 func TestNewAdaptersAreServedAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct{ older bool }{
-		"the copy has the ownership records":   {},
-		"the copy is older than their records": {older: true},
+		"the backup has the ownership records":   {},
+		"the backup is older than their records": {older: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -132,12 +132,12 @@
 }
 
 // Guards against requests to a leaving endpoint whose leaving entry is lost in a restore, while
-// the copy lists the endpoint as ready.
+// the backup lists the endpoint as ready.
 func TestEndpointSeenLeavingStaysLeavingAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 2)
 	var begun time.Time
-	s.restoreFromCopy(func() {
+	s.restoreFromBackup(func() {
 		begun = time.Now()
 		s.site.Drain("ledger-0")
 	})
@@ -147,7 +147,7 @@
 	s.c.Check(served, qt.Equals, all)
 }
 
-// Guards against endpoints that are dropped after a restore from a copy without their entries,
+// Guards against endpoints that are dropped after a restore from a backup without their entries,
 // until the endpoints write these again.
 func TestEndpointsAreKeptWhileTheirEntriesAreLost(t *testing.T) {
 	t.Parallel()
@@ -168,7 +168,7 @@
 	served := func(n int, path, model string) bool {
 		return s.call(n, http.MethodPost, path, model, "Hola").status == http.StatusOK
 	}
-	s.restoreFromCopy(func() {
+	s.restoreFromBackup(func() {
 		s.site.Store.Put("op/config", ggsfakesite.Config(5, "/talk/"))
 		s.site.Store.Put("op/version/m.a7", []byte(`{"model":"m","adapter":"a7","version":2}`))
 		for n := range s.edges {
@@ -206,7 +206,7 @@
 	)
 	s := startSite(t, 3)
 	s.callSteadily(http.MethodPost, "/chat/x", "m/a1", 100*time.Millisecond, time.Second)
-	s.restoreFromCopy(func() {})
+	s.restoreFromBackup(func() {})
 	var served, all atomic.Int64
 	var load sync.WaitGroup
 	for _, k := range []struct{ method, path, model string }{
--- a/cmd/ggsnode/edge_store_test.go
+++ b/cmd/ggsnode/edge_store_test.go
@@ -180,9 +180,9 @@
 	})
 }
 
-// Guards against two VMs giving orders: a release of runners that takes effect late, after the
-// VM's next process orders again, lets another VM claim them. The release therefore holds only
-// while the VM has written no later heartbeat.
+// Guards against two VMs that send orders to one runner: a release that takes effect late, after
+// the VM's next process has sent orders again, lets another VM claim the runner. The release is
+// therefore conditional on the last heartbeat that the VM has written.
 func TestReleaseIsConditionalOnTheLastHeartbeat(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
--- a/cmd/ggsnode/edge_test.go
+++ b/cmd/ggsnode/edge_test.go
@@ -171,7 +171,7 @@
 	return resp.StatusCode
 }
 
-// A reply is a caller's answer; complete is false if the answer was cut off.
+// A reply is a caller's answer; complete is false if the answer was truncated.
 type reply struct {
 	id       string
 	status   int
@@ -307,13 +307,13 @@
 }
 
 // Guards against an unsafe request that runs twice: its endpoint runs it and the answer is lost.
-// A retry, or an answer that says that it hasn't run and makes the caller retry, runs it again.
+// A retry runs it again, and so does a caller that retries after an answer of not run.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakesite.Fault{
-		"connection closed": ggsfakesite.FaultReset,
-		"answer cut":        ggsfakesite.FaultTruncate,
-		"answer unsigned":   ggsfakesite.FaultNoStamp,
+		"connection closed":      ggsfakesite.FaultReset,
+		"answer truncated":       ggsfakesite.FaultTruncate,
+		"answer without a stamp": ggsfakesite.FaultNoStamp,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -331,11 +331,11 @@
 func TestSafeRequestGoesToAnotherInstance(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakesite.Fault{
-		"connection closed": ggsfakesite.FaultReset,
-		"answer cut":        ggsfakesite.FaultTruncate,
-		"answer unsigned":   ggsfakesite.FaultNoStamp,
-		"failure":           ggsfakesite.FaultError,
-		"shed":              ggsfakesite.FaultRefuse,
+		"connection closed":      ggsfakesite.FaultReset,
+		"answer truncated":       ggsfakesite.FaultTruncate,
+		"answer without a stamp": ggsfakesite.FaultNoStamp,
+		"failure":                ggsfakesite.FaultError,
+		"refusal":                ggsfakesite.FaultRefuse,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -353,9 +353,9 @@
 func TestFirstFailureIsReturnedWhenTheRetryFails(t *testing.T) {
 	t.Parallel()
 	for name, other := range map[string]ggsfakesite.Fault{
-		"sheds":  ggsfakesite.FaultRefuse,
-		"resets": ggsfakesite.FaultReset,
-		"fails":  ggsfakesite.FaultError,
+		"refuses": ggsfakesite.FaultRefuse,
+		"resets":  ggsfakesite.FaultReset,
+		"fails":   ggsfakesite.FaultError,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -385,8 +385,8 @@
 	s.c.Assert(r.header.Get("Server-Stamp"), qt.Not(qt.Equals), "")
 }
 
-// Guards against a cut stream that its caller takes for complete, if a runner crashes in the
-// middle.
+// Guards against a truncated stream that its caller takes for complete, if a runner crashes in
+// the middle.
 func TestBrokenStreamIsIncompleteForTheCaller(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -417,8 +417,8 @@
 	})
 }
 
-// Guards against an answer that says that a request hasn't run if its instance doesn't answer
-// within the route's timeout: the request may have run.
+// Guards against an answer of not run if an instance doesn't answer a request within the route's
+// timeout: the request may have run.
 func TestRouteTimeoutOfARunningRequest(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
--- a/cmd/ggsnode/endpoints.go
+++ b/cmd/ggsnode/endpoints.go
@@ -155,7 +155,7 @@
 	return w
 }
 
-// setShare sets the share of the weight store's limits. It precedes the update of the endpoints,
+// setShare sets the share of the weight store's limits. The share is set before the endpoints,
 // since nothing is loaded without a share.
 func (e *endpointUpdater) setShare(h ggscore.LoadShare) {
 	if h == e.share {
--- a/cmd/ggsnode/endpoints_test.go
+++ b/cmd/ggsnode/endpoints_test.go
@@ -9,7 +9,7 @@
 	"greengageslip/core/ggsmember"
 )
 
-// Guards against a domain that keeps the whole load rate of the weight store while the others have
+// Guards against a domain that keeps the full load rate of the weight store while the others have
 // their shares: its dispatcher applied the document before it knew the list of VMs, and counted
 // itself as the only domain.
 func TestLoadShareRequiresTheListOfVMs(t *testing.T) {
@@ -20,10 +20,10 @@
 		vms  []ggscore.VM
 		want ggscore.LoadShare
 	}{
-		"no list":           {nil, ggscore.LoadShare{}},
-		"entry VMs only":    {[]ggscore.VM{vm(ggscore.RoleEntry, "a")}, ggscore.LoadShare{}},
-		"one domain":        {[]ggscore.VM{vm(ggscore.RoleEndpoint, "a")}, ggscore.LoadShare{LoadsPerSecond: 6, InTransit: 24}},
-		"two of three gone": {[]ggscore.VM{vm(ggscore.RoleEndpoint, "a"), vm(ggscore.RoleEntry, "b")}, ggscore.LoadShare{LoadsPerSecond: 6, InTransit: 24}},
+		"no list":                         {nil, ggscore.LoadShare{}},
+		"entry VMs only":                  {[]ggscore.VM{vm(ggscore.RoleEntry, "a")}, ggscore.LoadShare{}},
+		"one domain":                      {[]ggscore.VM{vm(ggscore.RoleEndpoint, "a")}, ggscore.LoadShare{LoadsPerSecond: 6, InTransit: 24}},
+		"endpoints in one of two domains": {[]ggscore.VM{vm(ggscore.RoleEndpoint, "a"), vm(ggscore.RoleEntry, "b")}, ggscore.LoadShare{LoadsPerSecond: 6, InTransit: 24}},
 		"three domains": {
 			[]ggscore.VM{vm(ggscore.RoleEndpoint, "a"), vm(ggscore.RoleEndpoint, "b"), vm(ggscore.RoleEndpoint, "c")},
 			ggscore.LoadShare{LoadsPerSecond: 2, InTransit: 8},
--- a/cmd/ggsnode/fault_process_test.go
+++ b/cmd/ggsnode/fault_process_test.go
@@ -235,7 +235,7 @@
 	text   string
 }
 
-// A call is a request in progress; model and tokens say which answer is expected.
+// A call is a request in progress; model and tokens determine the expected answer.
 type call struct {
 	model  string
 	tokens int
--- a/cmd/ggsnode/members.go
+++ b/cmd/ggsnode/members.go
@@ -14,8 +14,8 @@
 	"greengageslip/io/ggsvms"
 )
 
-// A dispatcherMembers lists the dispatchers of the own domain by their heartbeats and those of other
-// domains by the platform's list.
+// A dispatcherMembers lists the dispatchers of its own domain by their heartbeats, and those of
+// other domains by the platform's list.
 type dispatcherMembers struct {
 	heartbeats *ggsheartbeat.Server
 	listed     listedMembers
@@ -31,8 +31,8 @@
 func (m *dispatcherMembers) Members() []ggsconfig.Member {
 	var ms []ggsconfig.Member
 	own := m.listed.node.Domain
-	for _, b := range m.heartbeats.Members() {
-		ms = append(ms, ggsconfig.Member{VM: b.VM, Domain: own, Addr: b.Addr})
+	for _, h := range m.heartbeats.Members() {
+		ms = append(ms, ggsconfig.Member{VM: h.VM, Domain: own, Addr: h.Addr})
 	}
 	for _, l := range m.listed.Members() {
 		if l.Domain != own || len(ms) == 0 {
--- a/cmd/ggsnode/soak_answers_test.go
+++ b/cmd/ggsnode/soak_answers_test.go
@@ -31,7 +31,7 @@
 	return []soakFault{
 		{"endpoint is limited", true, (*soak).limitRate},
 		{"endpoint leaves in its answers", true, (*soak).leaveInAnswers},
-		{"endpoint refuses with Retry-After", true, (*soak).shedRequests},
+		{"endpoint refuses with Retry-After", true, (*soak).refuseRequests},
 	}
 }
 
@@ -73,8 +73,8 @@
 	s.site.Drain(id)
 }
 
-// shedRequests makes an endpoint refuse all requests for a time that it sends as Retry-After.
-func (s *soak) shedRequests(r *rand.Rand, d time.Duration) {
+// refuseRequests makes an endpoint refuse all requests for a time that it sends as Retry-After.
+func (s *soak) refuseRequests(r *rand.Rand, d time.Duration) {
 	e := s.site.Endpoints[s.endpoint(r, "")]
 	e.SetRetryAfter(d)
 	e.SetFault(func(ggsfakesite.Query) ggsfakesite.Fault { return ggsfakesite.FaultRefuse })
--- a/cmd/ggsnode/soak_check_test.go
+++ b/cmd/ggsnode/soak_check_test.go
@@ -224,7 +224,8 @@
 }
 
 // checkDrains checks that leaving endpoints run no requests after the bound. Endpoints with an
-// unplanned fault around or after their departure are excluded, as it may delay the update.
+// unplanned fault around or after their departure are excluded, since a fault may delay the
+// update.
 func (s *soak) checkDrains() {
 	for id, at := range s.drainedAt {
 		until := at.Add(soakDrainBound)
--- a/cmd/ggsnode/soak_faults_test.go
+++ b/cmd/ggsnode/soak_faults_test.go
@@ -210,7 +210,7 @@
 	s.site.Store.Put(key, value)
 }
 
-// restoreStore restores the store from a copy, sometimes twice in short succession. Writes are
+// restoreStore restores the store from a backup, sometimes twice in short succession. Writes are
 // held meanwhile and applied later; endpoints and operators rewrite the lost entries.
 func (s *soak) restoreStore(r *rand.Rand, d time.Duration) {
 	k := s.site.Store.Backup()
--- a/cmd/ggsnode/soak_test.go
+++ b/cmd/ggsnode/soak_test.go
@@ -38,7 +38,7 @@
 	soakSeed     = flag.Uint64("soak.seed", 0, "run this seed only")
 	soakSeeds    = flag.Int("soak.seeds", 0, "run this number of random seeds")
 	soakAnswers  = flag.Bool("soak.answers", true, "endpoints also report in answers that they are leaving, are limited or refuse requests for a time")
-	soakRestores = flag.Bool("soak.returns", true, "the store is also restored from copies of itself")
+	soakRestores = flag.Bool("soak.returns", true, "the store is also restored from backups")
 	soakLength   = flag.Duration("soak.length", 6*time.Second, "duration of the faults in each run")
 )
 
@@ -48,9 +48,9 @@
 var soakCases = map[string]soakCase{
 	"an ordinary mix": {seed: 1},
 	// Guards against a VM on a slow link that never applies a configuration of 1 MB.
-	"a large configuration":         {seed: 2944054447},
-	"what endpoints say in answers": {seed: 2, answers: true},
-	"a store that comes back":       {seed: 3, answers: true, restores: true},
+	"a large configuration":           {seed: 2944054447},
+	"signals in answers of endpoints": {seed: 2, answers: true},
+	"a restored store":                {seed: 3, answers: true, restores: true},
 	// Guards against overlapping limits of one endpoint, where the end of the first lifts the
 	// second.
 	"limits that overlap": {seed: 1075990872, answers: true, restores: true},
@@ -192,7 +192,7 @@
 		faults = append(faults, answerFaults()...)
 	}
 	if k.restores {
-		faults = append(faults, soakFault{"store restored from a copy", false, (*soak).restoreStore})
+		faults = append(faults, soakFault{"store restored from a backup", false, (*soak).restoreStore})
 	}
 	s.injectUntil(time.Now().Add(*soakLength), faults, &work)
 	s.recover()
