--- a/fakes/ggsfake/plain.go
+++ b/fakes/ggsfake/plain.go
@@ -11,13 +11,13 @@
 type plainCommand struct {
 	listener
 	labels
-	Time time.Duration `long:"time" default:"5ms" description:"duration of a call"`
+	CallTime time.Duration `long:"time" default:"5ms" description:"duration of a call"`
 }
 
 func (c *plainCommand) build() (service, error) {
-	if c.Time < 0 {
+	if c.CallTime < 0 {
 		return service{}, &BadFlagError{Flag: "time", Want: "at least 0s"}
 	}
-	p := ggsfakeplain.New(ggsfakeplain.Options{ID: ggscore.EndpointID(c.ID), CallTime: c.Time})
+	p := ggsfakeplain.New(ggsfakeplain.Options{ID: ggscore.EndpointID(c.ID), CallTime: c.CallTime})
 	return service{name: "plain", handler: p.Handler(), labels: c.fields()}, nil
 }
--- a/fakes/ggsfakebatch/engine.go
+++ b/fakes/ggsfakebatch/engine.go
@@ -9,7 +9,7 @@
 //
 // # Usage
 //
-//	e := ggsfakebatch.New(shape, start)
+//	e := ggsfakebatch.New(params, start)
 //	e.Submit(now, ggsfakebatch.Request{ID: 1, Prompt: 1400, Output: 170})
 //	for _, p := range e.Advance(now) { … }   // the pieces generated up to now
 //	e.Cancel(1)
@@ -23,7 +23,7 @@
 	"time"
 )
 
-// A Params holds the parameters of an engine.
+// Params are the parameters of an engine.
 type Params struct {
 	// Slots is the maximum number of running requests. Memory is the maximum number of
 	// tokens that running requests occupy together.
@@ -60,12 +60,12 @@
 
 // An Engine simulates the processing of requests. It is not safe for concurrent use.
 type Engine struct {
-	shape   Params
+	params  Params
 	now     time.Time
 	waiting []Request
 	running []*run
-	// PromptTokensRead counts the prompt tokens that were read. Preempted counts the requests that
-	// went back to the queue because memory ran out.
+	// PromptTokensRead counts the prompt tokens that were read. Preempted counts the requests
+	// that were moved back to the queue because memory ran out.
 	PromptTokensRead int
 	Preempted        int
 }
@@ -80,7 +80,7 @@
 }
 
 // New returns an engine without requests whose virtual time is start.
-func New(s Params, start time.Time) *Engine { return &Engine{shape: s, now: start} }
+func New(p Params, start time.Time) *Engine { return &Engine{params: p, now: start} }
 
 // Submit adds a request to the queue. The request waits there for a slot and for memory.
 func (e *Engine) Submit(now time.Time, r Request) {
@@ -111,7 +111,7 @@
 			return ps
 		}
 		read := e.nextRead()
-		end := e.now.Add(e.shape.Step + time.Duration(len(e.running))*e.shape.PerSlot + time.Duration(read)*e.shape.PerToken)
+		end := e.now.Add(e.params.Step + time.Duration(len(e.running))*e.params.PerSlot + time.Duration(read)*e.params.PerToken)
 		if end.After(now) {
 			return ps
 		}
@@ -130,7 +130,7 @@
 }
 
 func (e *Engine) admit() {
-	for len(e.waiting) > 0 && len(e.running) < e.shape.Slots && e.memory()+e.waiting[0].Prompt <= e.shape.Memory {
+	for len(e.waiting) > 0 && len(e.running) < e.params.Slots && e.memory()+e.waiting[0].Prompt <= e.params.Memory {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, &run{Request: r, unreadPrompt: r.Prompt})
@@ -143,12 +143,12 @@
 	for _, r := range e.running {
 		n += r.unreadPrompt
 	}
-	return min(n, e.shape.Chunk)
+	return min(n, e.params.Chunk)
 }
 
 // step simulates one step and returns its pieces.
 func (e *Engine) step() []Piece {
-	budget := e.shape.Chunk
+	budget := e.params.Chunk
 	var ps []Piece
 	var remaining []*run
 	for _, r := range e.running {
@@ -159,7 +159,7 @@
 			r.generated++
 		}
 		last := r.generated >= r.Output
-		if r.generated == 1 || r.generated-r.emitted >= e.shape.PieceTokens || last {
+		if r.generated == 1 || r.generated-r.emitted >= e.params.PieceTokens || last {
 			ps = append(ps, Piece{ID: r.ID, At: e.now, First: r.emitted == 0, Last: last})
 			r.emitted = r.generated
 		}
@@ -175,7 +175,7 @@
 // preempt moves requests of the lowest priority back to the queue while running requests
 // exceed the memory. It prefers the newest running request if that has the lowest priority.
 func (e *Engine) preempt() {
-	for len(e.running) > 1 && e.memory() > e.shape.Memory {
+	for len(e.running) > 1 && e.memory() > e.params.Memory {
 		i := len(e.running) - 1
 		for j, r := range e.running {
 			if r.Priority > e.running[i].Priority {
--- a/fakes/ggsfakebatch/engine_test.go
+++ b/fakes/ggsfakebatch/engine_test.go
@@ -11,7 +11,7 @@
 
 func at(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 
-func shape() ggsfakebatch.Params {
+func params() ggsfakebatch.Params {
 	return ggsfakebatch.Params{
 		Slots: 4, Memory: 10_000, Step: 10 * time.Millisecond, PerToken: 50 * time.Microsecond, Chunk: 2000, PieceTokens: 3,
 	}
@@ -22,7 +22,7 @@
 func TestPromptReadingDelaysStreams(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	e := ggsfakebatch.New(shape(), at(0))
+	e := ggsfakebatch.New(params(), at(0))
 	e.Submit(at(0), ggsfakebatch.Request{ID: 1, Prompt: 100, Output: 10})
 	ps := e.Advance(at(20 * time.Millisecond))
 	c.Assert(ps, qt.DeepEquals, []ggsfakebatch.Piece{{ID: 1, At: at(15 * time.Millisecond), First: true}})
@@ -39,7 +39,7 @@
 func TestPreemptionWhenMemoryRunsOut(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s := shape()
+	s := params()
 	s.Memory = 1000
 	e := ggsfakebatch.New(s, at(0))
 	e.Submit(at(0), ggsfakebatch.Request{ID: 1, Prompt: 450, Output: 200})
@@ -57,7 +57,7 @@
 func TestSlotsAndCancel(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	e := ggsfakebatch.New(shape(), at(0))
+	e := ggsfakebatch.New(params(), at(0))
 	for id := range 6 {
 		e.Submit(at(0), ggsfakebatch.Request{ID: id, Prompt: 10, Output: 1000})
 	}
--- a/fakes/ggsfakebatch/fleet_test.go
+++ b/fakes/ggsfakebatch/fleet_test.go
@@ -32,7 +32,7 @@
 
 // A workload describes the engines, the VMs and the requests of a simulation.
 type workload struct {
-	shape   ggsfakebatch.Params
+	params  ggsfakebatch.Params
 	engines int
 	vms     int
 	// readShare is the share of the engines' time that is spent on reading prompts, from
@@ -40,7 +40,7 @@
 	readShare float64
 	// prompt and output are the mean sizes of prompts and answers in tokens.
 	prompt, output int
-	gapAim         time.Duration
+	targetGap      time.Duration
 	duration       time.Duration
 	// slowdown multiplies the step times of the first engine; zero leaves them unchanged.
 	slowdown float64
@@ -69,7 +69,7 @@
 	// completed counts streams that ended. ended counts those among them that arrived
 	// after fleetWarmup.
 	completed, ended int
-	// longGaps counts the streams of ended with a gap between pieces over gapAim. late
+	// longGaps counts the streams of ended with a gap between pieces over targetGap. late
 	// counts first pieces that took longer than fleetFirstPieceTarget.
 	longGaps, late int
 	firstPieces    []time.Duration
@@ -123,7 +123,7 @@
 	var list []ggscore.Instance
 	regions := map[ggscore.Domain]ggscore.Region{fleetDomain(0): "east", fleetDomain(1): "west"}
 	for n := range l.engines {
-		s := l.shape
+		s := l.params
 		if n == 0 && l.slowdown > 0 {
 			s.Step = time.Duration(l.slowdown * float64(s.Step))
 			s.PerToken = time.Duration(l.slowdown * float64(s.PerToken))
@@ -137,7 +137,7 @@
 	for n := range l.vms {
 		name := ggscore.VMID(fmt.Sprintf("vm%d", n))
 		v := &fleetVM{name: name, domain: fleetDomain(n), turns: ggsturn.NewTable(ggsturn.Options{VM: name})}
-		v.turns.SetService(fleetService, l.gapAim)
+		v.turns.SetService(fleetService, l.targetGap)
 		v.turns.SetDecides(n == 0)
 		v.table = ggsplace.NewTable(ggsplace.Options{Domain: fleetDomain(n), Regions: regions, Seed: seed + uint64(n), Turns: v.turns, Policy: policy})
 		v.table.SetInstances(list)
@@ -151,7 +151,7 @@
 
 func (f *fleet) run() fleetResult {
 	end := f.now.Add(f.duration)
-	perSecond := f.readShare * float64(f.workload.engines) / (float64(f.prompt) * f.shape.PerToken.Seconds())
+	perSecond := f.readShare * float64(f.workload.engines) / (float64(f.prompt) * f.params.PerToken.Seconds())
 	next := f.now
 	var due []time.Time
 	for ; f.now.Before(end); f.now = f.now.Add(fleetTick) {
@@ -304,7 +304,7 @@
 	s.last = p.At
 	if p.Last && s.arrived.Sub(at(0)) > fleetWarmup {
 		f.result.ended++
-		if s.gap > f.gapAim {
+		if s.gap > f.targetGap {
 			f.result.longGaps++
 		}
 	}
@@ -343,32 +343,32 @@
 
 // slowEngine and wideEngine return workloads whose engines differ in speed, in the prompt
 // tokens that a step reads and in the tokens of a piece. Three full steps of slowEngine take
-// 350 ms and eight of wideEngine 870 ms. Both exceed the gapAim of their workload.
+// 350 ms and eight of wideEngine 870 ms. Both exceed the targetGap of their workload.
 func slowEngine() workload {
 	return workload{
-		shape: ggsfakebatch.Params{
+		params: ggsfakebatch.Params{
 			Slots: 64, Memory: 120_000, Step: 9 * time.Millisecond, PerSlot: 40 * time.Microsecond,
 			PerToken: time.Second / 19_000, Chunk: 2048, PieceTokens: 3,
 		},
-		engines: 9, vms: 8, readShare: 0.45, prompt: 1400, output: 170, gapAim: 300 * time.Millisecond, duration: 22 * time.Second,
+		engines: 9, vms: 8, readShare: 0.45, prompt: 1400, output: 170, targetGap: 300 * time.Millisecond, duration: 22 * time.Second,
 	}
 }
 
 func wideEngine() workload {
 	return workload{
-		shape: ggsfakebatch.Params{
+		params: ggsfakebatch.Params{
 			Slots: 24, Memory: 200_000, Step: 6 * time.Millisecond, PerSlot: 20 * time.Microsecond,
 			PerToken: time.Second / 28_000, Chunk: 4096, PieceTokens: 8,
 		},
-		engines: 9, vms: 8, readShare: 0.45, prompt: 4000, output: 240, gapAim: 600 * time.Millisecond, duration: 22 * time.Second,
+		engines: 9, vms: 8, readShare: 0.45, prompt: 4000, output: 240, targetGap: 600 * time.Millisecond, duration: 22 * time.Second,
 	}
 }
 
 // smallSteps returns a workload whose engines read chunks so small that streams keep below
-// gapAim without turns. The engines are close to saturation.
+// targetGap without turns. The engines are close to saturation.
 func smallSteps() workload {
 	l := slowEngine()
-	l.shape.Chunk, l.readShare = 512, 0.85
+	l.params.Chunk, l.readShare = 512, 0.85
 	return l
 }
 
@@ -386,7 +386,7 @@
 }
 
 // Guards against streams that pause for about 350 ms again and again because a burst of
-// prompts fills the engine's steps. With turns 1.4 % and 1.3 % of the streams exceed gapAim,
+// prompts fills the engine's steps. With turns 1.4 % and 1.3 % of the streams exceed targetGap,
 // without 50 % and 44 %. The median first piece takes 90 ms and 150 ms.
 func TestStreamsDontPauseForPrompts(t *testing.T) {
 	t.Parallel()
@@ -404,8 +404,8 @@
 	}
 }
 
-// Guards against prompts that wait for turns at engines that read small chunks. Turns bring
-// nothing there but latency, also when the engines are close to saturation.
+// Guards against prompts that wait for turns at engines that read small chunks. At such engines
+// turns only add latency, also when the engines are close to saturation.
 func TestPromptsDontWaitAtEnginesWithSmallChunks(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/fakes/ggsfakesite/doc.go
+++ b/fakes/ggsfakesite/doc.go
@@ -5,9 +5,11 @@
 //
 //	s := ggsfakesite.NewStore()
 //	s.Put("op/config", config)
-//	r := ggsfakesite.NewEndpoint(ggsfakesite.EndpointOptions{ID: "i-1", Service: "models", Engine: true, Now: time.Now})
-//	s.Put("servers/i-1", r.Entry(addr, "zone"))
-//	s.SetAway(true)                  // every call is answered with status 503
+//	r := ggsfakesite.NewEndpoint(ggsfakesite.EndpointOptions{
+//		ID: "i-1", Service: "models", Engine: true, Now: time.Now,
+//	})
+//	s.Put("servers/i-1", r.Entry(addr, "zone", false))
+//	s.SetUnavailable(true)           // every call is answered with status 503
 //	r.SetFault(func(q ggsfakesite.Query) ggsfakesite.Fault { … })
 //	runs := r.Runs()                 // number of runs by request ID
 //
--- a/fakes/ggsfakesite/endpoint.go
+++ b/fakes/ggsfakesite/endpoint.go
@@ -82,7 +82,7 @@
 	// rateLimit is the Server-Limit header of answers in requests per second, empty for none.
 	rateLimit string
 	leaving   bool
-	// retryAfter is the Retry-After header of requests refused by FaultShed, zero for none.
+	// retryAfter is the Retry-After header of requests refused by FaultRefuse, zero for none.
 	retryAfter time.Duration
 	arrivals   []Arrival
 }
@@ -158,7 +158,7 @@
 	e.leaving = leaving
 }
 
-// SetRetryAfter sets the Retry-After header of requests that FaultShed refuses.
+// SetRetryAfter sets the Retry-After header of requests that FaultRefuse refuses.
 func (e *Endpoint) SetRetryAfter(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fakes/ggsfakesite/site.go
+++ b/fakes/ggsfakesite/site.go
@@ -155,16 +155,16 @@
 	s.writeEntry(id)
 }
 
-// Restore restores the store from a copy. Endpoints don't write their entries for the given
+// Restore restores the store from a backup. Endpoints don't write their entries for the given
 // time after the restore.
-func (s *Site) Restore(c Backup, after time.Duration) {
+func (s *Site) Restore(b Backup, pause time.Duration) {
 	s.mu.Lock()
-	s.entriesPausedUntil = s.options.Now().Add(after)
+	s.entriesPausedUntil = s.options.Now().Add(pause)
 	s.mu.Unlock()
-	s.Store.Restore(c)
+	s.Store.Restore(b)
 }
 
-// ResumeEntries ends the pause that Return began: endpoints write their entries again.
+// ResumeEntries ends the pause that Restore began: endpoints write their entries again.
 func (s *Site) ResumeEntries() {
 	s.mu.Lock()
 	s.entriesPausedUntil = time.Time{}
--- a/fakes/ggsfakesite/store.go
+++ b/fakes/ggsfakesite/store.go
@@ -16,8 +16,8 @@
 // revisions, watches and conditional transactions.
 type Store struct {
 	mu sync.Mutex
-	// era starts at one and increases each time that the store is restored from a copy.
-	era         uint64
+	// epoch starts at one and increases each time that the store is restored from a backup.
+	epoch       uint64
 	revision    uint64
 	items       map[string]item
 	history     []item
@@ -26,8 +26,8 @@
 	// loseAnswers is the number of further writes that are applied without an answer.
 	loseAnswers int
 	calls       map[string]int
-	// snapshots counts the list calls by prefix.
-	snapshots map[string]int
+	// listCalls counts the list calls by prefix.
+	listCalls map[string]int
 	// conditions are the keys in the conditions of the last transaction.
 	conditions []string
 	// holdWrites is the number of further writes to hold, heldWrites the writes held so far.
@@ -35,15 +35,15 @@
 	heldWrites []transaction
 }
 
-// A Backup is a backup of a store's state.
+// A Backup is a copy of a store's state.
 type Backup struct {
 	revision uint64
 	items    map[string]item
 	history  []item
 }
 
-// eraHeader carries the store's era in every answer.
-const eraHeader = "Store-Era"
+// epochHeader is the header with the store's epoch in every answer.
+const epochHeader = "Store-Era"
 
 type item struct {
 	Key       string `json:"key"`
@@ -68,7 +68,7 @@
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
-		era: 1, revision: 1, items: map[string]item{}, changed: make(chan struct{}), calls: map[string]int{}, snapshots: map[string]int{},
+		epoch: 1, revision: 1, items: map[string]item{}, changed: make(chan struct{}), calls: map[string]int{}, listCalls: map[string]int{},
 	}
 }
 
@@ -79,32 +79,32 @@
 	return Backup{revision: s.revision, items: maps.Clone(s.items), history: slices.Clone(s.history)}
 }
 
-// WithoutPrefix returns the copy without the keys below a prefix.
-func (c Backup) WithoutPrefix(prefix string) Backup {
-	c.items = maps.Clone(c.items)
-	maps.DeleteFunc(c.items, func(k string, _ item) bool { return strings.HasPrefix(k, prefix) })
-	return c
+// WithoutPrefix returns the backup without the keys below a prefix.
+func (b Backup) WithoutPrefix(prefix string) Backup {
+	b.items = maps.Clone(b.items)
+	maps.DeleteFunc(b.items, func(k string, _ item) bool { return strings.HasPrefix(k, prefix) })
+	return b
 }
 
-// Restore restores the store from a copy and increases its era. Later writes are lost, and
-// their revisions are assigned again to new writes.
-func (s *Store) Restore(c Backup) {
+// Restore restores the store from a backup and increases the store's epoch. Writes after the
+// backup are lost, and the revisions of the lost writes are assigned again to new writes.
+func (s *Store) Restore(b Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.era++
-	s.revision, s.items, s.history = c.revision, maps.Clone(c.items), slices.Clone(c.history)
+	s.epoch++
+	s.revision, s.items, s.history = b.revision, maps.Clone(b.items), slices.Clone(b.history)
 	s.notifyWatches()
 }
 
-// Era returns the era that the store sends in its answers.
+// Era returns the epoch that the store sends in its answers.
 func (s *Store) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.era
+	return s.epoch
 }
 
 // HoldWrites holds the next n writes. Their connections are closed without an answer, and
-// CarryOutHeld applies them.
+// ApplyHeld applies them.
 func (s *Store) HoldWrites(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +211,7 @@
 func (s *Store) ListCalls(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.snapshots[prefix]
+	return s.listCalls[prefix]
 }
 
 // Conditions returns the keys in the conditions of the last transaction.
@@ -226,7 +226,7 @@
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
 	unavailable := s.unavailable
-	w.Header().Set(eraHeader, strconv.FormatUint(s.era, 10))
+	w.Header().Set(epochHeader, strconv.FormatUint(s.epoch, 10))
 	s.mu.Unlock()
 	if unavailable {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -247,7 +247,7 @@
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("pathPrefix")
 	s.mu.Lock()
-	s.snapshots[prefix]++
+	s.listCalls[prefix]++
 	l, rev := []item{}, s.revision
 	for k, i := range s.items {
 		if strings.HasPrefix(k, prefix) {
@@ -269,7 +269,7 @@
 	for {
 		s.mu.Lock()
 		unavailable, changed, rev := s.unavailable, s.changed, s.revision
-		w.Header().Set(eraHeader, strconv.FormatUint(s.era, 10))
+		w.Header().Set(epochHeader, strconv.FormatUint(s.epoch, 10))
 		compacted := after > rev || after < rev && (len(s.history) == 0 || s.history[0].Revision > after+1)
 		l := []item{}
 		for _, i := range s.history {
@@ -330,7 +330,7 @@
 		s.heldWrites = append(s.heldWrites, t)
 		panic(http.ErrAbortHandler)
 	}
-	w.Header().Set(eraHeader, strconv.FormatUint(s.era, 10))
+	w.Header().Set(epochHeader, strconv.FormatUint(s.epoch, 10))
 	if i, ok := s.apply(t); !ok {
 		answer(w, http.StatusPreconditionFailed, map[string]any{"items": []item{i}})
 		return
--- a/fakes/ggsfakesite/store_test.go
+++ b/fakes/ggsfakesite/store_test.go
@@ -44,14 +44,14 @@
 }
 
 // Guards against a test double that keeps writes that a real store loses when it is restored
-// from an older copy.
-func TestRestoreFromCopy(t *testing.T) {
+// from an older backup.
+func TestRestoreFromBackup(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	s := ggsfakesite.NewStore()
 	v := httptest.NewServer(s)
 	defer v.Close()
-	get := func(query string) (status int, era, body string) {
+	get := func(query string) (status int, epoch, body string) {
 		r, err := http.NewRequestWithContext(context.Background(), http.MethodGet, v.URL+"/greengageslip/"+query, nil)
 		c.Assert(err, qt.IsNil)
 		resp, err := v.Client().Do(r)
@@ -81,18 +81,18 @@
 
 	c.Check(s.Get("b"), qt.IsNil)
 	c.Check(string(s.Get("a")), qt.Equals, "1")
-	status, era, body := get("kv-range?pathPrefix=")
+	status, epoch, body := get("kv-range?pathPrefix=")
 	c.Check(status, qt.Equals, http.StatusOK)
-	c.Check(era, qt.Equals, "2")
+	c.Check(epoch, qt.Equals, "2")
 	c.Check(strings.HasSuffix(body, `"asOf":2}`), qt.IsTrue, qt.Commentf("%s", body))
-	status, era, _ = get("kv-watch?pathPrefix=&after=4&waitMs=1000")
+	status, epoch, _ = get("kv-watch?pathPrefix=&after=4&waitMs=1000")
 	c.Check(status, qt.Equals, http.StatusGone)
-	c.Check(era, qt.Equals, "2")
+	c.Check(epoch, qt.Equals, "2")
 	s.SetUnavailable(true)
-	_, era, _ = get("kv-range?pathPrefix=")
-	c.Check(era, qt.Equals, "2")
+	_, epoch, _ = get("kv-range?pathPrefix=")
+	c.Check(epoch, qt.Equals, "2")
 
-	// The condition of the held write is met again: the copy has the expected revision.
+	// The condition of the held write is met again: the backup has the expected revision.
 	c.Check(s.ApplyHeld(), qt.Equals, 1)
 	c.Check(string(s.Get("a")), qt.Equals, "x")
 }
--- a/fakes/ggsfakeweights/store.go
+++ b/fakes/ggsfakeweights/store.go
@@ -17,10 +17,10 @@
 	LoadsPerSecond float64
 	// Burst is the burst of LoadsPerSecond.
 	Burst int
-	// LoadsAtFullSpeed is the number of loads in transit above which all loads slow down; zero
-	// means that they never slow down.
+	// LoadsAtFullSpeed is the number of loads in transit above which all loads slow down. With
+	// zero, loads never slow down.
 	LoadsAtFullSpeed int
-	// LoadTime is the duration of a load while at most InTransit loads are in transit.
+	// LoadTime is the duration of a load while at most LoadsAtFullSpeed loads are in transit.
 	LoadTime time.Duration
 	// Seed seeds the choice of failing loads.
 	Seed uint64
--- a/fakes/ggsfakeweights/store_test.go
+++ b/fakes/ggsfakeweights/store_test.go
@@ -14,7 +14,7 @@
 )
 
 // Checks that loads take proportionally longer while more loads are in transit than
-// Options.InTransit, and longer at a lower Faults.Speed.
+// Options.LoadsAtFullSpeed, and longer at a lower Faults.Speed.
 func TestLoadsInTransitSlowDownLoads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
