--- a/cmd/ggsctl/deployment_test.go
+++ b/cmd/ggsctl/deployment_test.go
@@ -39,8 +39,9 @@
 // slowToken is the time between tokens of a slow deployment.
 const slowToken = 20 * time.Millisecond
 
-// firstOctet keeps sessions apart from other tests of the same process id.
-const firstOctet = 100
+// minLastOctet is the least last octet of a session's address. Tests of package ggsnode use
+// lower ones, so that a test process with the same address prefix has other addresses.
+const minLastOctet = 100
 
 var deployments atomic.Int32 //nolint:gochecknoglobals // gives each session an IP address
 
@@ -64,7 +65,7 @@
 	p := os.Getpid()
 	d := &deployment{
 		ts: ts, s: sessionOf(ts),
-		ip:    netip.AddrFrom4([4]byte{127, byte(p), byte(p >> 8), byte(firstOctet + deployments.Add(1))}),
+		ip:    netip.AddrFrom4([4]byte{127, byte(p), byte(p >> 8), byte(minLastOctet + deployments.Add(1))}),
 		stops: map[string]func() int{},
 	}
 	d.s.deployed = d
--- a/cmd/ggsctl/fleet.go
+++ b/cmd/ggsctl/fleet.go
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// A knownEndpoint is an endpoint as several VMs know it.
+// A knownEndpoint is an endpoint as several VMs report it.
 type knownEndpoint struct {
 	ggsedge.EndpointState
 	// listedBy is the number of VMs that list the endpoint. owners are the endpoint's
