--- a/cmd/ggsload/plan.go
+++ b/cmd/ggsload/plan.go
@@ -17,7 +17,7 @@
 // A kind is a kind of request.
 type kind struct {
 	// stream and whole are chat requests. Other kinds call an operation of a plain
-	// service; once means with an idempotency key.
+	// service; once adds an idempotency key to the call.
 	stream    bool
 	whole     bool
 	once      bool
--- a/cmd/ggsload/tally.go
+++ b/cmd/ggsload/tally.go
@@ -84,7 +84,7 @@
 	t.second(due).dropped++
 }
 
-// second returns the counts of a time's second. The caller holds the mutex.
+// second returns the counts of the second that contains due. The caller holds the mutex.
 func (t *tally) second(due time.Duration) *second {
 	n := int(due / time.Second)
 	for len(t.seconds) <= n {
