--- a/cmd/ggsnode/common.go
+++ b/cmd/ggsnode/common.go
@@ -16,7 +16,7 @@
 	"greengageslip/io/ggsvms"
 )
 
-// A role is the program's name and the way it gets the document.
+// A role is a program's name and its source of the document.
 type role struct {
 	program string
 	// peersOnly makes the program read the document only from dispatchers, not from the store.
--- a/cmd/ggsnode/dispatcher.go
+++ b/cmd/ggsnode/dispatcher.go
@@ -139,8 +139,9 @@
 	h.Lifecycle.Append(fx.Hook{OnStop: func(ctx context.Context) error { return p.drain(ctx, h.Log) }})
 }
 
-// drain hands over the endpoints and then waits for the requests in progress. An unavailable
-// platform delays neither: another dispatcher then takes over after the lease has expired.
+// drain hands over the endpoints and then waits for the requests in progress. Calls to an
+// unavailable platform are given up after releaseTimeout. Another dispatcher then takes over after
+// the lease has expired.
 func (p *dispatcherParts) drain(ctx context.Context, l log.Logger) error {
 	p.handOver(ctx, l)
 	if err := p.Dispatcher.Drain(ctx); err != nil {
--- a/cmd/ggsnode/endpoints.go
+++ b/cmd/ggsnode/endpoints.go
@@ -67,9 +67,9 @@
 
 // listedLeaving reports whether the platform lists this VM as leaving.
 //
-// Gateways send no requests to a dispatcher listed as leaving. Endpoints that it kept until its
-// stop, which may come minutes later, would get no requests meanwhile. The dispatcher therefore
-// hands them over at once and only finishes the requests in progress.
+// Gateways send no requests to a dispatcher listed as leaving. The dispatcher may stop minutes
+// later, and endpoints that it kept would get no requests meanwhile. The dispatcher therefore hands
+// its endpoints over at once and only finishes the requests in progress.
 func (e *endpointUpdater) listedLeaving() bool {
 	vms, _ := e.parts.VMs.List()
 	return slices.ContainsFunc(vms, func(v ggscore.VM) bool {
@@ -124,9 +124,9 @@
 // servableAdapters returns the adapters that an endpoint serves while its owner's lease is not
 // confirmed: the resident adapters that the owner's record protects.
 //
-// The scheduler serves only protected adapters in that mode. An owner that passed on just the pins
-// of earlier owners would refuse all requests after the platform has been unavailable for longer
-// than the lease.
+// In ModeResidentOnly the scheduler serves only protected adapters. An owner that passed on just
+// the pins of earlier owners would refuse all requests after the platform has been unavailable for
+// longer than the lease.
 func (e *endpointUpdater) servableAdapters(n *ggscore.Endpoint) []ggscore.AdapterRef {
 	if n.Kind == ggscore.KindPlain {
 		return []ggscore.AdapterRef{{}}
--- a/cmd/ggsnode/members.go
+++ b/cmd/ggsnode/members.go
@@ -55,8 +55,8 @@
 	return h, nil
 }
 
-// seeds returns the dispatchers of the settings, which get heartbeats before the platform's list is
-// known. Their VM IDs are learned from their heartbeats.
+// seeds returns the dispatchers that the settings list. Heartbeats are sent to the seeds before the
+// platform's list is known. A seed's own heartbeats contain its VM ID.
 func seeds(s *ggssettings.Dispatcher) []ggscore.VM {
 	vms := make([]ggscore.VM, 0, len(s.Dispatchers))
 	for _, a := range s.Dispatchers {
--- a/cmd/ggsnode/soak_faults_test.go
+++ b/cmd/ggsnode/soak_faults_test.go
@@ -110,7 +110,7 @@
 }
 
 // hangup sends SIGHUP to a process that has a configuration. A SIGHUP before the process ignores
-// the signal would end it, and the soak, unlike the platform, wouldn't restart it.
+// the signal would end the process, and the soak, unlike the platform, wouldn't restart it.
 func (s *soak) hangup(r *rand.Rand, _ time.Duration) {
 	if e := s.edge(r); s.configOf(e) > 0 {
 		e.signal(syscall.SIGHUP)
