--- a/fakes/ggsfakebatch/fleet_test.go
+++ b/fakes/ggsfakebatch/fleet_test.go
@@ -69,8 +69,8 @@
 	// completed counts streams that ended. ended counts those among them that arrived
 	// after fleetWarmup.
 	completed, ended int
-	// longGaps counts the streams of ended with a gap between pieces over targetGap. late
-	// counts first pieces that took longer than fleetFirstPieceTarget.
+	// longGaps counts those streams among ended that had a gap between pieces over
+	// targetGap. late counts first pieces that took longer than fleetFirstPieceTarget.
 	longGaps, late int
 	firstPieces    []time.Duration
 	// announced counts the turns that VMs announced to other VMs.
--- a/fakes/ggsfakeengine/doc.go
+++ b/fakes/ggsfakeengine/doc.go
@@ -26,8 +26,8 @@
 // greatest fencing token that the incarnation has seen.
 //
 // A load continues after its caller has disconnected. Loading a resident adapter and
-// unloading a missing one succeed. The package starts no goroutines: all work runs in those
-// of the HTTP server, and Close ends it.
+// unloading a missing one succeed. The package starts no goroutines: all work runs in the
+// goroutines of the HTTP server, and Close ends that work.
 //
 // Locks: Engine.mu guards all mutable state and is never held during I/O.
 package ggsfakeengine
