--- a/cmd/ggsnode/members.go
+++ b/cmd/ggsnode/members.go
@@ -14,8 +14,8 @@
 	"greengageslip/io/ggsvms"
 )
 
-// A dispatcherMembers lists the dispatchers of the own domain by their heartbeats and those of other
-// domains by the platform's list.
+// A dispatcherMembers lists the dispatchers of its own domain by their heartbeats, and those of
+// other domains by the platform's list.
 type dispatcherMembers struct {
 	heartbeats *ggsheartbeat.Server
 	listed     listedMembers
@@ -31,8 +31,8 @@
 func (m *dispatcherMembers) Members() []ggsconfig.Member {
 	var ms []ggsconfig.Member
 	own := m.listed.node.Domain
-	for _, b := range m.heartbeats.Members() {
-		ms = append(ms, ggsconfig.Member{VM: b.VM, Domain: own, Addr: b.Addr})
+	for _, h := range m.heartbeats.Members() {
+		ms = append(ms, ggsconfig.Member{VM: h.VM, Domain: own, Addr: h.Addr})
 	}
 	for _, l := range m.listed.Members() {
 		if l.Domain != own || len(ms) == 0 {
@@ -55,8 +55,8 @@
 	return h, nil
 }
 
-// seeds returns the dispatchers of the settings, which get heartbeats before the platform's list is
-// known. Their VM IDs are learned from their heartbeats.
+// seeds returns the dispatchers that the settings list. Heartbeats are sent to the seeds before the
+// platform's list is known. A seed's own heartbeats contain its VM ID.
 func seeds(s *ggssettings.Dispatcher) []ggscore.VM {
 	vms := make([]ggscore.VM, 0, len(s.Dispatchers))
 	for _, a := range s.Dispatchers {
--- a/cmd/ggsnode/soak_faults_test.go
+++ b/cmd/ggsnode/soak_faults_test.go
@@ -110,7 +110,7 @@
 }
 
 // hangup sends SIGHUP to a process that has a configuration. A SIGHUP before the process ignores
-// the signal would end it, and the soak, unlike the platform, wouldn't restart it.
+// the signal would end the process, and the soak, unlike the platform, wouldn't restart it.
 func (s *soak) hangup(r *rand.Rand, _ time.Duration) {
 	if e := s.edge(r); s.configOf(e) > 0 {
 		e.signal(syscall.SIGHUP)
@@ -210,7 +210,7 @@
 	s.site.Store.Put(key, value)
 }
 
-// restoreStore restores the store from a copy, sometimes twice in short succession. Writes are
+// restoreStore restores the store from a backup, sometimes twice in short succession. Writes are
 // held meanwhile and applied later; endpoints and operators rewrite the lost entries.
 func (s *soak) restoreStore(r *rand.Rand, d time.Duration) {
 	k := s.site.Store.Backup()
