--- a/cmd/ggsnode/edge_epoch_test.go
+++ b/cmd/ggsnode/edge_epoch_test.go
@@ -43,7 +43,7 @@
 	s.eachEdge("the store is unreachable", func(e ggsedge.State) bool { return e.StoreUnavailable })
 	s.site.Restore(k, neverRewrite)
 	s.site.Store.SetUnavailable(false)
-	s.eachEdge("the epoch is known", func(e ggsedge.State) bool { return uint64(e.Epoch) == s.site.Store.Era() })
+	s.eachEdge("the epoch is known", func(e ggsedge.State) bool { return uint64(e.Epoch) == s.site.Store.Epoch() })
 }
 
 // rewrite makes all endpoints write their entries again and waits for the writes.
--- a/cmd/ggsnode/edge_store_test.go
+++ b/cmd/ggsnode/edge_store_test.go
@@ -190,7 +190,7 @@
 	s.eventually("the runners are released", func() bool {
 		return strings.Contains(string(s.site.Store.Get("greengageslip/orderer/runner-00")), `"released":true`)
 	})
-	s.c.Assert(s.site.Store.Conditions(), qt.Contains, "greengageslip/vm/edge-0@"+s.edges[0].settings.Addr.String())
+	s.c.Assert(s.site.Store.LastConditions(), qt.Contains, "greengageslip/vm/edge-0@"+s.edges[0].settings.Addr.String())
 }
 
 // Guards against request smuggling: bytes in a body, or behind a request with ambiguous length,
--- a/fakes/ggsfakesite/store.go
+++ b/fakes/ggsfakesite/store.go
@@ -96,8 +96,8 @@
 	s.notifyWatches()
 }
 
-// Era returns the epoch that the store sends in its answers.
-func (s *Store) Era() uint64 {
+// Epoch returns the epoch that the store sends in its answers.
+func (s *Store) Epoch() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch
@@ -214,8 +214,8 @@
 	return s.listCalls[prefix]
 }
 
-// Conditions returns the keys in the conditions of the last transaction.
-func (s *Store) Conditions() []string {
+// LastConditions returns the keys in the conditions of the last transaction.
+func (s *Store) LastConditions() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.conditions)
