--- a/core/claim.go
+++ b/core/claim.go
@@ -25,7 +25,7 @@
 	ClaimExpired
 )
 
-// A ClaimRequest asks for the claim of a key.
+// A ClaimRequest requests the claim of a key.
 type ClaimRequest struct {
 	Market Market
 	Key    IdempotencyKey
@@ -56,7 +56,7 @@
 	Outcome     Outcome
 	Status      int
 	ContentType string
-	// Body is the answer's body if it was small enough to record. Whole says that it was.
+	// Body is the answer's body if it was small enough to record. Whole is set if it was.
 	Body  []byte
 	Whole bool
 }
--- a/core/endpoint.go
+++ b/core/endpoint.go
@@ -58,7 +58,7 @@
 	Slots int
 	// AdapterSlots is the number of adapters that a runner holds at once.
 	AdapterSlots int
-	// ChecksFence says that the endpoint refuses orders with an old fencing token.
+	// ChecksFence is set if the endpoint refuses orders with an old fencing token.
 	ChecksFence bool
 	Leaving     bool
 }
--- a/core/engine.go
+++ b/core/engine.go
@@ -8,7 +8,7 @@
 // A ChunkSink receives the chunks of an answer in order. An error ends the call.
 type ChunkSink func(Chunk) error
 
-// An EngineCaller runs a request on a runner. Errors are *CallError, which says whether a byte
+// An EngineCaller runs a request on a runner. Errors are *CallError, which reports whether a byte
 // of the request may have reached the endpoint.
 type EngineCaller interface {
 	Run(ctx context.Context, addr netip.AddrPort, r *Request, sink ChunkSink) error
--- a/core/errors.go
+++ b/core/errors.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// A BadAdapterRefError says that a text isn't a valid adapter reference.
+// A BadAdapterRefError reports that a text isn't a valid adapter reference.
 type BadAdapterRefError struct{ Text string }
 
 // Error implements error.
@@ -13,7 +13,7 @@
 	return fmt.Sprintf("bad adapter reference %q: want name or name@version", e.Text)
 }
 
-// A ConflictError says that a compare-and-swap failed because the key is at another revision.
+// A ConflictError reports that a compare-and-swap failed because the key is at another revision.
 // Nothing was written.
 type ConflictError struct {
 	Key  Key
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("write of %s refused: key is at revision %d, expected %d", e.Key, e.Have, e.Want)
 }
 
-// An AmbiguousWriteError says that a write's answer was lost. The write may have taken effect,
+// An AmbiguousWriteError reports that a write's answer was lost. The write may have taken effect,
 // or may still do so.
 type AmbiguousWriteError struct {
 	Key   Key
@@ -41,8 +41,8 @@
 // Unwrap returns the cause.
 func (e *AmbiguousWriteError) Unwrap() error { return e.Cause }
 
-// A StoreUnavailableError says that the platform's key-value service was unavailable for a call.
-// The call had no effect.
+// A StoreUnavailableError reports that the platform's key-value service was unavailable for a
+// call. The call had no effect.
 type StoreUnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -53,7 +53,7 @@
 // Unwrap returns the cause.
 func (e *StoreUnavailableError) Unwrap() error { return e.Cause }
 
-// A StoreBusyError says that the platform's key-value service refused a call because the
+// A StoreBusyError reports that the platform's key-value service refused a call because the
 // service's rate limit was exceeded. The call had no effect.
 type StoreBusyError struct{}
 
@@ -62,7 +62,7 @@
 	return "platform service refused the call: rate limit exceeded"
 }
 
-// A LeaseExpiredError says that a lease is no longer held.
+// A LeaseExpiredError reports that a lease is no longer held.
 type LeaseExpiredError struct {
 	Owner VMID
 	Lease LeaseID
@@ -74,7 +74,7 @@
 	return fmt.Sprintf("lease %d of %s with fencing token %d has expired", e.Lease, e.Owner, e.Fence)
 }
 
-// A FencedError says that an endpoint refused an order because the endpoint has seen a greater
+// A FencedError reports that an endpoint refused an order because the endpoint has seen a greater
 // fencing token.
 type FencedError struct {
 	Have FencingToken
@@ -86,7 +86,7 @@
 	return fmt.Sprintf("order with fencing token %d refused: endpoint has seen %d", e.Have, e.Seen)
 }
 
-// An AmbiguousOrderError says that an order to an endpoint may have taken effect, or may still
+// An AmbiguousOrderError reports that an order to an endpoint may have taken effect, or may still
 // do so.
 type AmbiguousOrderError struct {
 	Addr  netip.AddrPort
@@ -101,7 +101,7 @@
 // Unwrap returns the cause.
 func (e *AmbiguousOrderError) Unwrap() error { return e.Cause }
 
-// An OrderRefusedError says that an endpoint refused an order. The order had no effect.
+// An OrderRefusedError reports that an endpoint refused an order. The order had no effect.
 type OrderRefusedError struct {
 	Addr   netip.AddrPort
 	Status int
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("order refused by %s with status %d: %s", e.Addr, e.Status, e.Detail)
 }
 
-// A CallError says that a call to an endpoint failed. NotSent is set only if no byte of the
+// A CallError reports that a call to an endpoint failed. NotSent is set only if no byte of the
 // request can have reached the endpoint, or if the endpoint itself answered that it did not run
 // the request.
 type CallError struct {
--- a/core/heartbeat.go
+++ b/core/heartbeat.go
@@ -8,7 +8,7 @@
 	// Sequence numbers the heartbeats of one process. Started is the process's start.
 	Sequence uint64
 	Started  int64
-	// Relay says how far the receiver relays the heartbeat.
+	// Relay is how far the receiver relays the heartbeat.
 	Relay Relay
 	// CountingRelay is the relay that counts what is sent only once: ends of requests, uses and
 	// samples. It is empty if each receiver counts them itself.
@@ -34,7 +34,7 @@
 type StoreProgress struct {
 	// Epoch is the current store epoch that the VM knows.
 	Epoch StoreEpoch
-	// ListedAt and OperatedAt are the positions of the last changes that were read in the list
+	// ListedAt and OperatorsAt are the positions of the last changes that were read in the list
 	// of endpoints and in the operators' entries.
 	ListedAt    StorePosition
 	OperatorsAt StorePosition
@@ -50,26 +50,26 @@
 
 // Merge combines the newest values of two VMs. The ages are those of readings in the newer
 // epoch.
-func (n StoreProgress) Merge(o StoreProgress) StoreProgress {
-	if n.Epoch < o.Epoch {
-		n, o = o, n
+func (p StoreProgress) Merge(o StoreProgress) StoreProgress {
+	if p.Epoch < o.Epoch {
+		p, o = o, p
 	}
 	m := StoreProgress{
-		Epoch:    n.Epoch,
-		ListedAt: n.ListedAt.Max(o.ListedAt), OperatorsAt: n.OperatorsAt.Max(o.OperatorsAt),
-		ListAge: n.ListAge, OperatorsAge: n.OperatorsAge,
-		Config: max(n.Config, o.Config), Versions: max(n.Versions, o.Versions),
+		Epoch:    p.Epoch,
+		ListedAt: p.ListedAt.Max(o.ListedAt), OperatorsAt: p.OperatorsAt.Max(o.OperatorsAt),
+		ListAge: p.ListAge, OperatorsAge: p.OperatorsAge,
+		Config: max(p.Config, o.Config), Versions: max(p.Versions, o.Versions),
 	}
-	if n.Epoch == o.Epoch {
-		m.ListAge, m.OperatorsAge = min(n.ListAge, o.ListAge), min(n.OperatorsAge, o.OperatorsAge)
+	if p.Epoch == o.Epoch {
+		m.ListAge, m.OperatorsAge = min(p.ListAge, o.ListAge), min(p.OperatorsAge, o.OperatorsAge)
 	}
 	return m
 }
 
-// Aged returns n with its ages increased by d.
-func (n StoreProgress) Aged(d time.Duration) StoreProgress {
-	n.ListAge, n.OperatorsAge = n.ListAge+d, n.OperatorsAge+d
-	return n
+// Aged returns p with its ages increased by d.
+func (p StoreProgress) Aged(d time.Duration) StoreProgress {
+	p.ListAge, p.OperatorsAge = p.ListAge+d, p.OperatorsAge+d
+	return p
 }
 
 // An InFlight is the number of requests in flight at an endpoint, and the numbers of requests
@@ -87,14 +87,14 @@
 	// Held are the adapters that the endpoint holds. It is only valid if Whole is set.
 	Held  []AdapterVersion
 	Whole bool
-	// Waiting is the number of adapters that wait to be loaded, and Room is the number of
-	// further adapters that could be loaded at once.
+	// Waiting is the number of adapters that wait to be loaded, and FreeCapacity is the number
+	// of further adapters that could be loaded at once.
 	Waiting      int
 	FreeCapacity int
 }
 
 // A Use is an adapter at an endpoint that requests use. Count is the number of such requests
-// sent since the previous heartbeat or summary, and Active says that some are in flight.
+// sent since the previous heartbeat or summary. Active is set if some of them are in flight.
 type Use struct {
 	Endpoint EndpointID
 	Target   ModelAdapter
@@ -115,7 +115,7 @@
 	From   VMID
 	Domain Domain
 	Fleet  bool
-	// Settling says that the relay took over its role so recently that heartbeats or summaries
+	// Settling is set if the relay took over its role so recently that heartbeats or summaries
 	// may be missing from its counts.
 	Settling bool
 	Sequence uint64
--- a/core/instance.go
+++ b/core/instance.go
@@ -81,15 +81,15 @@
 // An AnswerMeta is the metadata of an instance's answer, read from its headers.
 type AnswerMeta struct {
 	Request RequestID
-	// Signed says that the answer's headers show that an instance itself produced the answer.
+	// Signed is set if the answer's headers show that an instance itself produced the answer.
 	Signed bool
-	// NotRun says that the instance did not run the request and never will.
+	// NotRun is set if the instance did not run the request and never will.
 	NotRun bool
 	// Load is nil if the answer doesn't report it.
 	Load *LoadReport
 	// Limit is nil if the answer doesn't report one.
 	Limit *RateLimit
-	// Leaving says that the instance is about to stop.
+	// Leaving is set if the instance is about to stop.
 	Leaving bool
 	// RetryAfter is how long this VM should send no requests after a refusal, zero if unknown.
 	RetryAfter time.Duration
@@ -133,7 +133,7 @@
 	Answer(status int, h http.Header) AnswerMeta
 }
 
-// A PlacementOrder asks an instance to load or unload a model or an adapter.
+// A PlacementOrder orders an instance to load or unload a model or an adapter.
 type PlacementOrder struct {
 	Unload   bool
 	Endpoint EndpointID
@@ -163,7 +163,7 @@
 	// PlacementConflict means that the number of accepted orders differs from the expected
 	// one, or that the instance is executing another order.
 	PlacementConflict
-	// PlacementFenced means that a newer holder has sent orders.
+	// PlacementFenced means that a newer owner has sent orders.
 	PlacementFenced
 	// PlacementMisdirected means that another instance has the address.
 	PlacementMisdirected
--- a/core/position.go
+++ b/core/position.go
@@ -7,8 +7,8 @@
 )
 
 // A StoreEpoch numbers the histories of the platform's store. It increases each time the store
-// returns from an older copy of itself. Writes since the copy are then lost, and their
-// revisions are assigned again. Zero means that the epoch wasn't named.
+// is restored from an older copy. Writes since the copy are then lost, and their revisions are
+// assigned again. Zero means that the epoch wasn't named.
 type StoreEpoch uint64
 
 // UnreadableEpoch means that an epoch was named but couldn't be parsed.
@@ -47,9 +47,9 @@
 // String returns "epoch.revision".
 func (p StorePosition) String() string { return fmt.Sprintf("%d.%d", p.Epoch, p.Revision) }
 
-// An EpochChangedError says that the store returned from an older copy between the reading that
-// a call is based on and the call's answer. A write may have been executed in either history,
-// and isn't acknowledged.
+// An EpochChangedError reports that the store was restored from an older copy between the reading
+// that a call is based on and the call's answer. A write may have been executed in either
+// history, and isn't acknowledged.
 type EpochChangedError struct{ From, To StoreEpoch }
 
 // Error implements error.
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("store epoch changed from %d to %d before the answer", e.From, e.To)
 }
 
-// A LateAnswerError says that an answer of the store is from an epoch that has ended.
+// A LateAnswerError reports that an answer of the store is from an epoch that has ended.
 type LateAnswerError struct{ Named, Current StoreEpoch }
 
 // Error implements error.
--- a/core/relay.go
+++ b/core/relay.go
@@ -1,6 +1,6 @@
 package ggscore
 
-// A Relay says how far the receiver relays a VM's gossip message.
+// A Relay is how far the receiver relays a VM's gossip message.
 type Relay int
 
 // The ranges of relaying. Each includes the ones before it.
--- a/core/request.go
+++ b/core/request.go
@@ -41,7 +41,7 @@
 	Revision  Revision
 	Operation Operation
 	Body      []byte
-	// Stream says that the caller reads the answer chunk by chunk.
+	// Stream is set if the caller reads the answer chunk by chunk.
 	Stream bool
 }
 
@@ -51,7 +51,7 @@
 	Path   string
 }
 
-// An Outcome says whether a request ran.
+// An Outcome states whether a request ran.
 type Outcome int
 
 // The outcomes of requests. The zero value is unknown, which is the safe assumption unless
--- a/core/schedule.go
+++ b/core/schedule.go
@@ -27,7 +27,7 @@
 	Failure  *Failure
 }
 
-// An EndKind says how a request's run or an order on a runner ended.
+// An EndKind is the way in which a request's run or an order on a runner ended.
 type EndKind int
 
 // The ends of runs and orders.
@@ -43,7 +43,7 @@
 	EndAdapterMissing
 )
 
-// An OwnerMode says what an owner may do with an endpoint now.
+// An OwnerMode determines what an owner may do with an endpoint now.
 type OwnerMode int
 
 // The modes of ownership.
--- a/core/serving.go
+++ b/core/serving.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A RouteKind says whether requests on a route may be repeated.
+// A RouteKind determines whether requests on a route may be repeated.
 type RouteKind int
 
 // The kinds of routes.
@@ -38,12 +38,12 @@
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Resumable says that a broken stream may be resumed at another endpoint.
+	// Resumable is set if a broken stream may be resumed at another endpoint.
 	Resumable bool
 	// Timeout is the longest time that a request waits.
 	Timeout time.Duration
-	// Target is the target latency of the answer, or of the first chunk for streams. GapAim is
-	// the target for the longest gap between a stream's chunks. Both are zero if not
+	// Target is the target latency of the answer, or of the first chunk for streams. TargetGap
+	// is the target for the longest gap between a stream's chunks. Both are zero if not
 	// configured.
 	Target    time.Duration
 	TargetGap time.Duration
@@ -75,17 +75,17 @@
 
 // TargetGap returns the smallest TargetGap of the routes to a service, zero if none is configured.
 func (c *RoutingConfig) TargetGap(s Service) time.Duration {
-	var aim time.Duration
+	var least time.Duration
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if r.TargetGap <= 0 || aim > 0 && r.TargetGap >= aim {
+		if r.TargetGap <= 0 || least > 0 && r.TargetGap >= least {
 			continue
 		}
 		if slices.ContainsFunc(r.Targets, func(t RouteTarget) bool { return t.Service == s }) {
-			aim = r.TargetGap
+			least = r.TargetGap
 		}
 	}
-	return aim
+	return least
 }
 
 // An EngineSpec describes a model service's runners.
--- a/core/turn.go
+++ b/core/turn.go
@@ -38,20 +38,20 @@
 	Took    time.Duration
 }
 
-// A TurnTally counts the streams of a service, and those that missed their targets (Degraded).
-// Either prompts of other requests made a stream pause for longer than callers want, or the
-// stream waited too long for its turn.
+// A TurnTally counts the streams of a service and the degraded ones. A stream is degraded if
+// prompts of other requests caused a gap longer than its route's target, or if the stream waited
+// too long for its turn.
 type TurnTally struct {
 	Service  Service
 	Streams  int
 	Degraded int
 }
 
-// A TurnMode says whether prompts of a service wait for each other.
+// A TurnMode is the decision whether prompts of a service wait for each other.
 type TurnMode struct {
 	Service Service
 	Waits   bool
-	// DegradedBefore is the fraction of streams that missed their targets before prompts waited.
+	// DegradedBefore is the fraction of streams that were degraded before prompts waited.
 	DegradedBefore float64
 }
 
--- a/core/txn.go
+++ b/core/txn.go
@@ -50,7 +50,7 @@
 	Watch(ctx context.Context, prefix Key, after StorePosition, wait time.Duration) ([]Entry, StorePosition, error)
 }
 
-// A TxnConflictError says that a condition of a transaction didn't hold. Nothing was written.
+// A TxnConflictError reports that a condition of a transaction didn't hold. Nothing was written.
 type TxnConflictError struct{ Entries []Entry }
 
 // Error implements error.
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("transaction refused: one of %d keys is at another revision", len(e.Entries))
 }
 
-// A HistoryCompactedError says that the store no longer has the changes after a position. All
+// A HistoryCompactedError reports that the store no longer has the changes after a position. All
 // entries below the prefix have to be read again.
 type HistoryCompactedError struct{ After StorePosition }
 
