--- a/core/ggsplace/choose.go
+++ b/core/ggsplace/choose.go
@@ -30,10 +30,10 @@
 	// runner's 18 slots are held by streams of 1.1 s on average, some slots by several
 	// streams.
 	costSlotWait = 80 * time.Millisecond
-	// costExtraCopy is added for a load of an adapter that already has enough resident copies.
+	// costExtraReplica is added for a load of an adapter that already has enough replicas.
 	// The load evicts another adapter, whose next request then waits for a load. The cost exceeds
 	// that of crossing regions plus that of sending to a busier runner.
-	costExtraCopy = 200 * time.Millisecond
+	costExtraReplica = 200 * time.Millisecond
 	// costRegion covers a round trip to another region and the price of the bytes transferred.
 	costRegion = 40 * time.Millisecond
 	// costFailure is the delay of a failed request, most of a deadline. It is multiplied by
@@ -58,7 +58,7 @@
 )
 
 // LoadWait is how long a request waits for an adapter at one endpoint before it is rerouted.
-// Callers of streams leave after 2 s or more without a first piece.
+// Callers of streams leave after 2 s or more without a first chunk.
 //
 // With 0.9 s, an overloaded weight store that needed more than a second per adapter got half
 // as many loads again, because rerouted requests had the adapter loaded a second time.
@@ -117,7 +117,7 @@
 		if !c.resident {
 			load = t.loadCost(c.endpoint, &q, slices.Contains(homes, c.endpoint))
 			if holders >= max(len(homes), 1) {
-				load += costExtraCopy
+				load += costExtraReplica
 			}
 		}
 		c.cost += t.untilPrefilled(now, c.endpoint, &q, load)
--- a/core/ggsplace/errors.go
+++ b/core/ggsplace/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A RefusedError means that no endpoint can take the request now.
+// A RefusedError reports that no endpoint can take the request now.
 type RefusedError struct {
 	// Ready is the number of endpoints that serve the target, whether or not they have
 	// capacity now.
--- a/core/ggsplace/homes.go
+++ b/core/ggsplace/homes.go
@@ -16,7 +16,7 @@
 	// share its runners with others.
 	replicaRate = 6.0
 	// regionRate is the rate in requests per second from which an adapter has a home in each
-	// region. A copy costs as much as 12 answers across regions, and stays resident for some
+	// region. A replica costs as much as 12 answers across regions, and stays resident for some
 	// seconds at least.
 	regionRate = 2.5
 	// maxHomes bounds an adapter's homes: one for each runner of a 12-runner deployment.
@@ -104,11 +104,11 @@
 // RecordRequests records n requests for an adapter, from this VM or a peer.
 func (t *Table) RecordRequests(now time.Time, a ggscore.ModelAdapter, n int) { t.demand.Add(now, a, n) }
 
-// otherCopyWeight is the weight of requests for an adapter that is also resident at another
+// otherReplicaWeight is the weight of requests for an adapter that is also resident at another
 // endpoint. Such requests are routed there, at the cost of at most one round trip between
-// regions. The last copy of an adapter is kept before a second copy of one that is three times
-// as popular.
-const otherCopyWeight = 0.3
+// regions. The last replica of an adapter is kept before a second replica of one that is three
+// times as popular.
+const otherReplicaWeight = 0.3
 
 // MissRate implements ggscore.AdapterDemand.
 func (t *Table) MissRate(now time.Time, id ggscore.EndpointID, a ggscore.ModelAdapter) float64 {
@@ -116,7 +116,7 @@
 	if self := t.endpoints[id]; self != nil {
 		for _, e := range t.services[self.Service] {
 			if e != self && !e.Leaving && e.holds(now, a, 0) {
-				return rate * otherCopyWeight
+				return rate * otherReplicaWeight
 			}
 		}
 	}
--- a/core/ggsplace/load_test.go
+++ b/core/ggsplace/load_test.go
@@ -47,7 +47,7 @@
 	simMaxAttempts   = 4
 )
 
-// A simRunner is a runner and the ledger that its orderer keeps.
+// A simRunner is a runner and the ledger that its owner keeps.
 type simRunner struct {
 	id       ggscore.EndpointID
 	ledger   *ggsresident.Ledger
@@ -300,12 +300,12 @@
 		// are rerouted after 0.9 s; none and 20% if they wait for LoadWait.
 		late, refused, loaded, blocked float64
 	}{
-		"260 requests/s":          {peakLoad{perSecond: 260, skew: 1.2, length: long}, 0.4, 0, 15.5, 0.2},
-		"330 requests/s":          {peakLoad{perSecond: 330, skew: 1.2, length: long}, 0.7, 0, 13.5, 0.2},
-		"400 requests/s":          {peakLoad{perSecond: 400, skew: 1.2, length: long}, 2.6, 0.1, 13.5, 0.3},
-		"restarted runners":       {peakLoad{perSecond: 260, skew: 1.2, length: long, restartAt: long / 2}, 0.5, 0, 15.5, 0.2},
-		"slow weight store":       {peakLoad{perSecond: 90, skew: 1.2, length: long, storeCapacity: 6}, 12, 0.1, 22, 0.2},
-		"runners without orderer": {peakLoad{perSecond: 260, skew: 1.2, length: long, withoutOrders: 3}, 3.6, 0.2, 17.5, 0.5},
+		"260 requests/s":        {peakLoad{perSecond: 260, skew: 1.2, length: long}, 0.4, 0, 15.5, 0.2},
+		"330 requests/s":        {peakLoad{perSecond: 330, skew: 1.2, length: long}, 0.7, 0, 13.5, 0.2},
+		"400 requests/s":        {peakLoad{perSecond: 400, skew: 1.2, length: long}, 2.6, 0.1, 13.5, 0.3},
+		"restarted runners":     {peakLoad{perSecond: 260, skew: 1.2, length: long, restartAt: long / 2}, 0.5, 0, 15.5, 0.2},
+		"slow weight store":     {peakLoad{perSecond: 90, skew: 1.2, length: long, storeCapacity: 6}, 12, 0.1, 22, 0.2},
+		"runners without owner": {peakLoad{perSecond: 260, skew: 1.2, length: long, withoutOrders: 3}, 3.6, 0.2, 17.5, 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/core/ggsplace/table.go
+++ b/core/ggsplace/table.go
@@ -1,7 +1,7 @@
 // Package ggsplace chooses the endpoint of each request, or refuses the request if no endpoint
 // can take it.
 //
-// Inputs are the endpoints' registry entries, reports of orderers (the VMs that issue load and
+// Inputs are the endpoints' registry entries, reports of owners (the VMs that send load and
 // unload orders to an endpoint), requests in flight and demand reported by peers, and what
 // endpoints announce in answers. The output is a Choice or a *RefusedError with a retry-after
 // time.
@@ -14,9 +14,9 @@
 //	t.SetPeerInFlight(now, vm, inFlight)            // a peer's requests in flight
 //	t.RecordDeparture(departure)                    // an answer announced that its endpoint leaves
 //	t.Pause(now, endpoint, d)                       // the endpoint requested a pause
-//	t.SetLoadable(endpoint, true)                   // an orderer serves the endpoint
-//	t.SetHeld(now, endpoint, held)                  // resident adapters, from the orderer
-//	t.SetLoadCapacity(endpoint, waiting, freeSlots) // load queue, from the orderer
+//	t.SetLoadable(endpoint, true)                   // the endpoint has an owner
+//	t.SetHeld(now, endpoint, held)                  // resident adapters, from the owner
+//	t.SetLoadCapacity(endpoint, waiting, freeSlots) // load queue, from the owner
 //	t.RecordRequests(now, adapter, n)               // requests seen by any VM
 //	c, err := t.Choose(now, q)                      // *RefusedError: answer with its RetryAfter
 //	ok := t.Accepts(now, c.Instance.ID)             // checked again just before sending
@@ -46,7 +46,7 @@
 	"greengageslip/core/ggsretry"
 )
 
-// heldMaxAge is the age at which an orderer's report of an endpoint's resident adapters is
+// heldMaxAge is the age at which an owner's report of an endpoint's resident adapters is
 // superseded by the endpoint's registry entry, which is written every 1.2 s.
 const heldMaxAge = 2 * time.Second
 
@@ -93,8 +93,8 @@
 	ended      ggspopularity.Recent
 	failed     ggspopularity.Recent
 	unreported ggscore.InFlight
-	// loadable reports whether an orderer serves the endpoint. waiting is the number of
-	// adapters queued for loading there.
+	// loadable is set if the endpoint has an owner. waiting is the number of adapters queued
+	// for loading there.
 	loadable bool
 	waiting  int
 	// freeSlots is the number of adapters that can be loaded without waiting for an adapter
@@ -188,7 +188,7 @@
 	}
 }
 
-// SetLoadCapacity records the orderer's report of the number of adapters queued for loading at an
+// SetLoadCapacity records the owner's report of the number of adapters queued for loading at an
 // endpoint, and of the number that can be loaded without waiting for an adapter slot.
 func (t *Table) SetLoadCapacity(id ggscore.EndpointID, waiting, freeSlots int) {
 	if e := t.endpoints[id]; e != nil {
@@ -196,7 +196,7 @@
 	}
 }
 
-// SetHeld records the orderer's report of the adapters resident at an endpoint.
+// SetHeld records the owner's report of the adapters resident at an endpoint.
 func (t *Table) SetHeld(now time.Time, id ggscore.EndpointID, held []ggscore.AdapterVersion) {
 	e := t.endpoints[id]
 	if e == nil {
@@ -211,7 +211,7 @@
 	e.reportedAt = now
 }
 
-// SetLoadable records whether an orderer serves the endpoint.
+// SetLoadable records whether the endpoint has an owner.
 func (t *Table) SetLoadable(id ggscore.EndpointID, loadable bool) {
 	if e := t.endpoints[id]; e != nil {
 		e.loadable = loadable
--- a/core/ggsplace/table_test.go
+++ b/core/ggsplace/table_test.go
@@ -44,7 +44,7 @@
 	return l
 }
 
-// table returns the view of a VM in a domain, with an orderer for each endpoint.
+// table returns the view of a VM in a domain, with an owner for each endpoint.
 func table(domain ggscore.Domain, seed uint64) *ggsplace.Table {
 	t := ggsplace.NewTable(ggsplace.Options{
 		Domain: domain, Seed: seed, Regions: map[ggscore.Domain]ggscore.Region{"d0": "r0", "d1": "r1", "d2": "r2"},
@@ -132,12 +132,12 @@
 	}
 }
 
-// Guards against requests that wait in vain for a load: at a restarted runner that has no
-// orderer yet, or at one with eight loads queued.
-func TestNoLoadWithoutOrdererOrQueueCapacity(t *testing.T) {
+// Guards against requests that wait for a load that can't happen: at a restarted runner that has
+// no owner yet, or at one with eight loads queued.
+func TestNoLoadWithoutOwnerOrQueueCapacity(t *testing.T) {
 	t.Parallel()
 	for name, preventLoads := range map[string]func(*ggsplace.Table, ggscore.EndpointID){
-		"no orderer": func(t *ggsplace.Table, id ggscore.EndpointID) { t.SetLoadable(id, false) },
+		"no owner":   func(t *ggsplace.Table, id ggscore.EndpointID) { t.SetLoadable(id, false) },
 		"queue full": func(t *ggsplace.Table, id ggscore.EndpointID) { t.SetLoadCapacity(id, 8, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// Guards against waiting 900 ms for a load at a runner whose orderer was lost, before its
+// Guards against waiting 900 ms for a load at a runner whose owner was lost, before its
 // lease expires. With a different fallback on each VM, the adapter is loaded at several
 // runners.
 func TestFallbackHomeIsTheSameForAllVMs(t *testing.T) {
@@ -302,7 +302,7 @@
 
 // Guards against loading a rarely used adapter at its home, which has it in memory, while it
 // is resident in another region. Each such load evicts a third adapter.
-func TestRarelyUsedAdapterGetsNoSecondCopy(t *testing.T) {
+func TestRarelyUsedAdapterGetsNoSecondReplica(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	tb := table("d0", 1)
@@ -336,9 +336,9 @@
 	c.Assert(choose(c, tb, q).Instance.ID, qt.Equals, home)
 }
 
-// Guards against evicting the last copy of an adapter before one of several copies of another
-// with the same demand.
-func TestLastCopyHasHighestMissedDemand(t *testing.T) {
+// Guards against evicting the last replica of an adapter before one of several replicas of
+// another with the same demand.
+func TestLastReplicaHasHighestMissRate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	tb := table("d0", 1)
