--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -9,7 +9,7 @@
 
 const (
 	// gapFraction is the fraction of the allowed gap that engine steps may fill. The rest
-	// covers the transfer of the pieces.
+	// covers the transfer of the chunks.
 	gapFraction = 0.95
 	// minPrefillFraction is the fraction of the allowed gap that prefill gets at least,
 	// however long decoding steps are.
@@ -28,7 +28,7 @@
 	minStreams           = 30.0
 	// maxDegraded is the fraction of degraded streams from which turns are enforced. Under the
 	// heaviest load, 1 to 10 percent of the streams are degraded where engines prefill in
-	// chunks that keep gaps within the aim, and 20 to 60 percent where they don't.
+	// chunks that keep gaps within the target, and 20 to 60 percent where they don't.
 	maxDegraded = 0.15
 	// minTrial is how long turns are enforced before their effect is evaluated. By then,
 	// prefill that began before is finished.
@@ -69,23 +69,23 @@
 	suspendedUntil time.Time
 }
 
-// RecordGap records a gap between two pieces of a stream, and reports whether prefill made the
+// RecordGap records a gap between two chunks of a stream, and reports whether prefill made the
 // gap longer than callers accept.
 func (t *Table) RecordGap(now time.Time, s ggscore.Service, id ggscore.EndpointID, gap time.Duration) bool {
 	v := t.service(s)
-	if v.gapAim <= 0 || gap <= 0 {
+	if v.targetGap <= 0 || gap <= 0 {
 		return false
 	}
 	v.mode.updateDecodeGap(gap)
 	if !v.knowsAllTurns(now, id) {
 		return false
 	}
-	return gap > v.gapAim && float64(v.prefillWithin(t.queue(id), now, gap)) >= minPrefillInGap*float64(gap)
+	return gap > v.targetGap && float64(v.prefillWithin(t.queue(id), now, gap)) >= minPrefillInGap*float64(gap)
 }
 
 // RecordStream records a stream of this VM: at its end if it wasn't degraded, otherwise when it
 // became degraded. A stream is degraded by a gap for which RecordGap returns true, or by a
-// first piece that is late only because the prompt waited for its turn.
+// first chunk that is late only because the prompt waited for its turn.
 func (t *Table) RecordStream(now time.Time, s ggscore.Service, id ggscore.EndpointID, degraded bool) {
 	if !t.service(s).knowsAllTurns(now, id) {
 		return
@@ -183,10 +183,10 @@
 	return a
 }
 
-// prefillLimit returns the prefill time that may begin within the gap aim, zero for no limit.
-func (p *modeController) prefillLimit(aim time.Duration) time.Duration {
+// prefillLimit returns the prefill time that may begin within the target gap, zero for no limit.
+func (p *modeController) prefillLimit(targetGap time.Duration) time.Duration {
 	if !p.enforced {
 		return 0
 	}
-	return max(time.Duration(gapFraction*float64(aim))-p.decodeGap, time.Duration(minPrefillFraction*float64(aim)))
+	return max(time.Duration(gapFraction*float64(targetGap))-p.decodeGap, time.Duration(minPrefillFraction*float64(targetGap)))
 }
--- a/core/ggsturn/pauses_test.go
+++ b/core/ggsturn/pauses_test.go
@@ -13,7 +13,7 @@
 // learningTable returns a table that knows the prefill speed and doesn't enforce turns.
 func learningTable() *ggsturn.Table {
 	t := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
-	t.SetService(models, gapAim)
+	t.SetService(models, targetGap)
 	t.SetDecides(true)
 	t.Restore(at(0), ggscore.TurnState{Service: models, PerToken: perToken, Quiet: quiet})
 	return t
@@ -50,7 +50,7 @@
 }
 
 // Guards against enforcing turns where they don't reduce the number of degraded streams.
-// Callers of engines that prefill in small chunks then waited 500 ms for their first piece
+// Callers of engines that prefill in small chunks then waited 500 ms for their first chunk
 // when five of twelve runners were lost.
 func TestTurnsAreEnforcedWhileTheyHelp(t *testing.T) {
 	t.Parallel()
@@ -127,7 +127,7 @@
 	h := a.LearnedState()
 	c.Assert(h, qt.HasLen, 1)
 	b := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
-	b.SetService(models, gapAim)
+	b.SetService(models, targetGap)
 	b.Restore(at(0), h[0])
 	c.Assert(waits(b, 0), qt.IsTrue)
 	c.Assert(b.Estimate(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
--- a/core/ggsturn/samples.go
+++ b/core/ggsturn/samples.go
@@ -12,10 +12,10 @@
 // heartbeats.
 const maxUnreported = 16
 
-// AddSample adds a first-piece sample of this VM or a peer. A single VM gets a usable sample
+// AddSample adds a first-chunk sample of this VM or a peer. A single VM gets a usable sample
 // only every second or two.
 func (t *Table) AddSample(p ggscore.TurnSample) {
-	t.service(p.Service).speed.add(firstPiece{tokens: p.Tokens, took: p.Took})
+	t.service(p.Service).speed.add(firstChunk{tokens: p.Tokens, took: p.Took})
 }
 
 // AddTally adds stream counts of this VM or a peer.
@@ -32,7 +32,7 @@
 func (t *Table) Modes() []ggscore.TurnMode {
 	var ms []ggscore.TurnMode
 	for n, v := range t.services {
-		if v.gapAim > 0 {
+		if v.targetGap > 0 {
 			ms = append(ms, ggscore.TurnMode{Service: n, Waits: v.mode.enforced, DegradedBefore: v.mode.baseline})
 		}
 	}
@@ -60,7 +60,7 @@
 func (t *Table) LearnedState() []ggscore.TurnState {
 	var hs []ggscore.TurnState
 	for n, v := range t.services {
-		if v.gapAim > 0 && v.speed.known() {
+		if v.targetGap > 0 && v.speed.known() {
 			hs = append(hs, ggscore.TurnState{
 				Service: n, PerToken: v.speed.slope, Start: v.speed.intercept,
 				Quiet: v.mode.decodeGap, Mode: ggscore.TurnMode{Service: n, Waits: v.mode.enforced, DegradedBefore: v.mode.baseline},
--- a/core/ggsturn/speed.go
+++ b/core/ggsturn/speed.go
@@ -18,7 +18,7 @@
 	// minPerToken and maxPerToken bound the learned prefill time per token.
 	minPerToken = time.Second / 400000
 	maxPerToken = time.Second / 2000
-	// A speed is fitted from at least minSamples and at most the last maxSamples first pieces,
+	// A speed is fitted from at least minSamples and at most the last maxSamples first chunks,
 	// after every fitInterval samples.
 	minSamples  = 16
 	maxSamples  = 96
@@ -31,25 +31,25 @@
 	minSizeDeviation = 100.0
 )
 
-// A firstPiece is the time to the first piece of an answer and the size of its prompt.
-type firstPiece struct {
+// A firstChunk is the time to the first chunk of an answer and the size of its prompt.
+type firstChunk struct {
 	tokens int
 	took   time.Duration
 }
 
 // A speed estimates how fast endpoints of a service prefill. It fits a line to the time to
-// first piece by prompt size, using answers whose endpoint prefilled nothing else. The slope
+// first chunk by prompt size, using answers whose endpoint prefilled nothing else. The slope
 // is the time per token.
 type speed struct {
-	samples []firstPiece
+	samples []firstChunk
 	added   int
 	slope   time.Duration
-	// intercept is the time to the first piece for an empty prompt.
+	// intercept is the time to the first chunk for an empty prompt.
 	intercept time.Duration
 }
 
 // add records a sample.
-func (s *speed) add(p firstPiece) {
+func (s *speed) add(p firstChunk) {
 	if len(s.samples) < maxSamples {
 		s.samples = append(s.samples, p)
 	} else {
@@ -68,8 +68,8 @@
 	if !ok {
 		return
 	}
-	residual := func(p firstPiece) float64 { return math.Abs(float64(p.took) - intercept - slope*float64(p.tokens)) }
-	slices.SortFunc(ps, func(a, b firstPiece) int { return cmp.Compare(residual(a), residual(b)) })
+	residual := func(p firstChunk) float64 { return math.Abs(float64(p.took) - intercept - slope*float64(p.tokens)) }
+	slices.SortFunc(ps, func(a, b firstChunk) int { return cmp.Compare(residual(a), residual(b)) })
 	if intercept, slope, ok = leastSquares(ps[:int(keptFraction*float64(len(ps)))]); !ok {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // leastSquares returns the least-squares line through the samples.
-func leastSquares(ps []firstPiece) (intercept, slope float64, ok bool) {
+func leastSquares(ps []firstChunk) (intercept, slope float64, ok bool) {
 	var x, y, xx, xy float64
 	for _, p := range ps {
 		t, d := float64(p.tokens), float64(p.took)
@@ -105,16 +105,16 @@
 }
 
 const (
-	// slownessWeight is the weight of the latest first piece in an endpoint's slowness.
+	// slownessWeight is the weight of the latest first chunk in an endpoint's slowness.
 	slownessWeight = 0.15
 	// minSlowness is the slowness below which an endpoint counts as normal. Waiting for the
-	// current step and for the processor changes the time to first piece by half.
+	// current step and for the processor changes the time to first chunk by half.
 	minSlowness = 1.6
 	// maxSlowness bounds a sample: a stall says nothing about speed.
 	maxSlowness = 8.0
 )
 
-// updateSlowness compares a time to first piece with the expected time.
+// updateSlowness compares a time to first chunk with the expected time.
 func (q *queue) updateSlowness(took, expected time.Duration) {
 	if expected <= 0 {
 		return
@@ -131,7 +131,7 @@
 	return q.slowness
 }
 
-// RecordFirstPiece records the arrival of an answer's first piece. sent is when the prompt was
+// RecordFirstPiece records the arrival of an answer's first chunk. sent is when the prompt was
 // sent, at its turn or slightly later.
 func (t *Table) RecordFirstPiece(now time.Time, n ggscore.PromptTurn, sent time.Time) {
 	v, q := t.service(n.Service), t.queue(n.Endpoint)
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -8,12 +8,12 @@
 // begin at an endpoint is bounded by what fits beside the decoding steps.
 //
 // Turns are enforced only while they reduce the number of degraded streams: those with gaps
-// caused by prefill, or with a first piece that is late because of the turn.
+// caused by prefill, or with a first chunk that is late because of the turn.
 //
 // # Usage
 //
 //	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
-//	t.SetService(service, gapAim)                        // from the configuration
+//	t.SetService(service, targetGap)                        // from the configuration
 //	t.SetEndpoints(service, endpoints)                   // in a large fleet
 //	e := t.Estimate(now, service, endpoint, tokens)      // to choose an endpoint
 //	n := t.Take(now, service, endpoint, tokens, delay)   // announce to peers, wait until n.Begin
@@ -21,8 +21,8 @@
 //	n, ok := t.Confirm(now, n)                           // send, or announce and wait again
 //	t.Add(now, n)                                        // a peer's turn
 //	t.Drop(n)                                            // the turn is no longer needed
-//	t.RecordFirstPiece(now, n, sent)                     // the first piece arrived
-//	degraded := t.RecordGap(now, service, endpoint, gap) // a gap between two pieces
+//	t.RecordFirstPiece(now, n, sent)                     // the first chunk arrived
+//	degraded := t.RecordGap(now, service, endpoint, gap) // a gap between two chunks
 //	t.RecordStream(now, service, endpoint, degraded)     // a stream ended or became degraded
 //	samples, tallies := t.DrainUnreported()              // report to peers
 //	t.AddSample(sample)                                  // a peer's sample
@@ -70,11 +70,11 @@
 
 // A service is the state of one service.
 type service struct {
-	// gapAim is the shortest gap between pieces that a route allows, zero for no limit.
-	gapAim time.Duration
-	speed  speed
-	mode   modeController
-	size   promptSize
+	// targetGap is the shortest gap between chunks that a route allows, zero for no limit.
+	targetGap time.Duration
+	speed     speed
+	mode      modeController
+	size      promptSize
 	// observed is the set of endpoints whose turns are announced while turns aren't enforced,
 	// nil for all.
 	observed map[ggscore.EndpointID]bool
@@ -85,7 +85,7 @@
 	turns []ggscore.PromptTurn
 	// idleAt is when the endpoint is expected to have prefilled all prompts.
 	idleAt time.Time
-	// slowness is the ratio of the endpoint's times to first piece to the expected ones.
+	// slowness is the ratio of the endpoint's times to first chunk to the expected ones.
 	slowness float64
 }
 
@@ -102,9 +102,11 @@
 // where only some VMs enforced turns, streams were degraded although callers waited.
 func (t *Table) SetDecides(decides bool) { t.decides = decides }
 
-// SetService sets the shortest gap between pieces that a route to the service allows, zero for
+// SetService sets the shortest gap between chunks that a route to the service allows, zero for
 // no limit.
-func (t *Table) SetService(s ggscore.Service, gapAim time.Duration) { t.service(s).gapAim = gapAim }
+func (t *Table) SetService(s ggscore.Service, targetGap time.Duration) {
+	t.service(s).targetGap = targetGap
+}
 
 // Remove drops the state of an endpoint.
 func (t *Table) Remove(id ggscore.EndpointID) { delete(t.queues, id) }
@@ -164,7 +166,7 @@
 	}
 	var begun time.Duration
 	for _, o := range q.turns[:i] {
-		if n.Begin.Sub(o.Begin) < v.gapAim {
+		if n.Begin.Sub(o.Begin) < v.targetGap {
 			begun += v.prefillTime(q, o.Tokens)
 		}
 	}
@@ -221,7 +223,7 @@
 	}
 	begun, i := time.Duration(0), 0
 	for j, n := range q.turns {
-		if at.Sub(n.Begin) >= v.gapAim {
+		if at.Sub(n.Begin) >= v.targetGap {
 			i = j + 1
 			continue
 		}
@@ -229,7 +231,7 @@
 	}
 	// The oldest turns leave the window one by one.
 	for ; i < len(q.turns) && begun+prefill > limit; i++ {
-		at = q.turns[i].Begin.Add(v.gapAim)
+		at = q.turns[i].Begin.Add(v.targetGap)
 		begun -= v.prefillTime(q, q.turns[i].Tokens)
 	}
 	return at
@@ -283,8 +285,8 @@
 // prefillLimit returns the prefill time that may begin within a window of the shortest gap,
 // zero for no limit.
 func (v *service) prefillLimit() time.Duration {
-	if v.gapAim <= 0 {
+	if v.targetGap <= 0 {
 		return 0
 	}
-	return v.mode.prefillLimit(v.gapAim)
+	return v.mode.prefillLimit(v.targetGap)
 }
--- a/core/ggsturn/table_test.go
+++ b/core/ggsturn/table_test.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	models = ggscore.Service("models")
-	runner = ggscore.EndpointID("r1")
-	gapAim = 300 * time.Millisecond
-	delay  = 2 * time.Millisecond
+	models    = ggscore.Service("models")
+	runner    = ggscore.EndpointID("r1")
+	targetGap = 300 * time.Millisecond
+	delay     = 2 * time.Millisecond
 	// perToken is the speed that tests use: a prompt of 1,000 tokens takes 50 ms.
 	perToken = 50 * time.Microsecond
 	quiet    = 30 * time.Millisecond
@@ -28,7 +28,7 @@
 // begin within 300 ms.
 func table(vm ggscore.VMID) *ggsturn.Table {
 	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
-	t.SetService(models, gapAim)
+	t.SetService(models, targetGap)
 	t.Restore(at(0), ggscore.TurnState{Service: models, PerToken: perToken, Quiet: quiet, Mode: ggscore.TurnMode{Service: models, Waits: true, DegradedBefore: 0.5}})
 	return t
 }
@@ -45,11 +45,11 @@
 	b := table("vm")
 	c.Assert(take(b, 0, 2000), qt.Equals, time.Duration(0))
 	c.Assert(take(b, 0, 3000), qt.Equals, time.Duration(0))
-	c.Assert(take(b, 0, 1000), qt.Equals, gapAim, qt.Commentf("250 ms of prefill have begun"))
-	c.Assert(take(b, 0, 1000), qt.Equals, gapAim)
+	c.Assert(take(b, 0, 1000), qt.Equals, targetGap, qt.Commentf("250 ms of prefill have begun"))
+	c.Assert(take(b, 0, 1000), qt.Equals, targetGap)
 	e := b.Estimate(at(10*time.Millisecond), models, runner, 1000)
-	c.Assert(e.Wait, qt.Equals, gapAim-10*time.Millisecond)
-	c.Assert(e.Ready, qt.Equals, gapAim+3*50*time.Millisecond-10*time.Millisecond)
+	c.Assert(e.Wait, qt.Equals, targetGap-10*time.Millisecond)
+	c.Assert(e.Ready, qt.Equals, targetGap+3*50*time.Millisecond-10*time.Millisecond)
 }
 
 // Guards against starvation of a prompt longer than the limit. It waits until no other prefill
@@ -59,8 +59,8 @@
 	c := qt.New(t)
 	b := table("vm")
 	c.Assert(take(b, 0, 1000), qt.Equals, time.Duration(0))
-	c.Assert(take(b, 10*time.Millisecond, 9000), qt.Equals, gapAim)
-	c.Assert(take(b, 20*time.Millisecond, 100), qt.Equals, 2*gapAim)
+	c.Assert(take(b, 10*time.Millisecond, 9000), qt.Equals, targetGap)
+	c.Assert(take(b, 20*time.Millisecond, 100), qt.Equals, 2*targetGap)
 }
 
 // Guards against a turn that stays reserved after its caller left.
@@ -89,7 +89,7 @@
 	c.Assert(ok, qt.IsTrue)
 	y, ok = b.Confirm(y.Begin, y)
 	c.Assert(ok, qt.IsFalse)
-	c.Assert(y.Begin, qt.Equals, x.Begin.Add(gapAim))
+	c.Assert(y.Begin, qt.Equals, x.Begin.Add(targetGap))
 	y, ok = b.Confirm(y.Begin, y)
 	c.Assert(ok, qt.IsTrue)
 }
@@ -113,12 +113,12 @@
 }
 
 // Guards against a prefill speed distorted by outliers: runners take 25 µs per token, and one
-// first piece in six is late for another reason. The estimate may be off by a tenth.
+// first chunk in six is late for another reason. The estimate may be off by a tenth.
 func TestPrefillSpeedIsLearned(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	b := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
-	b.SetService(models, gapAim)
+	b.SetService(models, targetGap)
 	ready := func() time.Duration { return b.Estimate(at(0), models, runner, 10_000).Ready }
 	c.Assert(ready(), qt.Equals, 500*time.Millisecond, qt.Commentf("before any sample"))
 	for i := range 60 {
@@ -132,7 +132,7 @@
 	c.Assert(ready() > 225*time.Millisecond && ready() < 275*time.Millisecond, qt.IsTrue, qt.Commentf("%s", ready()))
 }
 
-// Guards against prompts sent to a slow runner as if it had normal speed. A few first pieces
+// Guards against prompts sent to a slow runner as if it had normal speed. A few first chunks
 // have to show the longer wait there.
 func TestSlowEndpointIsDetected(t *testing.T) {
 	t.Parallel()
