--- a/core/ggsrelay/doc.go
+++ b/core/ggsrelay/doc.go
@@ -17,7 +17,7 @@
 //	h.CountingRelay, to = n.Report(now, h)    // send the heartbeat to those VMs
 //	n.Heartbeat(now, h)                       // a VM's heartbeat arrived
 //	v, ok := n.Summary(now, s)                // a summary arrived; apply v
-//	ms, v, ok := n.Tick(now, controller)      // send each m.Summary to m.To; apply v
+//	ms, v, ok := n.Tick(now, ownerDomain)     // send each m.Summary to m.To; apply v
 //
 // # Increments and states
 //
--- a/core/ggsrelay/node.go
+++ b/core/ggsrelay/node.go
@@ -218,9 +218,9 @@
 }
 
 // Tick returns the summaries that a relay sends now, and the view that the relay applies
-// itself; ok is false if there is no such view. controller returns the domain of the VM that
-// controls an endpoint: uses of the endpoint's adapters are sent only to that domain.
-func (n *Node) Tick(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) (ms []Message, own View, ok bool) {
+// itself; ok is false if there is no such view. ownerDomain returns the domain of an endpoint's
+// owner: uses of the endpoint's adapters are sent only to that domain.
+func (n *Node) Tick(now time.Time, ownerDomain func(ggscore.EndpointID) ggscore.Domain) (ms []Message, own View, ok bool) {
 	if !n.IsRelay(now) {
 		return nil, View{}, false
 	}
@@ -231,9 +231,9 @@
 	n.table.expire(now)
 	n.sequence++
 	if now.Sub(n.activeSince) >= domainSettleTime {
-		ms = n.domainSummaries(now, controller)
+		ms = n.domainSummaries(now, ownerDomain)
 	}
-	s := n.fleetSummary(now, controller)
+	s := n.fleetSummary(now, ownerDomain)
 	var to []ggscore.VMID
 	for vm, m := range n.members {
 		if m.Domain == n.options.Self.Domain && vm != n.options.Self.VM {
@@ -248,7 +248,7 @@
 
 // domainSummaries returns the summaries of this VM's domain for the other domains. Each goes
 // to one relay of the other domain, and the relays alternate.
-func (n *Node) domainSummaries(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) []Message {
+func (n *Node) domainSummaries(now time.Time, ownerDomain func(ggscore.EndpointID) ggscore.Domain) []Message {
 	s := n.table.stateSummary(now)
 	n.setHeader(&s)
 	sortState(&s)
@@ -271,7 +271,7 @@
 		}
 		m := Message{To: to, Summary: s}
 		m.Summary.Included = nil
-		m.Summary.Uses = usesIn(s.Uses, d, controller)
+		m.Summary.Uses = usesIn(s.Uses, d, ownerDomain)
 		ms = append(ms, m)
 	}
 	slices.SortFunc(ms, func(a, b Message) int { return slices.Compare(a.To, b.To) })
@@ -279,7 +279,7 @@
 }
 
 // fleetSummary returns the sum over all domains for the VMs of this VM's domain.
-func (n *Node) fleetSummary(now time.Time, controller func(ggscore.EndpointID) ggscore.Domain) ggscore.Summary {
+func (n *Node) fleetSummary(now time.Time, ownerDomain func(ggscore.EndpointID) ggscore.Domain) ggscore.Summary {
 	s := n.table.stateSummary(now)
 	n.table.addRemoteState(now, &s)
 	n.setHeader(&s)
@@ -288,7 +288,7 @@
 	totals := n.table.domainTotals()
 	n.table.addRemoteTotals(totals)
 	n.table.fleetPending.drain(&s, totals.counts, totals.active)
-	s.Uses = usesIn(s.Uses, n.options.Self.Domain, controller)
+	s.Uses = usesIn(s.Uses, n.options.Self.Domain, ownerDomain)
 	return s
 }
 
@@ -300,11 +300,11 @@
 	}
 }
 
-// usesIn returns the uses of endpoints that are controlled by a VM of the domain.
-func usesIn(us []ggscore.Use, d ggscore.Domain, controller func(ggscore.EndpointID) ggscore.Domain) []ggscore.Use {
+// usesIn returns the uses of endpoints that are owned by a VM of the domain.
+func usesIn(us []ggscore.Use, d ggscore.Domain, ownerDomain func(ggscore.EndpointID) ggscore.Domain) []ggscore.Use {
 	var in []ggscore.Use
 	for _, u := range us {
-		if controller(u.Endpoint) == d {
+		if ownerDomain(u.Endpoint) == d {
 			in = append(in, u)
 		}
 	}
--- a/core/ggsrelay/node_test.go
+++ b/core/ggsrelay/node_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// Guards against holdings that reach some VMs late. Each VM sends a whole holding every 0.9 s.
+// Guards against holdings that reach some VMs late. Each VM sends a complete holding every 0.9 s.
 func TestHoldingsReachAllVMs(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsrelay/table.go
+++ b/core/ggsrelay/table.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// changed returns the holdings that are whole or whose load state has changed.
+// changed returns the holdings that are complete or whose load state has changed.
 func (t *table) changed(hs []ggscore.Holding) []ggscore.Holding {
 	var c []ggscore.Holding
 	for _, h := range hs {
