--- a/core/ggsregistry/registry.go
+++ b/core/ggsregistry/registry.go
@@ -1,5 +1,5 @@
-// Package ggsregistry decides which endpoints are on the list, even after the store has
-// returned from an older copy of itself.
+// Package ggsregistry decides which endpoints are on the list, even after the store was
+// restored from an older copy.
 //
 // Its input is each reading of the endpoints' entries in the store. Its outputs are the list
 // of endpoints and the time at which the list may change without a change of the entries.
@@ -127,7 +127,7 @@
 	return !r.epochSince.IsZero() && now.Sub(r.epochSince) < d
 }
 
-// staleCopy reports whether an entry was copied from before its process was seen removed.
+// staleCopy reports whether an entry is a copy from before its process was seen removed.
 func (r *Registry) staleCopy(now time.Time, e Entry) bool {
 	d, ok := r.removed[e.ID]
 	return ok && d.startedAt.Equal(e.StartedAt) && d.at.Before(r.epochSince) && r.copied[e.ID] == e.Revision && r.epochYoungerThan(now, StaleCopyPeriod)
