--- a/core/ggsfencing/keeper.go
+++ b/core/ggsfencing/keeper.go
@@ -31,7 +31,7 @@
 //
 // # Epochs
 //
-// A store that returns from an older copy has lost heartbeats and records, and contains
+// A store that was restored from an older copy has lost heartbeats and records, and contains
 // records of earlier owners. A VM's right to send orders depends on what the store
 // acknowledged, not on what the store contains, and lasts until its Validity ends. In the new
 // epoch:
@@ -91,7 +91,7 @@
 	RecordRetention time.Duration
 	// MaxRecords bounds the endpoints that this VM owns.
 	MaxRecords int
-	// FirstStart says that the deployment starts for the first time, so no VM has sent orders
+	// FirstStart is set if the deployment starts for the first time, so no VM has sent orders
 	// before.
 	FirstStart bool
 }
@@ -136,7 +136,7 @@
 	Records  []Record
 	// Drop are records of removed endpoints, to be deleted in the same transaction.
 	Drop []Record
-	// MarkSettled says to mark the epoch as settled in the same transaction.
+	// MarkSettled is set if the same transaction marks the epoch as settled.
 	MarkSettled bool
 }
 
@@ -157,7 +157,7 @@
 	options Options
 	started time.Time
 	// epoch and readRevision are the position of the last reading, and epochSince is the time
-	// of the epoch's first reading. settled says that all rights from earlier epochs have
+	// of the epoch's first reading. settled is set if all rights from earlier epochs have
 	// expired.
 	epoch        ggscore.StoreEpoch
 	epochSince   time.Time
--- a/core/ggsfencing/reading.go
+++ b/core/ggsfencing/reading.go
@@ -46,7 +46,7 @@
 		k.previousOwners[id] = k.Owner(id)
 	}
 	k.epoch, k.epochSince, k.synced, k.readRevision, k.ownRevision = e, now, true, 0, 0
-	// A store without epochs never returns from an older copy, so no earlier right exists.
+	// A store without epochs is never restored from an older copy, so no earlier right exists.
 	k.settled = e == 0 || first && k.options.FirstStart && k.allWrittenIn(e, r.Records)
 	clear(k.records)
 	clear(k.heartbeats)
--- a/core/ggsfencing/world_test.go
+++ b/core/ggsfencing/world_test.go
@@ -14,7 +14,7 @@
 
 // A simulation has a store, VMs and endpoints. Writes are acknowledged, lost, or applied late
 // if their conditions still hold. Readings may be stale, VMs may be suspended, and the store
-// may return from older copies of itself. Each order is recorded with its sender and time.
+// may be restored from older copies. Each order is recorded with its sender and time.
 type simulation struct {
 	now       time.Time
 	current   state
@@ -141,7 +141,7 @@
 	w.recordState()
 }
 
-// An outcome says whether a transaction is applied and acknowledged.
+// An outcome determines whether a transaction is applied and acknowledged.
 type outcome int
 
 const (
