--- a/core/ggsthrottle/doc.go
+++ b/core/ggsthrottle/doc.go
@@ -13,8 +13,8 @@
 //	t := ggsthrottle.NewTable(vm)
 //	t.SetVMs(live)                             // the live VMs, this one included
 //	changed := t.Observe(now, id, limit, asOf) // an answer arrived
-//	t.Learn(now, limits)                       // limits from a peer's heartbeat
-//	limits := t.Known(now)                     // limits for the next heartbeat
+//	t.ObservePeer(now, limits)                 // limits from a peer's heartbeat
+//	limits := t.RecentLimits(now)              // limits for the next heartbeat
 //	ok := t.Allows(now, id)                    // whether to choose the endpoint
 //	ok := t.Take(now, id)                      // just before sending
 //	wait := t.Wait(now, id)                    // for Retry-After
