--- a/core/ggsshare/order.go
+++ b/core/ggsshare/order.go
@@ -2,7 +2,7 @@
 
 import ggscore "greengageslip/core"
 
-// An OrderKind says which call an Order requests.
+// An OrderKind is the call that an Order requests.
 type OrderKind int
 
 // Kinds of orders.
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	plan := ggsshare.NewPlan(ggscore.LoadShare{LoadsPerSecond: 4, InTransit: 24}, groups)
-//	s := ggsshare.New(ggsshare.Options{Self: vm, Group: 2, Seed: 1})
+//	s := ggsshare.NewBorrower(ggsshare.Options{Self: vm, Group: 2, Seed: 1})
 //	s.SetPlan(now, plan)
 //	s.SetLease(lease)           // when the VM's lease is granted or renewed
 //	s.SetOwner(true)            // while the VM owns its group's endpoints
@@ -36,7 +36,7 @@
 // A Unit is the number of a borrowed unit.
 type Unit int
 
-// WaitMarker isn't a unit. Its record says that a borrower found no free unit and waits for one.
+// WaitMarker isn't a unit. Its record shows that a borrower found no free unit and waits for one.
 const WaitMarker Unit = -1
 
 // A Plan divides the limits into units. The zero Plan has no units.
