--- a/core/ggsepoch/tracker.go
+++ b/core/ggsepoch/tracker.go
@@ -30,7 +30,7 @@
 	maxStep = 1 << 16
 )
 
-// A Reason says why the epoch that an answer named was ignored.
+// A Reason is the reason why the epoch that an answer named was ignored.
 type Reason string
 
 // The reasons for which a named epoch is ignored.
@@ -42,15 +42,15 @@
 	ReasonDecreased  Reason = "fell"
 )
 
-// An Answer says how to treat an answer of the store.
+// An Answer describes how to treat an answer of the store.
 type Answer struct {
 	// Epoch is the current epoch after the answer.
 	Epoch ggscore.StoreEpoch
-	// Changed says that the epoch wasn't known before.
+	// Changed is set if the epoch wasn't known before.
 	Changed bool
-	// Late says that the answer is from an epoch that has ended and must be discarded.
+	// Late is set if the answer is from an epoch that has ended and must be discarded.
 	Late bool
-	// Ignored says why the epoch that the answer named was ignored.
+	// Ignored is the reason why the epoch that the answer named was ignored, empty if it was not.
 	Ignored Reason
 }
 
