--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -40,7 +40,7 @@
 	Relay ggscore.Relay
 }
 
-// Routes returns the VMs to send a message to, where reach says how far the message is to be
+// Routes returns the VMs to send a message to, where reach is how far the message is to be
 // sent. The VM of another domain or region that forwards the message changes with the sequence,
 // so that an unreachable one affects only some of the messages.
 func Routes(self Member, peers []Member, reach ggscore.Relay, sequence uint64) []Route {
@@ -191,7 +191,7 @@
 )
 
 // HeartbeatInterval returns the time between a VM's heartbeats to the store. vms is the number of
-// reachable VMs, including this one. owner says whether the VM sends orders.
+// reachable VMs, including this one. owner reports whether the VM sends orders.
 func HeartbeatInterval(vms int, owner bool) time.Duration {
 	switch {
 	case !owner:
@@ -225,8 +225,8 @@
 )
 
 // RetryPause returns the pause after a number of consecutive failed calls to the store. serves
-// says whether the VM has the state that it needs to serve; a VM that doesn't serve yet always
-// retries after the initial pause. x is a random number from 0 to 1 for the jitter.
+// reports whether the VM has the state that it needs to serve; a VM that doesn't serve yet
+// always retries after the initial pause. x is a random number from 0 to 1 for the jitter.
 //
 // Refused calls count and are billed like others. 65 VMs with three kinds of calls, each made
 // five times a second, made 900 calls a second to an unreachable store.
