--- a/core/ggslimit/errors.go
+++ b/core/ggslimit/errors.go
@@ -7,7 +7,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A Cause says which limit refused a request.
+// A Cause is the limit that refused a request.
 type Cause string
 
 // Causes of an OverLimitError.
@@ -16,7 +16,7 @@
 	CauseInFlight Cause = "inFlight"
 )
 
-// An OverLimitError says that a request was refused before it ran. RetryAfter is the time until
+// An OverLimitError reports that a request was refused before it ran. RetryAfter is the time until
 // the market's limit is expected to admit a request.
 type OverLimitError struct {
 	Market     ggscore.Market
@@ -39,7 +39,7 @@
 	}
 }
 
-// An UnknownMarketError says that no limit is set for the market.
+// An UnknownMarketError reports that no limit is set for the market.
 type UnknownMarketError struct{ Market ggscore.Market }
 
 // Error implements error.
