--- a/core/ggsmember/table.go
+++ b/core/ggsmember/table.go
@@ -19,7 +19,7 @@
 	// is when the last heartbeat arrived from the member itself.
 	lastSeen   time.Time
 	lastDirect time.Time
-	// monitored says that the member requested to be monitored by this one.
+	// monitored is set if the member requested to be monitored by this one.
 	monitored bool
 	// sendsAsMonitor is the number of heartbeats that the member still gets as a monitor of
 	// this one. It is renewed while the member is a monitor. Afterwards a few more heartbeats
@@ -263,7 +263,7 @@
 func (t *Table) usesMonitors() bool { return len(t.entries)+1 > t.limits.AllToAll }
 
 // merge applies a received state of a member and returns its entry, or nil if the state was
-// out of date or says that the member is gone.
+// out of date or marks the member as gone.
 func (t *Table) merge(now time.Time, m Member) *entry {
 	e := t.entries[m.VM]
 	if e == nil {
@@ -338,7 +338,7 @@
 	return xxhash.Sum64String(string(of) + "\x00" + string(monitor))
 }
 
-// refute handles an update which says that this member is gone.
+// refute handles an update that marks this member as gone.
 func (t *Table) refute(m Member) {
 	if m.Gone && m.Incarnation == t.self.Incarnation {
 		t.self.Sequence = max(t.self.Sequence, m.Sequence)
--- a/core/ggsmember/table_test.go
+++ b/core/ggsmember/table_test.go
@@ -217,7 +217,7 @@
 }
 
 // Guards against a live VM that stays out of the membership because one member missed a few of its
-// heartbeats. It refutes the update which says that it is gone immediately.
+// heartbeats. It immediately refutes the update that marks it as gone.
 func TestLiveMemberRefutes(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -236,8 +236,8 @@
 	}
 }
 
-// Guards against work for a failed VM: an older state of it arrives after the update which says
-// that it is gone, at a member whose state of it was older still.
+// Guards against work for a failed VM: an older state of it arrives after the update that marks
+// it as gone, at a member whose state of it was older still.
 func TestOldUpdateDoesNotRevive(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
