--- a/core/ggsowner/record.go
+++ b/core/ggsowner/record.go
@@ -71,7 +71,7 @@
 	// only while it holds this lease.
 	Lease ggscore.LeaseID
 	Fence ggscore.FencingToken
-	// Released says that the owner sends no more orders and accepts no new
+	// Released is set if the owner sends no more orders and accepts no new
 	// requests. The adapters of its requests in flight are in Pins.
 	Released bool
 	// Protected contains the adapters that the owner may use.
