--- a/core/ggspopularity/demand.go
+++ b/core/ggspopularity/demand.go
@@ -55,7 +55,7 @@
 }
 
 // Recent returns an adapter's requests per second over the last seconds. It determines how
-// many copies of the adapter are useful now.
+// many replicas of the adapter are useful now.
 func (d *Demand) Recent(now time.Time, a ggscore.ModelAdapter) float64 {
 	if s := d.adapters[a]; s != nil {
 		return s.recent.PerSecond(now)
