--- a/core/ggsresident/ledger.go
+++ b/core/ggsresident/ledger.go
@@ -104,9 +104,9 @@
 	Target   ggscore.ModelAdapter
 	Version  uint64
 	Expected uint64
-	// Poll says that the step polls for the completion of an accepted order.
+	// Poll is set if the step polls for the completion of an accepted order.
 	Poll bool
-	// Repeat says that the step repeats an order whose answer was lost.
+	// Repeat is set if the step repeats an order whose answer was lost.
 	Repeat bool
 }
 
@@ -140,20 +140,20 @@
 	version uint64
 	// target is the version in transit, where it differs from version.
 	target uint64
-	// inTransit says that the adapter is in transit. evicting says that it is evicted when its
-	// requests have ended.
+	// inTransit is set if the adapter is in transit. evicting is set if the adapter is evicted
+	// when its requests have ended.
 	inTransit bool
 	evicting  bool
 	orderedAt time.Time
 	pollAt    time.Time
-	// polling says that a poll is in flight. lostPolls is the number of unanswered polls in a
+	// polling is set if a poll is in flight. lostPolls is the number of unanswered polls in a
 	// row.
 	polling   bool
 	lostPolls int
 	lastUsed  time.Time
 	// users are the VMs whose requests use the adapter, with the times of their last reports.
 	users map[ggscore.VMID]time.Time
-	// released says that all users have reported that they no longer use the adapter.
+	// released is set if all users have reported that they no longer use the adapter.
 	released bool
 }
 
--- a/core/ggsresident/ledger_test.go
+++ b/core/ggsresident/ledger_test.go
@@ -109,7 +109,7 @@
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		answer ggscore.PlacementAnswer
-		// report says that only the endpoint's report shows the order's result.
+		// report is set if only the endpoint's report shows the order's result.
 		report bool
 	}{
 		"the first was lost":          {answer: ggscore.PlacementAccepted},
