--- a/core/ggsretry/errors.go
+++ b/core/ggsretry/errors.go
@@ -6,7 +6,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A Cause says why a request isn't retried.
+// A Cause is the reason why a request isn't retried.
 type Cause string
 
 // Causes of a NoRetryError.
@@ -21,7 +21,7 @@
 	CauseBudget Cause = "budget"
 )
 
-// A NoRetryError says that a failed request isn't retried.
+// A NoRetryError reports that a failed request isn't retried.
 type NoRetryError struct {
 	Market ggscore.Market
 	Cause  Cause
--- a/core/ggsretry/retry_test.go
+++ b/core/ggsretry/retry_test.go
@@ -142,7 +142,7 @@
 	return true
 }
 
-// Guards against callers that wait in vain for a dispatcher that hangs after a fault: each gateway
+// Guards against callers that wait for a dispatcher that hangs after a fault: each gateway
 // would keep sending it one request in four until the dispatcher is removed from the list.
 func TestBreakerLimitsCallsToFailingTarget(t *testing.T) {
 	t.Parallel()
