--- a/core/ggsroute/board.go
+++ b/core/ggsroute/board.go
@@ -62,13 +62,13 @@
 	Identity *Identity
 	Sequence uint64
 	Leaving  bool
-	// Gone says that the dispatcher's last summary is older than the board's
+	// Gone is set if the dispatcher's last summary is older than the board's
 	// maximum age.
 	Gone  bool
 	Pools []PoolChange
 }
 
-// An Identity says which dispatcher a number identifies.
+// An Identity is the dispatcher that a number identifies.
 type Identity struct {
 	VM          ggscore.VMID
 	Region      ggscore.Region
@@ -91,7 +91,7 @@
 	Held  []Holding
 }
 
-// A Holding says on how many runners of a pool an adapter is resident.
+// A Holding is the number of runners of a pool on which an adapter is resident.
 type Holding struct {
 	// Adapter is the hash of the adapter's reference.
 	Adapter uint64
--- a/core/ggsroute/choose.go
+++ b/core/ggsroute/choose.go
@@ -226,7 +226,7 @@
 // avoidsLoad reports whether the request is sent to another region, where its
 // adapter is resident, instead of loading the adapter in this region.
 //
-// Otherwise each region would hold copies of the same busy adapters, and the
+// Otherwise each region would hold replicas of the same busy adapters, and the
 // weight store would serve each adapter once per region. With three regions of 32
 // adapter slots, the 96 slots would hold a third of the adapters that they can
 // hold, and callers would wait for queued loads. An adapter is loaded in this
--- a/core/ggsroute/errors.go
+++ b/core/ggsroute/errors.go
@@ -7,7 +7,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A Cause says why a request was refused.
+// A Cause is the reason why a request was refused.
 type Cause string
 
 // The causes of refusals.
@@ -24,7 +24,7 @@
 	CauseCrossRegionLimit Cause = "crossing"
 )
 
-// A NoDispatcherError says that no dispatcher can serve a request now. The request
+// A NoDispatcherError reports that no dispatcher can serve a request now. The request
 // has not run.
 type NoDispatcherError struct {
 	Service    ggscore.Service
--- a/core/ggsroute/region_test.go
+++ b/core/ggsroute/region_test.go
@@ -80,7 +80,7 @@
 
 // One region has 1.5 times the load that it can serve, and the other is idle. All
 // gateways of the busy region see the same idle summary, send every request across
-// and switch back a second later: callers wait in both, and bytes cross in vain.
+// and switch back a second later: callers wait in both, and bytes cross without a gain.
 func TestRegionsDoNotOscillate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsroute/route.go
+++ b/core/ggsroute/route.go
@@ -27,7 +27,7 @@
 	answerSmoothing  = 0.05
 )
 
-// A Reason says why a dispatcher was chosen.
+// A Reason is the reason why a dispatcher was chosen.
 type Reason string
 
 // The reasons for a choice.
@@ -46,7 +46,7 @@
 	// Wait in which the request waits for its adapter.
 	Wait  time.Duration
 	Stall time.Duration
-	// CrossRegion says that the dispatcher is in another region.
+	// CrossRegion is set if the dispatcher is in another region.
 	CrossRegion bool
 	Reason      Reason
 
