--- a/core/ggsschedule/loads.go
+++ b/core/ggsschedule/loads.go
@@ -243,7 +243,7 @@
 }
 
 // addReplica creates the entry of an adapter on an endpoint. A request that was
-// dispatched before an engine restart may still be on its way to the engine and run on
+// dispatched before an engine restart may still be in transit to the engine and run on
 // the adapter once it is loaded again. Requests that haven't ended therefore count as
 // running on the new entry.
 func (s *Scheduler) addReplica(now time.Time, a *adapter, e *endpoint, t replicaState) *replica {
--- a/core/ggsschedule/tables.go
+++ b/core/ggsschedule/tables.go
@@ -56,7 +56,7 @@
 	// that is newer than pinnedAt and shows the adapter idle clears it.
 	pinned   bool
 	pinnedAt time.Time
-	// interrupted is set if the engine restarted, or the ownership began anew, while an
+	// interrupted is set if the engine restarted, or the ownership began again, while an
 	// order was in flight.
 	interrupted bool
 	// inTransit is set if the load counts against the weight store's limit.
