--- a/io/ggsedge/control.go
+++ b/io/ggsedge/control.go
@@ -98,8 +98,8 @@
 	e.mu.Unlock()
 	v, err := json.Marshal(&memberRecord{
 		Domain: string(e.options.Domain), DatagramAddr: e.options.DatagramAddr.String(), ControlAddr: e.options.ControlAddr.String(), Count: *count,
-		Capacity: e.options.Capacity,
-		Shapes:   shapeRecords(shapes),
+		Capacity:   e.options.Capacity,
+		TurnStates: turnStateRecords(shapes),
 	})
 	if err != nil {
 		_ = level.Error(e.Log).Log("event", ggslog.EventHeartbeatUnencoded, "err", err)
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -35,14 +35,15 @@
 	// Capacity compares VMs by processor and network link. The VMs of a failure domain with the
 	// greatest capacity become relays, and VMs own endpoints in proportion to it.
 	Capacity uint64
-	// DatagramAddr is the address at which this VM receives datagrams, and Control the one for calls.
+	// DatagramAddr is the address at which this VM receives datagrams, and ControlAddr the one
+	// for calls.
 	DatagramAddr netip.AddrPort
 	ControlAddr  netip.AddrPort
-	// Seeds are other VMs to read entries from while the store is unreachable. They may be gone.
+	// Seeds are other VMs to read entries from while the store is unreachable. They may have failed.
 	Seeds []netip.AddrPort
 	// MinOrderGap is the minimum time between orders of two VMs to one endpoint.
 	MinOrderGap time.Duration
-	// FirstStart says that the deployment starts for the first time.
+	// FirstStart is set if the deployment starts for the first time.
 	FirstStart bool
 	// RetryRatio and RetrySlack bound the retries to a service, summed over all VMs. RetryRatio
 	// is the number of retries per request, and RetrySlack is a number of further retries.
@@ -51,8 +52,8 @@
 	// IDHeader is the header with the ID of a request and its answer.
 	IDHeader string
 	Keys     Keys
-	// MaxInFlight bounds the requests in flight, and MaxBodies the total size of their bodies in
-	// bytes.
+	// MaxInFlight bounds the requests in flight, and MaxBodiesBytes the total size of their bodies
+	// in bytes.
 	MaxInFlight    int64
 	MaxBodiesBytes int64
 }
@@ -111,7 +112,7 @@
 
 	paths    atomic.Pointer[ggspath.Table]
 	draining atomic.Bool
-	// storeUnavailable says that the last read of the operators' entries failed.
+	// storeUnavailable is set if the last read of the operators' entries failed.
 	storeUnavailable atomic.Bool
 
 	mu        sync.Mutex
@@ -303,7 +304,7 @@
 		return e.Peers.Run(ctx, ggspeer.Handler{Heartbeat: e.receiveHeartbeat, Summary: e.receiveSummary, Notice: e.receiveNotice})
 	})
 	g.Go(func() error { return e.maintainOwnership(ctx) })
-	g.Go(func() error { return e.askSeeds(ctx) })
+	g.Go(func() error { return e.querySeeds(ctx) })
 	g.Go(func() error { return e.fetchNewer(ctx) })
 	return g.Wait()
 }
--- a/io/ggsedge/epoch_test.go
+++ b/io/ggsedge/epoch_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// Guards against a condition on a revision that was read before the store returned from an
+// Guards against a condition on a revision that was read before the store was restored from an
 // older copy.
 func TestTransactionOfAnEndedEpochIsNotSent(t *testing.T) {
 	t.Parallel()
--- a/io/ggsedge/errors.go
+++ b/io/ggsedge/errors.go
@@ -7,13 +7,13 @@
 	ggscore "greengageslip/core"
 )
 
-// A NotReadyError says why the edge doesn't accept new connections.
+// A NotReadyError reports why the edge doesn't accept new connections.
 type NotReadyError struct{ Reason string }
 
 // Error implements error.
 func (e *NotReadyError) Error() string { return e.Reason }
 
-// A NoOwnerError says that no VM owns the endpoint, so no VM can load an adapter there.
+// A NoOwnerError reports that no VM owns the endpoint, so no VM can load an adapter there.
 type NoOwnerError struct{ Endpoint ggscore.EndpointID }
 
 // Error implements error.
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("no VM owns endpoint %s", e.Endpoint)
 }
 
-// A LoadTimeoutError says that an adapter wasn't loaded before the deadline.
+// A LoadTimeoutError reports that an adapter wasn't loaded before the deadline.
 type LoadTimeoutError struct {
 	Endpoint ggscore.EndpointID
 	Target   ggscore.ModelAdapter
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("load timed out: %s not loaded on %s after %s", e.Target, e.Endpoint, e.Waited)
 }
 
-// A LoadQueueFullError says that too many adapters wait to be loaded on an endpoint.
+// A LoadQueueFullError reports that too many adapters wait to be loaded on an endpoint.
 type LoadQueueFullError struct{ Endpoint ggscore.EndpointID }
 
 // Error implements error.
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("load queue full: too many adapters wait to be loaded on %s", e.Endpoint)
 }
 
-// An AnswerError says that an endpoint's answer is invalid and can't be forwarded.
+// An AnswerError reports that an endpoint's answer is invalid and can't be forwarded.
 type AnswerError struct {
 	Status int
 	Reason string
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("invalid answer with status %d: %s", e.Status, e.Reason)
 }
 
-// A DeadlineError says that a request's deadline has passed.
+// A DeadlineError reports that a request's deadline has passed.
 type DeadlineError struct{ Limit time.Duration }
 
 // Error implements error.
@@ -60,7 +60,7 @@
 	return fmt.Sprintf("request deadline exceeded after %s", e.Limit)
 }
 
-// A PartNotReadError says that a VM has not read the entries below a prefix yet.
+// A PartNotReadError reports that a VM has not read the entries below a prefix yet.
 type PartNotReadError struct{ Prefix ggscore.Key }
 
 // Error implements error.
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("entries below %s not read from the store yet", e.Prefix)
 }
 
-// A PartBehindError says that a relay has not read the entries below a prefix up to a position.
+// A PartBehindError reports that a relay has not read the entries below a prefix up to a position.
 type PartBehindError struct {
 	Prefix ggscore.Key
 	At     ggscore.StorePosition
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -116,7 +116,7 @@
 }
 
 // listBehind reports whether a peer announced a change of the list that this VM has not read,
-// or the store has returned from an older copy since.
+// or the store was restored from an older copy since.
 func (e *Edge) listBehind() bool {
 	epoch := e.epochs.current()
 	e.mu.Lock()
@@ -129,7 +129,7 @@
 	return pause(ctx, ggsgossip.RetryPause(failures, e.started(), rand.Float64()))
 }
 
-// peerTimeout is the age of a peer's last heartbeat from which the peer counts as gone.
+// peerTimeout is the age of a peer's last heartbeat from which the peer counts as unreachable.
 const peerTimeout = time.Second
 
 // logDependency logs when a part of the store becomes unreachable or reachable again.
--- a/io/ggsedge/handler.go
+++ b/io/ggsedge/handler.go
@@ -60,9 +60,9 @@
 	// have run.
 	sends int
 	runs  int
-	// counted says that the request was added to the retry budget.
+	// counted is set if the request was added to the retry budget.
 	counted bool
-	// retryGranted says that the next send was already granted by the retry budget, or needs none.
+	// retryGranted is set if the next send was already granted by the retry budget, or needs none.
 	retryGranted bool
 	// fallback is an endpoint's failure to forward if no other endpoint gives a better answer.
 	fallback *keptFailure
@@ -71,16 +71,16 @@
 	sentAt time.Time
 	// turnWait is how long the request waited for its turn.
 	turnWait time.Duration
-	// lastPieceAt is when the last piece of the answer arrived.
-	lastPieceAt time.Time
-	// maxGap is the longest gap between two pieces of the answer.
+	// lastChunkAt is when the last chunk of the answer arrived.
+	lastChunkAt time.Time
+	// maxGap is the longest gap between two chunks of the answer.
 	maxGap time.Duration
-	// degraded says that other requests' prompts caused a gap longer than callers of the route
-	// accept, or that the first piece was late because of the turn.
+	// degraded is set if other requests' prompts caused a gap longer than callers of the route
+	// accept, or if the first chunk was late because of the turn.
 	degraded bool
-	// firstPieceAfter is the time from the request's arrival to the answer's first piece.
-	firstPieceAfter time.Duration
-	// committed says that the answer's head has been sent to the caller.
+	// firstChunkAfter is the time from the request's arrival to the answer's first chunk.
+	firstChunkAfter time.Duration
+	// committed is set if the answer's head has been sent to the caller.
 	committed bool
 }
 
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -23,7 +23,7 @@
 	// summaryMaxAge is the age of the last summary up to which directly received heartbeats
 	// aren't applied, since the summaries of relays include their counts.
 	summaryMaxAge = time.Second
-	// fleet stands for all VMs together in summaries that say who uses an adapter.
+	// fleet stands for all VMs together in summaries that report the use of adapters.
 	fleet ggscore.VMID = ""
 )
 
@@ -306,7 +306,7 @@
 func (e *Edge) applyProgress(now time.Time, vm ggscore.VMID, n ggscore.StoreProgress) {
 	e.epochs.observePeer(n.Epoch)
 	e.recordNewer(now, vm, n)
-	// A reading of an epoch that has ended says nothing about the age of the current data.
+	// A reading in an epoch that has ended gives no age for the current data.
 	if n.Epoch == e.epochs.current() {
 		if at := now.Add(-n.ListAge - heartbeatDelay); at.After(e.listObserved) {
 			e.listObserved = at
--- a/io/ggsedge/load_test.go
+++ b/io/ggsedge/load_test.go
@@ -14,13 +14,13 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// A silentFirstListener is a listener that doesn't serve its first connection.
-type silentFirstListener struct {
+// A stalledFirstListener is a listener that doesn't serve its first connection.
+type stalledFirstListener struct {
 	net.Listener
 	accepted atomic.Bool
 }
 
-func (m *silentFirstListener) Accept() (net.Conn, error) {
+func (m *stalledFirstListener) Accept() (net.Conn, error) {
 	c, err := m.Listener.Accept()
 	if err != nil || m.accepted.Swap(true) {
 		return c, err
@@ -38,7 +38,7 @@
 
 // Guards against keeping a stalled connection to a peer. Every load at the peer's runners
 // waited 0.9 s and failed for as long as both processes ran.
-func TestSilentConnectionToAPeerIsReplaced(t *testing.T) {
+func TestStalledConnectionToAPeerIsReplaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,7 +47,7 @@
 	s := ggsrpc.NewServer()
 	c.Assert(s.Register("Placement", loadedOwner{}), qt.IsNil)
 	done := make(chan error, 1)
-	go func() { done <- s.Serve(ctx, &silentFirstListener{Listener: l}) }()
+	go func() { done <- s.Serve(ctx, &stalledFirstListener{Listener: l}) }()
 
 	e := listEdge()
 	e.Calls = ggsrpc.NewPool(ggsrpc.PoolOptions{})
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -33,12 +33,12 @@
 	Capacity uint64 `json:"capacity,omitempty"`
 	// Count makes each store heartbeat a change.
 	Count uint64 `json:"count"`
-	// Shapes are the learned prompt processing times of services, for VMs that start.
-	Shapes []shapeRecord `json:"shapes,omitempty"`
+	// TurnStates are the learned prompt processing times of services, for VMs that start.
+	TurnStates []turnStateRecord `json:"shapes,omitempty"`
 }
 
-// A shapeRecord is the JSON form of a ggscore.TurnShape. The fields' tags name the units.
-type shapeRecord struct {
+// A turnStateRecord is the JSON form of a ggscore.TurnState. The fields' tags name the units.
+type turnStateRecord struct {
 	Service        string  `json:"service"`
 	PerToken       int64   `json:"perTokenNanoseconds"`
 	Start          int64   `json:"startMicroseconds"`
@@ -47,10 +47,10 @@
 	DegradedBefore float64 `json:"without"`
 }
 
-func shapeRecords(hs []ggscore.TurnState) []shapeRecord {
-	var rs []shapeRecord
+func turnStateRecords(hs []ggscore.TurnState) []turnStateRecord {
+	var rs []turnStateRecord
 	for _, h := range hs {
-		rs = append(rs, shapeRecord{
+		rs = append(rs, turnStateRecord{
 			Service: string(h.Service), PerToken: h.PerToken.Nanoseconds(), Start: h.Start.Microseconds(),
 			Quiet: h.Quiet.Microseconds(), Waits: h.Mode.Waits, DegradedBefore: h.Mode.DegradedBefore,
 		})
@@ -58,7 +58,7 @@
 	return rs
 }
 
-func (r *shapeRecord) shape() ggscore.TurnState {
+func (r *turnStateRecord) turnState() ggscore.TurnState {
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return ggscore.TurnState{
 		Service: ggscore.Service(r.Service), PerToken: time.Duration(r.PerToken), Start: us(r.Start),
@@ -75,7 +75,8 @@
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// An epochRecord says that no right to send orders from before the epoch Settled is valid.
+// An epochRecord records that all rights to send orders from before the epoch Settled have
+// expired.
 type epochRecord struct {
 	Settled uint64 `json:"settled"`
 }
@@ -215,7 +216,7 @@
 				r.Heartbeats = append(r.Heartbeats, ggsfencing.Heartbeat{
 					VM: vm, Domain: ggscore.Domain(w.Domain), Capacity: w.Capacity, Revision: n.Revision,
 				})
-				e.restoreShapes(w.Shapes)
+				e.restoreTurnStates(w.TurnStates)
 			}
 			if p, ok := w.member(); ok && vm != e.options.VM {
 				p.domain = ggscore.Domain(w.Domain)
@@ -235,11 +236,11 @@
 	return r, peers
 }
 
-// restoreShapes restores what another VM had learned about prompt processing.
-func (e *Edge) restoreShapes(rs []shapeRecord) {
+// restoreTurnStates restores what another VM had learned about prompt processing.
+func (e *Edge) restoreTurnStates(rs []turnStateRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range rs {
-		e.turns.Restore(e.Now(), rs[i].shape())
+		e.turns.Restore(e.Now(), rs[i].turnState())
 	}
 }
--- a/io/ggsedge/metrics.go
+++ b/io/ggsedge/metrics.go
@@ -143,7 +143,7 @@
 	m.answers.WithLabelValues(k.String()).Observe(took.Seconds())
 }
 
-// observeFirstPiece records the first piece of an answer.
-func (m *metrics) observeFirstPiece(k ggscore.RouteKind, took time.Duration) {
+// observeFirstChunk records the first chunk of an answer.
+func (m *metrics) observeFirstChunk(k ggscore.RouteKind, took time.Duration) {
 	m.first.WithLabelValues(k.String()).Observe(took.Seconds())
 }
--- a/io/ggsedge/newer.go
+++ b/io/ggsedge/newer.go
@@ -38,8 +38,9 @@
 	}
 }
 
-// fetchNewer reads from peers the operators' entries that the store has lost. Otherwise a VM
-// that starts on an older copy of the store would use older entries than its peers.
+// fetchNewer reads from peers the operators' entries that the store lost when it was restored
+// from an older copy. Otherwise a VM that starts after the restore would use older entries than
+// its peers.
 func (e *Edge) fetchNewer(ctx context.Context) error {
 	for pause(ctx, seedInterval) {
 		e.mu.Lock()
@@ -70,7 +71,7 @@
 		_ = level.Info(e.Log).Log("event", ggslog.EventNewerEntriesRead, "peer", addr, "entries", len(r.entries), "err", err)
 		if err == nil {
 			e.adoptOperators(r.entries)
-			e.packer.forget(e.options.Keys.Operators)
+			e.packer.remove(e.options.Keys.Operators)
 			return
 		}
 	}
--- a/io/ggsedge/operators.go
+++ b/io/ggsedge/operators.go
@@ -190,7 +190,7 @@
 }
 
 // operatorsBehind reports whether a peer announced operators' entries that this VM has not
-// read, or the store has returned from an older copy since.
+// read, or the store was restored from an older copy since.
 func (e *Edge) operatorsBehind() bool {
 	epoch := e.epochs.current()
 	e.mu.Lock()
@@ -241,8 +241,8 @@
 	return e.Now().Sub(e.behindSince)
 }
 
-// adoptOperators applies operators' entries that are at least as new as those in use. After
-// the store's return from an older copy, its entries may be older.
+// adoptOperators applies operators' entries that are at least as new as those in use. A store
+// that was restored from an older copy may have older entries.
 func (e *Edge) adoptOperators(es []ggscore.Entry) {
 	var kept []ggscore.Entry
 	for _, n := range es {
--- a/io/ggsedge/operators_test.go
+++ b/io/ggsedge/operators_test.go
@@ -38,14 +38,14 @@
 	c.Assert(e.operatorsLag(), qt.Equals, time.Duration(0))
 }
 
-// A silentStore answers snapshots and no watches.
-type silentStore struct {
+// A stalledStore answers snapshots and no watches.
+type stalledStore struct {
 	Store
 	watches   chan struct{}
 	snapshots atomic.Int32
 }
 
-func (s *silentStore) Watch(
+func (s *stalledStore) Watch(
 	ctx context.Context, _ ggscore.Key, _ ggscore.StorePosition, _ time.Duration,
 ) ([]ggscore.Entry, ggscore.StorePosition, error) {
 	s.watches <- struct{}{}
@@ -53,16 +53,16 @@
 	return nil, ggscore.StorePosition{}, ctx.Err()
 }
 
-func (s *silentStore) Snapshot(context.Context, ggscore.Key, bool) ([]ggscore.Entry, ggscore.StorePosition, error) {
+func (s *stalledStore) Snapshot(context.Context, ggscore.Key, bool) ([]ggscore.Entry, ggscore.StorePosition, error) {
 	s.snapshots.Add(1)
 	return []ggscore.Entry{{Key: "op/config", Revision: 12}}, position(13), nil
 }
 
 // Guards against a VM that misses a change for as long as its stalled watch waits.
-func TestSilentWatchIsPreempted(t *testing.T) {
+func TestStalledWatchIsPreempted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	e, s := listEdge(), &silentStore{watches: make(chan struct{}, 1)}
+	e, s := listEdge(), &stalledStore{watches: make(chan struct{}, 1)}
 	e.Store = s
 	e.peers["peer"] = &member{}
 	e.recordOperatorsRead(position(10), nil)
@@ -84,7 +84,7 @@
 func TestAnnouncedRevisionIsReadOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	e, s := listEdge(), &silentStore{watches: make(chan struct{}, 1)}
+	e, s := listEdge(), &stalledStore{watches: make(chan struct{}, 1)}
 	e.Store = s
 	e.peers["peer"] = &member{}
 	e.recordOperatorsRead(position(10), nil)
--- a/io/ggsedge/parts.go
+++ b/io/ggsedge/parts.go
@@ -83,8 +83,8 @@
 	return b, nil
 }
 
-// forget drops a part from the cache after its entries have changed at the same position.
-func (p *packer) forget(prefix ggscore.Key) {
+// remove drops a part from the cache after its entries have changed at the same position.
+func (p *packer) remove(prefix ggscore.Key) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.packed, prefix)
@@ -142,7 +142,7 @@
 	return err
 }
 
-// localPart returns a part of the store as this VM last read it, and a *PartUnknownError if
+// localPart returns a part of the store as this VM last read it, and a *PartNotReadError if
 // this VM has not read the part.
 func (e *Edge) localPart(prefix ggscore.Key) (partReading, error) {
 	e.mu.Lock()
--- a/io/ggsedge/parts_test.go
+++ b/io/ggsedge/parts_test.go
@@ -75,7 +75,7 @@
 			relay.keepOperators([]ggscore.Entry{{Key: configKey, Value: value, Revision: 12}})
 			relay.recordOperatorsRead(tc.relayAt, nil)
 			addr, done := serveParts(ctx, c, relay)
-			s := &silentStore{watches: make(chan struct{}, 1)}
+			s := &stalledStore{watches: make(chan struct{}, 1)}
 			e := follower(s, addr)
 			at := position(10)
 			es, next, err := e.operators(ctx, &at)
@@ -103,7 +103,7 @@
 	relay.keepOperators([]ggscore.Entry{{Key: configKey, Revision: 12}})
 	relay.recordOperatorsRead(position(12), nil)
 	addr, done := serveParts(ctx, c, relay)
-	s := &silentStore{watches: make(chan struct{}, 1)}
+	s := &stalledStore{watches: make(chan struct{}, 1)}
 	e := follower(s, addr)
 	at := position(0)
 	_, next, err := e.operators(ctx, &at)
@@ -119,7 +119,7 @@
 func TestFollowerWatchesWhenNoRelayReads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	s := &silentStore{watches: make(chan struct{}, 1)}
+	s := &stalledStore{watches: make(chan struct{}, 1)}
 	e := follower(s, netip.AddrPort{})
 	e.recordOperatorsRead(position(12), nil)
 	e.operatorsObserved = e.Now().Add(-ggsgossip.MaxOperatorsAge)
--- a/io/ggsedge/placement.go
+++ b/io/ggsedge/placement.go
@@ -67,9 +67,9 @@
 		var r EnsureReply
 		g.err = e.Calls.Call(ctx, p.controlAddr, ensureMethod, &a, &r)
 		version = r.Version
-		// A peer answers within its own wait. A peer that doesn't is gone, or its connection has
-		// stalled. If the stalled connection were kept, each load would wait in vain for as long
-		// as it stayed open.
+		// A peer answers within its own wait. A peer that doesn't has failed, or its connection has
+		// stalled. If the stalled connection were kept, each load would time out for as long as the
+		// connection stayed open.
 		if ctx.Err() != nil {
 			e.Calls.CloseConn(p.controlAddr)
 		}
--- a/io/ggsedge/relay.go
+++ b/io/ggsedge/relay.go
@@ -19,8 +19,8 @@
 // sent to the caller. A buffered answer that is truncated can still be replaced.
 const maxBufferedBytes = 64 << 10
 
-// pieceBytes is the read size, in bytes, for longer answers and streams.
-const pieceBytes = 8 << 10
+// chunkBytes is the read size, in bytes, for longer answers and streams.
+const chunkBytes = 8 << 10
 
 // forwardAnswer forwards an answer. The failure is nil if the caller has received the answer.
 func (e *Edge) forwardAnswer(ctx context.Context, j *job, i ggscore.Instance, a *ggsexchange.Answer) (*ggscore.Failure, ggsretry.Result) {
@@ -52,7 +52,7 @@
 	e.stats.Answered.Add(1)
 	e.metrics.observeAnswer(j.route.Kind, e.since(j.arrived))
 	_ = level.Info(e.Log).Log("event", ggslog.EventRequestEnded, "request", j.meta.ID, "endpoint", i.ID, "status", a.Status,
-		"sends", j.sends, "first", j.firstPieceAfter, "target", j.route.Target, "gap", j.maxGap, "gapAim", j.route.TargetGap, "took", e.since(j.arrived))
+		"sends", j.sends, "first", j.firstChunkAfter, "target", j.route.Target, "gap", j.maxGap, "gapAim", j.route.TargetGap, "took", e.since(j.arrived))
 	if a.Status >= http.StatusInternalServerError {
 		return nil, ggsretry.ResultFailed
 	}
@@ -148,14 +148,14 @@
 	return nil
 }
 
-// forwardStream forwards an answer piece by piece as the pieces arrive.
+// forwardStream forwards an answer chunk by chunk as the chunks arrive.
 func (e *Edge) forwardStream(ctx context.Context, j *job, a *ggsexchange.Answer) error {
-	b := make([]byte, pieceBytes)
+	b := make([]byte, chunkBytes)
 	c := http.NewResponseController(j.w)
 	for {
 		n, err := a.Body.Read(b)
 		if n > 0 {
-			e.recordPiece(j)
+			e.recordChunk(j)
 			if !j.committed {
 				e.writeHead(j, a, a.Length)
 			}
@@ -181,8 +181,8 @@
 	}
 }
 
-// recordPiece records the arrival of a piece of a stream.
-func (e *Edge) recordPiece(j *job) {
+// recordChunk records the arrival of a chunk of a stream.
+func (e *Edge) recordChunk(j *job) {
 	now := e.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,11 +192,11 @@
 		first := e.since(j.arrived)
 		degraded = first > j.route.Target && first-j.turnWait <= j.route.Target
 	} else {
-		gap := now.Sub(j.lastPieceAt)
+		gap := now.Sub(j.lastChunkAt)
 		j.maxGap = max(j.maxGap, gap)
 		degraded = e.turns.RecordGap(now, j.service, j.turn.Endpoint, gap)
 	}
-	j.lastPieceAt = now
+	j.lastChunkAt = now
 	if degraded && !j.degraded {
 		j.degraded = true
 		e.turns.RecordStream(now, j.service, j.turn.Endpoint, true)
@@ -216,8 +216,8 @@
 // writeHead writes an answer's head.
 func (e *Edge) writeHead(j *job, a *ggsexchange.Answer, length int64) {
 	j.committed = true
-	j.firstPieceAfter = e.since(j.arrived)
-	e.metrics.observeFirstPiece(j.route.Kind, j.firstPieceAfter)
+	j.firstChunkAfter = e.since(j.arrived)
+	e.metrics.observeFirstChunk(j.route.Kind, j.firstChunkAfter)
 	h := j.w.Header()
 	for k, vs := range a.Header {
 		switch k {
--- a/io/ggsedge/seeds.go
+++ b/io/ggsedge/seeds.go
@@ -15,7 +15,7 @@
 	// seedInterval is the time between calls to seeds, and the time that the store has to answer
 	// after a start before seeds are called.
 	seedInterval = 300 * time.Millisecond
-	// seedIdleTimeout is how long a seed, which may be gone, may send nothing.
+	// seedIdleTimeout is how long a seed, which may have failed, may send nothing.
 	seedIdleTimeout = 700 * time.Millisecond
 )
 
@@ -70,11 +70,11 @@
 	return part
 }
 
-// askSeeds reads the store's entries from other VMs until this VM has read the store for the
+// querySeeds reads the store's entries from other VMs until this VM has read the store for the
 // first time. The entries may be old, and are replaced by the store's own once the store is
 // reachable. Without seeds, a VM that restarts while the store is unreachable can't serve
-// requests until the store returns.
-func (e *Edge) askSeeds(ctx context.Context) error {
+// requests until the end of the outage.
+func (e *Edge) querySeeds(ctx context.Context) error {
 	for n := 0; pause(ctx, seedInterval); n++ {
 		if e.started() || len(e.options.Seeds) == 0 {
 			return nil
@@ -82,7 +82,7 @@
 		if !e.storeUnavailable.Load() {
 			continue
 		}
-		e.askSeed(ctx, n%len(e.options.Seeds))
+		e.querySeed(ctx, n%len(e.options.Seeds))
 	}
 	return nil
 }
@@ -94,7 +94,7 @@
 	return e.listed && e.paths.Load() != nil
 }
 
-func (e *Edge) askSeed(ctx context.Context, n int) {
+func (e *Edge) querySeed(ctx context.Context, n int) {
 	seed := e.options.Seeds[n]
 	var r EntriesReply
 	err := e.Calls.CallLong(ctx, seedIdleTimeout, seed, entriesMethod, &EntriesArgs{}, &r)
--- a/io/ggsedge/state.go
+++ b/io/ggsedge/state.go
@@ -16,8 +16,8 @@
 	// routes.
 	Config uint64
 	Routes int
-	// ListAge is the time since this VM or a peer read the list of endpoints. StoreAway says
-	// that the last read of the operators' entries failed.
+	// ListAge is the time since this VM or a peer read the list of endpoints. StoreUnavailable
+	// is set if the last read of the operators' entries failed.
 	ListAge          time.Duration
 	StoreUnavailable bool
 	// Epoch is the current store epoch. ResyncTime is how long this VM took to read the store in
@@ -91,15 +91,15 @@
 
 // A stateWire is the JSON form of a State. Durations are in seconds.
 type stateWire struct {
-	Domain         string         `json:"domain"`
-	ConfigVersion  uint64         `json:"configVersion"`
-	Routes         int            `json:"routes"`
-	ListAgeSeconds float64        `json:"listAgeSeconds"`
-	StoreAway      bool           `json:"storeAway"`
-	StoreEpoch     uint64         `json:"storeEpoch"`
-	ResyncSeconds  float64        `json:"storeResyncSeconds"`
-	Endpoints      []endpointWire `json:"endpoints"`
-	Peers          []peerWire     `json:"peers"`
+	Domain           string         `json:"domain"`
+	ConfigVersion    uint64         `json:"configVersion"`
+	Routes           int            `json:"routes"`
+	ListAgeSeconds   float64        `json:"listAgeSeconds"`
+	StoreUnavailable bool           `json:"storeAway"`
+	StoreEpoch       uint64         `json:"storeEpoch"`
+	ResyncSeconds    float64        `json:"storeResyncSeconds"`
+	Endpoints        []endpointWire `json:"endpoints"`
+	Peers            []peerWire     `json:"peers"`
 	// Versions and Held are adapters with their versions.
 	Versions []versionWire `json:"versions"`
 }
@@ -111,14 +111,14 @@
 	Leaving bool   `json:"leaving"`
 	// LimitPerSecond is omitted if the endpoint announces no limit.
 	LimitPerSecond *float64      `json:"limitPerSecond,omitempty"`
-	Orderer        string        `json:"orderer"`
+	Owner          string        `json:"orderer"`
 	Held           []versionWire `json:"held"`
 }
 
 type peerWire struct {
-	VM             string  `json:"vm"`
-	Domain         string  `json:"domain"`
-	SilenceSeconds float64 `json:"silenceSeconds"`
+	VM                  string  `json:"vm"`
+	Domain              string  `json:"domain"`
+	HeartbeatAgeSeconds float64 `json:"silenceSeconds"`
 }
 
 type versionWire struct {
@@ -131,12 +131,12 @@
 func (s State) MarshalJSON() ([]byte, error) {
 	w := stateWire{
 		Domain: string(s.Domain), ConfigVersion: s.Config, Routes: s.Routes, ListAgeSeconds: s.ListAge.Seconds(),
-		StoreAway: s.StoreUnavailable, StoreEpoch: uint64(s.Epoch), ResyncSeconds: s.ResyncTime.Seconds(), Versions: versionWires(s.Versions),
+		StoreUnavailable: s.StoreUnavailable, StoreEpoch: uint64(s.Epoch), ResyncSeconds: s.ResyncTime.Seconds(), Versions: versionWires(s.Versions),
 	}
 	for _, n := range s.Endpoints {
 		x := endpointWire{
 			ID: string(n.ID), Service: string(n.Service), Domain: string(n.Domain), Leaving: n.Leaving,
-			Orderer: string(n.Owner), Held: versionWires(n.Held),
+			Owner: string(n.Owner), Held: versionWires(n.Held),
 		}
 		if n.Limit != nil {
 			x.LimitPerSecond = &n.Limit.RequestsPerSecond
@@ -144,7 +144,7 @@
 		w.Endpoints = append(w.Endpoints, x)
 	}
 	for _, p := range s.Peers {
-		w.Peers = append(w.Peers, peerWire{VM: string(p.VM), Domain: string(p.Domain), SilenceSeconds: p.HeartbeatAge.Seconds()})
+		w.Peers = append(w.Peers, peerWire{VM: string(p.VM), Domain: string(p.Domain), HeartbeatAgeSeconds: p.HeartbeatAge.Seconds()})
 	}
 	return json.Marshal(&w)
 }
@@ -157,12 +157,12 @@
 	}
 	*s = State{
 		Domain: ggscore.Domain(w.Domain), Config: w.ConfigVersion, Routes: w.Routes, ListAge: duration(w.ListAgeSeconds),
-		StoreUnavailable: w.StoreAway, Epoch: ggscore.StoreEpoch(w.StoreEpoch), ResyncTime: duration(w.ResyncSeconds), Versions: versionsOf(w.Versions),
+		StoreUnavailable: w.StoreUnavailable, Epoch: ggscore.StoreEpoch(w.StoreEpoch), ResyncTime: duration(w.ResyncSeconds), Versions: versionsOf(w.Versions),
 	}
 	for _, n := range w.Endpoints {
 		x := EndpointState{
 			ID: ggscore.EndpointID(n.ID), Service: ggscore.Service(n.Service), Domain: ggscore.Domain(n.Domain),
-			Leaving: n.Leaving, Owner: ggscore.VMID(n.Orderer), Held: versionsOf(n.Held),
+			Leaving: n.Leaving, Owner: ggscore.VMID(n.Owner), Held: versionsOf(n.Held),
 		}
 		if n.LimitPerSecond != nil {
 			x.Limit = &ggscore.RateLimit{RequestsPerSecond: *n.LimitPerSecond}
@@ -170,7 +170,7 @@
 		s.Endpoints = append(s.Endpoints, x)
 	}
 	for _, p := range w.Peers {
-		s.Peers = append(s.Peers, PeerState{VM: ggscore.VMID(p.VM), Domain: ggscore.Domain(p.Domain), HeartbeatAge: duration(p.SilenceSeconds)})
+		s.Peers = append(s.Peers, PeerState{VM: ggscore.VMID(p.VM), Domain: ggscore.Domain(p.Domain), HeartbeatAge: duration(p.HeartbeatAgeSeconds)})
 	}
 	return nil
 }
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -40,7 +40,7 @@
 	ledger   *ggsresident.Ledger
 	// changed is closed and replaced after each change of the ledger.
 	changed chan struct{}
-	// unreported says that the last change was not sent to the peers yet.
+	// unreported is set if the last change was not sent to the peers yet.
 	unreported bool
 	wakeups    chan struct{}
 	cancel     context.CancelFunc
