--- a/io/ggsconfig/doc.go
+++ b/io/ggsconfig/doc.go
@@ -6,9 +6,13 @@
 // # Usage
 //
 //	e := ggsconfig.NewEditor(store, ggsconfig.EditorOptions{})
-//	a, err := e.Apply(ctx, ggsconfig.Edit{Section: "market/cr", Text: text, ReadAt: 12, By: "ana", ID: id})
+//	a, err := e.Apply(ctx, ggsconfig.Edit{
+//		Section: "market/cr", Text: text, BaseRevision: 12, By: "ana", ID: id,
+//	})
 //
-//	f := ggsconfig.NewFollower(ggsconfig.FollowerOptions{Self: self, Store: store, Peers: peers, Members: members})
+//	f := ggsconfig.NewFollower(ggsconfig.FollowerOptions{
+//		Self: self, Store: store, Peers: peers, Members: members,
+//	})
 //	go f.Run(ctx)
 //	d := f.Current() // nil until there is a document
 //
--- a/io/ggsconfig/editor.go
+++ b/io/ggsconfig/editor.go
@@ -54,8 +54,8 @@
 	By           string
 	// ID identifies the change across repetitions.
 	ID ggsdocument.ChangeID
-	// Repeated marks a change that was applied before with the same ID and ReadAt, and
-	// whose outcome is unknown.
+	// Repeated marks a change that was applied before with the same ID and BaseRevision,
+	// and whose outcome is unknown.
 	Repeated bool
 }
 
@@ -162,7 +162,7 @@
 	return t, h, err
 }
 
-// CheckTexts parses and validates a whole document. Its failures are
+// CheckTexts parses and validates all sections of a document. Its failures are
 // *ggsdocument.SectionError, with a line number if the line is known.
 func CheckTexts(r ggscore.Revision, texts map[ggscore.SectionName][]byte) (*ggscore.Document, error) {
 	l := make([]*ggsdocument.Section, 0, len(texts))
--- a/io/ggsconfig/editor_test.go
+++ b/io/ggsconfig/editor_test.go
@@ -221,7 +221,7 @@
 }
 
 // The platform is restored from an old copy. A change based on a later revision, or made
-// with a Floor above the restored head, must be refused: every process would refuse the
+// with a MinRevision above the restored head, must be refused: every process would refuse the
 // resulting head as lower than its own.
 func TestApplyOnRestoredPlatform(t *testing.T) {
 	t.Parallel()
--- a/io/ggsconfig/errors.go
+++ b/io/ggsconfig/errors.go
@@ -25,7 +25,7 @@
 // Unwrap returns the cause.
 func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
-// A AttemptsExhaustedError reports that a change wasn't accepted within the maximum number of
+// An AttemptsExhaustedError reports that a change wasn't accepted within the maximum number of
 // attempts.
 type AttemptsExhaustedError struct {
 	Attempts int
@@ -41,7 +41,7 @@
 func (e *AttemptsExhaustedError) Unwrap() error { return e.Cause }
 
 // A HistoryTrimmedError reports that the history of the head at revision Have no longer
-// reaches back to Tried, the revision that a change may have replaced.
+// reaches back to AttemptedOn, the revision that a change may have replaced.
 type HistoryTrimmedError struct {
 	AttemptedOn ggscore.Revision
 	Have        ggscore.Revision
--- a/io/ggsconfig/machine_test.go
+++ b/io/ggsconfig/machine_test.go
@@ -25,13 +25,13 @@
 
 // A machine is a set of operators and followers of a faulty platform.
 type machine struct {
-	store     *faultyStore
-	followers []*ggsdocument.Follower
-	next      int
-	reported  map[ggsdocument.ChangeID]outcome
-	revision  map[ggsdocument.ChangeID]ggscore.Revision
-	readAt    map[ggsdocument.ChangeID]ggscore.Revision
-	unknown   []ggsconfig.Edit
+	store        *faultyStore
+	followers    []*ggsdocument.Follower
+	next         int
+	reported     map[ggsdocument.ChangeID]outcome
+	revision     map[ggsdocument.ChangeID]ggscore.Revision
+	baseRevision map[ggsdocument.ChangeID]ggscore.Revision
+	unknown      []ggsconfig.Edit
 	// decoded caches the decoded heads of the store.
 	decoded []ggsdocument.Head
 }
@@ -43,10 +43,10 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		m := &machine{
-			store:    newFaultyStore(),
-			reported: map[ggsdocument.ChangeID]outcome{},
-			revision: map[ggsdocument.ChangeID]ggscore.Revision{},
-			readAt:   map[ggsdocument.ChangeID]ggscore.Revision{},
+			store:        newFaultyStore(),
+			reported:     map[ggsdocument.ChangeID]outcome{},
+			revision:     map[ggsdocument.ChangeID]ggscore.Revision{},
+			baseRevision: map[ggsdocument.ChangeID]ggscore.Revision{},
 		}
 		for range 3 {
 			m.followers = append(m.followers, ggsdocument.NewFollower(ggstoml.Codec{}))
@@ -68,14 +68,14 @@
 
 // apply applies a change and records the outcome reported to the operator.
 func (m *machine) apply(
-	t *rapid.T, s ggsconfig.EditorStore, n ggscore.SectionName, text []byte, readAt ggscore.Revision,
+	t *rapid.T, s ggsconfig.EditorStore, n ggscore.SectionName, text []byte, baseRevision ggscore.Revision,
 ) {
 	m.next++
-	m.applyEdit(t, s, edit(n, text, readAt, fmt.Sprint("c", m.next)))
+	m.applyEdit(t, s, edit(n, text, baseRevision, fmt.Sprint("c", m.next)))
 }
 
 func (m *machine) applyEdit(t *rapid.T, s ggsconfig.EditorStore, d ggsconfig.Edit) {
-	m.readAt[d.ID] = d.BaseRevision
+	m.baseRevision[d.ID] = d.BaseRevision
 	a, err := newEditor(s).Apply(context.Background(), d)
 	var unknown *ggsconfig.UnknownOutcomeError
 	switch {
@@ -106,9 +106,9 @@
 // applyAny applies a change under random faults.
 func (m *machine) applyAny(t *rapid.T) {
 	n := rapid.SampledFrom([]ggscore.SectionName{"market/cr", "market/wa", "services"}).Draw(t, "section")
-	readAt := m.lastHead(t).Revision
-	if rapid.Bool().Draw(t, "stale") && readAt > 0 {
-		readAt = ggscore.Revision(rapid.Uint64Range(0, uint64(readAt)).Draw(t, "readAt"))
+	baseRevision := m.lastHead(t).Revision
+	if rapid.Bool().Draw(t, "stale") && baseRevision > 0 {
+		baseRevision = ggscore.Revision(rapid.Uint64Range(0, uint64(baseRevision)).Draw(t, "readAt"))
 	}
 	m.store.loseAnswers = rapid.IntRange(0, 2).Draw(t, "lose")
 	m.store.delayWrites = rapid.IntRange(0, 2).Draw(t, "delay")
@@ -128,7 +128,7 @@
 	if rapid.Bool().Draw(t, "race") {
 		m.store.beforePut = func() { m.other(t) }
 	}
-	m.apply(t, s, n, m.text(t, n), readAt)
+	m.apply(t, s, n, m.text(t, n), baseRevision)
 	m.store.beforePut = nil
 	m.store.loseAnswers, m.store.delayWrites, m.store.failWrites = 0, 0, 0
 	m.store.setUnavailable(false)
@@ -153,8 +153,8 @@
 		}
 		last := h.Changes[len(h.Changes)-1]
 		id := last.ID
-		if changed[last.Section] > m.readAt[id] {
-			t.Fatalf("change %s, read at %d, replaced %s of revision %d", id, m.readAt[id], last.Section, changed[last.Section])
+		if changed[last.Section] > m.baseRevision[id] {
+			t.Fatalf("change %s, based on revision %d, replaced %s of revision %d", id, m.baseRevision[id], last.Section, changed[last.Section])
 		}
 		changed[last.Section] = h.Revision
 		if r, found := written[id]; found {
--- a/io/ggsconfig/peer.go
+++ b/io/ggsconfig/peer.go
@@ -101,7 +101,7 @@
 // NewPeers returns Peers that call through a pool.
 func NewPeers(p *ggsrpc.Pool) *Peers { return &Peers{pool: p} }
 
-// Head implements PeerConfig.
+// Head implements PeerReader.
 func (p *Peers) Head(
 	ctx context.Context, addr netip.AddrPort, have ggsdocument.Head,
 ) (ggsdocument.Head, bool, error) {
@@ -116,7 +116,7 @@
 	return h, newer, nil
 }
 
-// Section implements PeerConfig.
+// Section implements PeerReader.
 func (p *Peers) Section(ctx context.Context, addr netip.AddrPort, d ggscore.Digest) ([]byte, error) {
 	var r SectionReply
 	if err := p.pool.CallLong(ctx, sectionIdleTimeout, addr, methodSection, &SectionArgs{Digest: d}, &r); err != nil {
