--- a/io/ggsengine/errors.go
+++ b/io/ggsengine/errors.go
@@ -6,7 +6,7 @@
 	ggscore "greengageslip/core"
 )
 
-// A StatusError says that an endpoint answered with a status that isn't forwarded to the
+// A StatusError reports that an endpoint answered with a status that isn't forwarded to the
 // caller.
 type StatusError struct {
 	Status int
@@ -18,8 +18,8 @@
 	return fmt.Sprintf("endpoint answered with status %d: %s", e.Status, e.Detail)
 }
 
-// A TruncatedAnswerError says that an answer is truncated. Pieces is the number of chunks that were
-// forwarded.
+// A TruncatedAnswerError reports that an answer is truncated. Chunks is the number of chunks that
+// were forwarded.
 type TruncatedAnswerError struct {
 	Chunks int
 	Cause  error
@@ -33,7 +33,7 @@
 // Unwrap returns the cause.
 func (e *TruncatedAnswerError) Unwrap() error { return e.Cause }
 
-// A RequestIDMismatchError says that an answer's X-Request-Id names another request.
+// A RequestIDMismatchError reports that an answer's X-Request-Id names another request.
 type RequestIDMismatchError struct {
 	Want ggscore.RequestID
 	Got  ggscore.RequestID
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("answer has the wrong request id: got %s, want %s", e.Got, e.Want)
 }
 
-// An UnframedError says that an answer has neither a Content-Length nor chunked encoding,
+// An UnframedError reports that an answer has neither a Content-Length nor chunked encoding,
 // so that a closed connection can't be distinguished from the end of the answer.
 type UnframedError struct{}
 
@@ -53,7 +53,7 @@
 	return "answer has neither a Content-Length nor chunked encoding"
 }
 
-// A EventTooLongError says that an event of a stream exceeds the size limit.
+// An EventTooLongError reports that an event of a stream exceeds the size limit.
 type EventTooLongError struct{ LimitBytes int }
 
 // Error implements error.
@@ -61,15 +61,15 @@
 	return fmt.Sprintf("stream event exceeds %d bytes", e.LimitBytes)
 }
 
-// A IdleTimeoutError says that an endpoint sent no byte for Settings.SilenceTimeout.
+// An IdleTimeoutError reports that an endpoint sent no byte for Settings.SilenceTimeout.
 type IdleTimeoutError struct{}
 
 // Error implements error.
 func (e *IdleTimeoutError) Error() string {
-	return "endpoint sent no data within the silence timeout"
+	return "endpoint sent no data within the idle timeout"
 }
 
-// A BadReportError says that a runner's report contains an invalid adapter reference.
+// A BadReportError reports that a runner's report contains an invalid adapter reference.
 type BadReportError struct{ Cause error }
 
 // Error implements error.
@@ -78,7 +78,7 @@
 // Unwrap returns the cause.
 func (e *BadReportError) Unwrap() error { return e.Cause }
 
-// A SinkError says that the sink returned an error, which ends the call.
+// A SinkError reports that the sink returned an error, which ends the call.
 type SinkError struct{ Cause error }
 
 // Error implements error.
--- a/io/ggsengine/exchange.go
+++ b/io/ggsengine/exchange.go
@@ -21,7 +21,7 @@
 	path    string
 	request *ggscore.Request
 	sink    ggscore.ChunkSink
-	// plain says that the endpoint is a plain service.
+	// plain is set if the endpoint is a plain service.
 	plain bool
 }
 
@@ -29,8 +29,8 @@
 func (c *Client) exchange(ctx context.Context, x *exchange) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silenceTimer := time.AfterFunc(c.settings.SilenceTimeout, func() { cancel(&IdleTimeoutError{}) })
-	defer silenceTimer.Stop()
+	idleTimer := time.AfterFunc(c.settings.SilenceTimeout, func() { cancel(&IdleTimeoutError{}) })
+	defer idleTimer.Stop()
 	tracked, flight := ggsconn.Track(ctx)
 	req, err := x.newRequest(tracked)
 	if err != nil {
@@ -47,7 +47,7 @@
 	if err := x.refusal(resp); err != nil {
 		return err
 	}
-	body := &activityReader{r: resp.Body, onRead: func() { silenceTimer.Reset(c.settings.SilenceTimeout) }}
+	body := &activityReader{r: resp.Body, onRead: func() { idleTimer.Reset(c.settings.SilenceTimeout) }}
 	if err := x.forward(resp, body); err != nil {
 		return x.callError(ctx, false, err)
 	}
@@ -62,8 +62,8 @@
 		kind = ggscore.FailureEndpoint
 	}
 	if cause := context.Cause(ctx); cause != nil {
-		var silenceErr *IdleTimeoutError
-		if !errors.As(cause, &silenceErr) {
+		var idleErr *IdleTimeoutError
+		if !errors.As(cause, &idleErr) {
 			kind = ggscore.FailureCancelled
 		}
 		err = errors.CombineErrors(cause, err)
--- a/io/ggsengine/fault_test.go
+++ b/io/ggsengine/fault_test.go
@@ -369,8 +369,8 @@
 	})
 	assertFailure(c, err, expectedFailure{false, ggscore.FailureBroken})
 	c.Assert(len(got.chunks) > 0, qt.IsTrue)
-	var silenceErr *ggsengine.IdleTimeoutError
-	c.Assert(err, qt.ErrorAs, &silenceErr)
+	var idleErr *ggsengine.IdleTimeoutError
+	c.Assert(err, qt.ErrorAs, &idleErr)
 }
 
 // Guards against a slot that stays taken after the caller disconnected during its answer.
--- a/io/ggsengine/pass.go
+++ b/io/ggsengine/pass.go
@@ -15,7 +15,7 @@
 	sink ggscore.ChunkSink
 	// first holds the fields that are set on the first chunk only.
 	first ggscore.Chunk
-	// model says that the answer comes from a model engine, so that the first chunk
+	// model is set if the answer comes from a model engine, so that the first chunk
 	// may name the adapter.
 	model bool
 	seq   int
