--- a/io/ggsowners/doc.go
+++ b/io/ggsowners/doc.go
@@ -23,8 +23,8 @@
 //
 // # Calls of the platform's service
 //
-// A dispatcher renews its lease every RenewEvery. Every PollEvery it reads the records of
-// the groups that it is a candidate for, and the lease keys of their owners. It writes a
+// A dispatcher renews its lease every RenewInterval. Every PollInterval it reads the records
+// of the groups that it is a candidate for, and the lease keys of their owners. It writes a
 // group's record when the adapters on the group's runners change.
 //
 // # Locks
--- a/io/ggsowners/owners.go
+++ b/io/ggsowners/owners.go
@@ -124,7 +124,7 @@
 
 // Observe updates an endpoint from its runner's report. Resident and loading adapters of the
 // report become protected. Adapters that the report lacks lose their protection, unless
-// their load was ordered within LoadingFor.
+// their load was ordered within LoadingProtection.
 func (o *Owners) Observe(r ggscore.RunnerReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -190,7 +190,7 @@
 }
 
 // SetVMs sets the platform's list of VMs. A holder counts as stopped if its VM was listed
-// and then is missing for AbsentFor.
+// and then is missing for AbsenceTimeout.
 func (o *Owners) SetVMs(now time.Time, vms []ggscore.VM) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -274,7 +274,7 @@
 }
 
 // hasStopped reports whether an earlier holder has certainly stopped: a later incarnation is
-// a candidate, or its VM is missing from the platform's list for AbsentFor. The caller
+// a candidate, or its VM is missing from the platform's list for AbsenceTimeout. The caller
 // holds o.mu.
 func (o *Owners) hasStopped(h ggsowner.Holder, now time.Time) bool {
 	for _, l := range o.candidates {
--- a/io/ggsowners/owners_test.go
+++ b/io/ggsowners/owners_test.go
@@ -80,7 +80,7 @@
 
 // Guards against an outage of a domain whose dispatcher can't reach the platform. Until
 // another dispatcher takes over, the owner must serve the adapters that the record protects
-// and give no other orders.
+// and send no other orders.
 func TestPartitionedOwnerServesProtectedAdapters(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
