--- a/io/ggsconn/doc.go
+++ b/io/ggsconn/doc.go
@@ -25,5 +25,5 @@
 //
 // # Locks
 //
-// Flight.mu is locked before conn.mu. Neither is held during I/O.
+// RequestTracker.mu is locked before conn.mu. Neither is held during I/O.
 package ggsconn
--- a/io/ggsconn/errors.go
+++ b/io/ggsconn/errors.go
@@ -1,6 +1,6 @@
 package ggsconn
 
-// A SealedError says that a connection rejects all writes because its request was abandoned.
+// A SealedError reports that a connection rejects all writes because its request was abandoned.
 type SealedError struct{}
 
 // Error implements error.
@@ -8,7 +8,8 @@
 	return "write rejected: the connection was sealed after its request was abandoned"
 }
 
-// A IdleTimeoutError says that a call was cancelled because no bytes arrived within the timeout.
+// An IdleTimeoutError reports that a call was cancelled because no bytes arrived within the
+// timeout.
 type IdleTimeoutError struct{}
 
 // Error implements error.
--- a/io/ggsconn/flight.go
+++ b/io/ggsconn/flight.go
@@ -12,11 +12,11 @@
 type RequestTracker struct {
 	mu    sync.Mutex
 	conns []*conn
-	// untracked says that the request used a connection that isn't of this package.
+	// untracked is set if the request used a connection that isn't of this package.
 	untracked bool
 }
 
-// Track returns a context for one request and the Flight that tracks it.
+// Track returns a context for one request and the RequestTracker that tracks it.
 func Track(ctx context.Context) (context.Context, *RequestTracker) {
 	f := &RequestTracker{}
 	t := &httptrace.ClientTrace{GotConn: f.gotConn}
