--- a/io/ggsrpc/conn.go
+++ b/io/ggsrpc/conn.go
@@ -23,7 +23,7 @@
 // idleChecks is the number of checks for received bytes within one idle timeout.
 const idleChecks = 8
 
-// cancelWhenIdle calls cancel with a *SilentError once no bytes have arrived for idleTimeout,
+// cancelWhenIdle calls cancel with an *IdleTimeoutError once no bytes have arrived for idleTimeout,
 // and returns. It also returns when the context ends.
 func (c *countingConn) cancelWhenIdle(ctx context.Context, idleTimeout time.Duration, cancel context.CancelCauseFunc) {
 	t := time.NewTicker(idleTimeout / idleChecks)
--- a/io/ggsrpc/errors.go
+++ b/io/ggsrpc/errors.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A DialError says that no connection was made, so the call had no effect.
+// A DialError reports that no connection was made, so the call had no effect.
 type DialError struct {
 	Addr  netip.AddrPort
 	Cause error
@@ -18,7 +18,7 @@
 // Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Cause }
 
-// A BrokenError says that no answer to a call arrived. The call may have taken effect.
+// A BrokenError reports that no answer to a call arrived. The call may have taken effect.
 type BrokenError struct {
 	Addr   netip.AddrPort
 	Method string
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("call of %s at %s returned an error: %s", e.Method, e.Addr, e.Text)
 }
 
-// A IdleTimeoutError says that no bytes arrived from the other process for the time Silence.
+// An IdleTimeoutError reports that no bytes arrived from the other process for IdleTimeout.
 type IdleTimeoutError struct{ IdleTimeout time.Duration }
 
 // Error implements error.
