--- a/io/ggsstate/state.go
+++ b/io/ggsstate/state.go
@@ -4,8 +4,8 @@
 // # Usage
 //
 //	s := ggsstate.New("ggsgateway", vm, clock)
-//	s.Add("router", func() any { return routerState() })
-//	s.Count("done", stats.Done.Load)
+//	s.AddPart("router", func() any { return routerState() })
+//	s.AddCounter("done", stats.Done.Load)
 //	server := &http.Server{Handler: s.Handler()}
 //
 // GET /state answers with one JSON object: "program", "vm", "time" and
