--- a/io/ggspeer/errors.go
+++ b/io/ggspeer/errors.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// An IndexError says that a datagram refers to a base model by an index outside its list.
+// An IndexError reports that a datagram refers to a base model by an index outside its list.
 type IndexError struct {
 	Index int
 	Count int
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("datagram rejected: base model index %d, but %d base models listed", e.Index, e.Count)
 }
 
-// A SocketError says that the opened socket isn't a UDP socket.
+// A SocketError reports that the opened socket isn't a UDP socket.
 type SocketError struct{ Addr netip.AddrPort }
 
 // Error implements error.
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("listening for datagrams on %s: not a UDP socket", e.Addr)
 }
 
-// A CountError says that a datagram contains a negative count.
+// A CountError reports that a datagram contains a negative count.
 type CountError struct{ Count int }
 
 // Error implements error.
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("datagram rejected: negative count %d", e.Count)
 }
 
-// A LimitError says that a datagram contains a rate limit that is negative or not finite.
+// A LimitError reports that a datagram contains a rate limit that is negative or not finite.
 type LimitError struct{ PerSecond float64 }
 
 // Error implements error.
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("datagram rejected: invalid rate limit of %g requests per second", e.PerSecond)
 }
 
-// An AgeError says that a datagram contains an age that is negative or above one hour.
+// An AgeError reports that a datagram contains an age that is negative or above one hour.
 type AgeError struct{ Milliseconds int64 }
 
 // Error implements error.
--- a/io/ggspeer/notice.go
+++ b/io/ggspeer/notice.go
@@ -12,7 +12,7 @@
 	VM ggscore.VMID
 	// Number distinguishes the turns of a VM.
 	Number uint64
-	// Relay says how far the receiver relays the notice.
+	// Relay is how far the receiver relays the notice.
 	Relay    ggscore.Relay
 	Service  ggscore.Service
 	Endpoint ggscore.EndpointID
--- a/io/ggspeer/wire.go
+++ b/io/ggspeer/wire.go
@@ -16,12 +16,12 @@
 }
 
 type holdingWire struct {
-	_        struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
-	Endpoint string
-	Held     []heldWire
-	Whole    bool
-	Waiting  int
-	Room     int
+	_            struct{} `cbor:",toarray"` //nolint:tagliatelle // the field only sets the format
+	Endpoint     string
+	Held         []heldWire
+	Whole        bool
+	Waiting      int
+	FreeCapacity int
 }
 
 type heldWire struct {
@@ -171,7 +171,7 @@
 func (m *modelNames) holdingWires(hs []ggscore.Holding) []holdingWire {
 	ws := make([]holdingWire, 0, len(hs))
 	for _, h := range hs {
-		w := holdingWire{Endpoint: string(h.Endpoint), Whole: h.Whole, Waiting: h.Waiting, Room: h.FreeCapacity}
+		w := holdingWire{Endpoint: string(h.Endpoint), Whole: h.Whole, Waiting: h.Waiting, FreeCapacity: h.FreeCapacity}
 		for _, v := range h.Held {
 			w.Held = append(w.Held, heldWire{Model: m.index(v.Target.Model), Adapter: v.Target.Adapter, Version: v.Version})
 		}
@@ -183,7 +183,7 @@
 func (m modelNames) holdings(ws []holdingWire) ([]ggscore.Holding, error) {
 	var hs []ggscore.Holding
 	for _, w := range ws {
-		h := ggscore.Holding{Endpoint: ggscore.EndpointID(w.Endpoint), Whole: w.Whole, Waiting: w.Waiting, FreeCapacity: w.Room}
+		h := ggscore.Holding{Endpoint: ggscore.EndpointID(w.Endpoint), Whole: w.Whole, Waiting: w.Waiting, FreeCapacity: w.FreeCapacity}
 		for _, v := range w.Held {
 			t, err := m.target(v.Model, v.Adapter)
 			if err != nil {
