--- a/io/ggsclaims/work.go
+++ b/io/ggsclaims/work.go
@@ -164,7 +164,7 @@
 	return ggsclaim.WriteAmbiguous
 }
 
-// runRetries queues shards with pending outcomes every Linger until ctx ends.
+// runRetries queues shards with pending outcomes every OutcomeDelay until ctx ends.
 func (c *Committer) runRetries(ctx context.Context) {
 	t := time.NewTicker(c.opts.OutcomeDelay)
 	defer t.Stop()
