--- a/io/ggsdispatch/job.go
+++ b/io/ggsdispatch/job.go
@@ -33,7 +33,7 @@
 	// endpoint is the endpoint of the latest dispatch.
 	endpoint ggscore.EndpointID
 	outcome  ggscore.Outcome
-	// abandoned says that no gateway is going to read the answer.
+	// abandoned is set if no gateway is going to read the answer.
 	abandoned   bool
 	cancel      context.CancelFunc
 	submittedAt time.Time
@@ -48,8 +48,8 @@
 }
 
 // Next returns the chunks of an answer from a sequence number on. It waits for the
-// first of these chunks until the context ends. lost says that the request is unknown
-// or that the chunk with the number from is no longer held.
+// first of these chunks until the context ends. lost is set if the request is unknown or
+// the chunk with the number from is no longer held.
 func (d *Dispatcher) Next(ctx context.Context, k jobKey, from int) (chunks []ggscore.Chunk, stall time.Duration, lost bool) {
 	d.mu.Lock()
 	j := d.jobs[k]
--- a/io/ggsdispatch/stream.go
+++ b/io/ggsdispatch/stream.go
@@ -79,7 +79,7 @@
 }
 
 // next returns the chunks from the sequence number from on and waits for the first of
-// them. It acknowledges all chunks below. lost says that the stream can't return the
+// them. It acknowledges all chunks below. lost is set if the stream can't return the
 // chunk from: it was acknowledged before, or from is beyond the next number.
 func (s *stream) next(ctx context.Context, now func() time.Time, from int) (chunks []ggscore.Chunk, lost bool) {
 	for {
