--- a/io/ggsexchange/doc.go
+++ b/io/ggsexchange/doc.go
@@ -5,8 +5,10 @@
 //
 //	p := ggsexchange.NewPool(ggsexchange.Options{Now: time.Now})
 //	defer p.Close()
-//	a, err := p.Do(ctx, ggsexchange.Request{Addr: addr, Method: "POST", URI: "/x", Host: "h", Header: h, Body: b, ID: id})
-//	// *ggscore.CallError: NotSent says that nothing can have reached the endpoint
+//	a, err := p.Do(ctx, ggsexchange.Request{
+//		Addr: addr, Method: "POST", URI: "/x", Host: "h", Header: h, Body: b, ID: id,
+//	})
+//	// *ggscore.CallError: NotSent is set if nothing can have reached the endpoint
 //	defer a.Close()
 //	n, err := a.Body.Read(buf)
 //
--- a/io/ggsexchange/errors.go
+++ b/io/ggsexchange/errors.go
@@ -7,7 +7,8 @@
 	ggscore "greengageslip/core"
 )
 
-// A ConnLimitError says that all connections that this process may open to an endpoint are in use.
+// A ConnLimitError reports that all connections that this process may open to an endpoint are in
+// use.
 type ConnLimitError struct {
 	Addr  netip.AddrPort
 	Limit int
@@ -18,7 +19,7 @@
 	return fmt.Sprintf("connection limit reached: all %d connections to %s are in use", e.Limit, e.Addr)
 }
 
-// A HeadTooLongError says that the head of an answer exceeds the limit. Limit is in bytes.
+// A HeadTooLongError reports that the head of an answer exceeds the limit. Limit is in bytes.
 type HeadTooLongError struct{ Limit int }
 
 // Error implements error.
@@ -26,7 +27,8 @@
 	return fmt.Sprintf("reading answer: head is longer than %d bytes", e.Limit)
 }
 
-// A MismatchedAnswersError says that an endpoint sent only answers with the IDs of other requests.
+// A MismatchedAnswersError reports that an endpoint sent only answers with the IDs of other
+// requests.
 type MismatchedAnswersError struct {
 	Want ggscore.RequestID
 	Got  ggscore.RequestID
--- a/io/ggsexchange/pool.go
+++ b/io/ggsexchange/pool.go
@@ -18,8 +18,8 @@
 	// DefaultDialTimeout covers two opening packets between regions and a margin. An endpoint
 	// that hasn't accepted a connection by then is down or unreachable.
 	DefaultDialTimeout = 600 * time.Millisecond
-	// DefaultIdleTimeout is how long an idle connection is kept if the endpoint doesn't announce its own
-	// timeout.
+	// DefaultIdleTimeout is how long an idle connection is kept if the endpoint doesn't announce
+	// its own timeout.
 	DefaultIdleTimeout = 20 * time.Second
 	// DefaultBufferBytes fits the heads of most answers and the events of a stream.
 	DefaultBufferBytes = 4 << 10
