--- a/io/ggsgateway/doc.go
+++ b/io/ggsgateway/doc.go
@@ -17,7 +17,7 @@
 //
 // POST /v1/services/SERVICE/OPERATION calls a plain service. A request with the
 // header Idempotency-Key runs at most once. An operation that the document marks
-// as non-idempotent requires this header. Idempotency-First-Send: true says that
+// as non-idempotent requires this header. Idempotency-First-Send: true asserts that
 // the key was never sent before. While the platform's service is unavailable, the
 // gateway refuses with the outcome notRun only if this header is set, since an
 // earlier request with the same key may have run.
--- a/io/ggsgateway/errors.go
+++ b/io/ggsgateway/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// A ChunkOrderError says that a chunk of an answer arrived out of order.
+// A ChunkOrderError reports that a chunk of an answer arrived out of order.
 type ChunkOrderError struct {
 	Want int
 	Have int
--- a/io/ggsgateway/send.go
+++ b/io/ggsgateway/send.go
@@ -40,7 +40,7 @@
 	sent        time.Time
 	// number is the attempt's number, counted from one.
 	number int
-	// unreachable says that calls to the dispatcher failed.
+	// unreachable is set if calls to the dispatcher failed.
 	unreachable bool
 }
 
@@ -107,7 +107,7 @@
 // retry decides whether a request is submitted again after a failed attempt, and
 // returns the delay before the next attempt. An attempt that failed because of a
 // handover takes nothing from the retry budget, since its dispatcher is healthy and
-// merely not the owner any more. HandOverTimeout bounds these attempts instead.
+// merely not the owner any more. HandoverTimeout bounds these attempts instead.
 func (g *Gateway) retry(r *ggscore.Request, t *attemptHistory) (time.Duration, bool) {
 	if t.last.Outcome != ggscore.OutcomeNotRun {
 		return 0, false
@@ -134,7 +134,7 @@
 // A dispatcher that stops returns its queued requests before the next owner has taken
 // its runners over, so for a short time the runners have no owner. If requests were
 // refused during that time, every planned stop would fail both these requests and new
-// ones. Routing is therefore repeated until it succeeds, or until HandOverTimeout has
+// ones. Routing is therefore repeated until it succeeds, or until HandoverTimeout has
 // passed since the handover started (for a first attempt: since a request to the
 // service was last routed).
 func (g *Gateway) routeOrWait(ctx context.Context, r *ggscore.Request, a *answer, t *attemptHistory) (*attempt, *ggscore.Failure) {
@@ -299,7 +299,7 @@
 	return reply, nil
 }
 
-// forward writes the chunks of a reply to the caller. done says that the answer has ended.
+// forward writes the chunks of a reply to the caller. done is set if the answer has ended.
 func (g *Gateway) forward(t *attempt, reply *ggswire.NextReply) (done bool, f *ggscore.Failure) {
 	for i := range reply.Chunks {
 		k := reply.Chunks[i].Chunk()
--- a/io/ggsgateway/state.go
+++ b/io/ggsgateway/state.go
@@ -30,7 +30,7 @@
 	Mode    string `json:"mode"`
 }
 
-// A NotReadyError says why the gateway can't serve requests.
+// A NotReadyError reports why the gateway can't serve requests.
 type NotReadyError struct{ Reason string }
 
 // Error implements error.
