--- a/io/ggsheartbeat/errors.go
+++ b/io/ggsheartbeat/errors.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// A BadDatagramError says that a datagram can't be decoded.
+// A BadDatagramError reports that a datagram can't be decoded.
 type BadDatagramError struct {
 	Bytes  int
 	Detail string
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("decoding heartbeat of %d bytes: %s", e.Bytes, e.Detail)
 }
 
-// A ListenError says that the UDP socket could not be opened.
+// A ListenError reports that the UDP socket could not be opened.
 type ListenError struct {
 	Addr  netip.AddrPort
 	Cause error
--- a/io/ggsheartbeat/server.go
+++ b/io/ggsheartbeat/server.go
@@ -150,7 +150,7 @@
 	gap := time.NewTimer(s.opts.MinInterval)
 	defer gap.Stop()
 	for {
-		// Urgent updates wait for the end of the gap, which bounds the bandwidth and processor
+		// Urgent updates wait for MinInterval to end, which bounds the bandwidth and processor
 		// time of a burst of updates.
 		select {
 		case <-gap.C:
