--- a/io/ggslog/log.go
+++ b/io/ggslog/log.go
@@ -1,5 +1,5 @@
 // Package ggslog writes the processes' logs in logfmt: one line of key=value pairs
-// for each event. New returns a logger, Limit drops repeated lines of one event, and
+// for each event. New returns a logger, Sampler drops repeated lines of one event, and
 // Writer keeps a slow log reader from blocking requests. All of them are safe for
 // concurrent use.
 //
--- a/io/ggslog/writer.go
+++ b/io/ggslog/writer.go
@@ -31,7 +31,7 @@
 // NewWriter returns a Writer whose Run writes the lines to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{w: w} }
 
-// Write implements io.Writer. Each call must have one whole line.
+// Write implements io.Writer. Each call must have one complete line.
 func (w *Writer) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
