--- a/io/ggsplatform/doc.go
+++ b/io/ggsplatform/doc.go
@@ -9,7 +9,7 @@
 //	rev, err := s.Put(ctx, "section/market/cr", text, prev, 0)
 //
 // The client sends each request once and never retries, because only the caller knows
-// whether a repetition is safe. The error type tells whether a call had an effect:
+// whether a repetition is safe. The error type shows whether a call had an effect:
 //
 //   - *ggscore.StoreUnavailableError: a read failed, or a write had no effect (no byte
 //     of the write was sent, or the service answered with status 503);
