--- a/io/ggsvms/peer.go
+++ b/io/ggsvms/peer.go
@@ -18,8 +18,8 @@
 // A Peer is the address of a dispatcher.
 type Peer = netip.AddrPort
 
-// An Answer is a peer's list and the list's age. Known is false if the peer has no list. Same says
-// that the list has the digest of the request, and VMs is then empty.
+// An Answer is a peer's list and the list's age. Known is false if the peer has no list. Same is
+// set if the list has the digest of the request; VMs is then empty.
 type Answer struct {
 	Known bool
 	Same  bool
--- a/io/ggsvms/vms.go
+++ b/io/ggsvms/vms.go
@@ -153,8 +153,8 @@
 }
 
 // queryPeer requests the list from a random peer, usually a reader. In some rounds it selects any
-// peer, so that a failure domain that can't reach the platform still gets new lists. It also does so
-// while there is no list yet or no reader is known.
+// peer, so that a failure domain that can't reach the platform still gets new lists. It also
+// selects any peer while there is no list yet or no reader is known.
 func (f *Follower) queryPeer(ctx context.Context, round int) {
 	f.mu.Lock()
 	m, current := f.members, f.list
