--- a/core/heartbeat.go
+++ b/core/heartbeat.go
@@ -19,10 +19,10 @@
 	InFlight []InFlight
 	Holdings []Holding
 	Uses     []Use
-	// Samples and Tallies measure how endpoints process prompts.
+	// Samples and Tallies measure how endpoints prefill prompts.
 	Samples []TurnSample
 	Tallies []TurnTally
-	// Modes are the VM's decisions whether prompts wait for each other.
+	// Modes are the VM's decisions whether turns are enforced.
 	Modes []TurnMode
 	// Limits are the rate limits that endpoints recently announced or lifted.
 	Limits []EndpointLimit
--- a/core/turn.go
+++ b/core/turn.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A PromptTurn reserves a time from which an endpoint may process a request's prompt.
+// A PromptTurn reserves a time from which an endpoint may prefill a request's prompt.
 type PromptTurn struct {
 	VM VMID
 	// Number distinguishes the turns of a VM.
@@ -11,14 +11,14 @@
 	Endpoint EndpointID
 	// Begin is the earliest time at which the prompt may be sent to the endpoint.
 	Begin time.Time
-	// Tokens is the number of prompt tokens that the endpoint has to process.
+	// Tokens is the number of prompt tokens that the endpoint has to prefill.
 	Tokens int
 }
 
 // A TurnEstimate is the estimated delay of a prompt at an endpoint.
 type TurnEstimate struct {
 	// Wait is the time until the prompt's turn, and Ready is the time until the endpoint has
-	// processed the prompt.
+	// prefilled the prompt.
 	Wait  time.Duration
 	Ready time.Duration
 }
@@ -30,8 +30,8 @@
 }
 
 // A TurnSample is a measured time to the first chunk of an answer, from an endpoint that
-// processed no other prompt meanwhile. It shows how fast endpoints of the service process
-// prompts.
+// prefilled no other prompt meanwhile. The sample shows how fast endpoints of the service
+// prefill.
 type TurnSample struct {
 	Service Service
 	Tokens  int
@@ -39,31 +39,30 @@
 }
 
 // A TurnTally counts the streams of a service and the degraded ones. A stream is degraded if
-// prompts of other requests caused a gap longer than its route's target, or if the stream waited
-// too long for its turn.
+// prompts of other requests caused a gap longer than the service's target gap, or if the stream
+// waited too long for its turn.
 type TurnTally struct {
 	Service  Service
 	Streams  int
 	Degraded int
 }
 
-// A TurnMode is the decision whether prompts of a service wait for each other.
+// A TurnMode is the decision whether the turns of a service's prompts are enforced.
 type TurnMode struct {
 	Service Service
 	Waits   bool
-	// DegradedBefore is the fraction of streams that were degraded before prompts waited.
+	// DegradedBefore is the fraction of streams that were degraded before turns were enforced.
 	DegradedBefore float64
 }
 
-// A TurnState is the measured prompt-processing speed of a service's endpoints. Unknown fields
-// are zero.
+// A TurnState is the measured prefill speed of a service's endpoints. Unknown fields are zero.
 type TurnState struct {
 	Service Service
-	// PerToken is the processing time per prompt token, and Start is the time to the first
+	// PerToken is the prefill time per prompt token, and Start is the time to the first
 	// chunk for an empty prompt.
 	PerToken time.Duration
 	Start    time.Duration
-	// Quiet is the gap between a stream's chunks while its endpoint processes no prompt.
+	// Quiet is the gap between a stream's chunks while its endpoint prefills no prompt.
 	Quiet time.Duration
 	Mode  TurnMode
 }
