--- a/core/ggsfencing/claims.go
+++ b/core/ggsfencing/claims.go
@@ -17,21 +17,21 @@
 // orders since the release, because its claim would have replaced the record. With a delay,
 // a rolling restart would leave the endpoints of one VM after the other without orders for
 // longer than MinOrderGap.
-func (k *OwnershipTracker) Claims(now time.Time, ready []ggscore.Instance) []Claim {
-	if !k.synced || k.ownRevision == 0 {
+func (t *OwnershipTracker) Claims(now time.Time, ready []ggscore.Instance) []Claim {
+	if !t.synced || t.ownRevision == 0 {
 		return nil
 	}
-	settled := now.Sub(k.started) >= k.options.ClaimDelay
-	room := k.options.MaxRecords - len(k.NextHeartbeat(now).Records)
+	settled := now.Sub(t.started) >= t.options.ClaimDelay
+	room := t.options.MaxRecords - len(t.NextHeartbeat(now).Records)
 	var cs []Claim
 	for i := range ready {
 		if len(cs) >= room {
 			break
 		}
-		c, ok := k.renewal(now, ready[i].ID)
+		c, ok := t.renewal(now, ready[i].ID)
 		if !ok && settled {
-			c, ok = k.claim(now, ready[i].ID)
-			ok = ok && k.preferredOwner(&ready[i]) == k.options.Self
+			c, ok = t.claim(now, ready[i].ID)
+			ok = ok && t.preferredOwner(&ready[i]) == t.options.Self
 		}
 		if ok {
 			cs = append(cs, c)
@@ -42,53 +42,53 @@
 
 // renewal returns the claim of an endpoint that no other VM may send orders to: this VM holds
 // a right from an earlier epoch, or released the record in the current epoch.
-func (k *OwnershipTracker) renewal(now time.Time, id ggscore.EndpointID) (Claim, bool) {
-	c := Claim{Endpoint: id, Epoch: k.epoch}
-	r := k.records[id]
+func (t *OwnershipTracker) renewal(now time.Time, id ggscore.EndpointID) (Claim, bool) {
+	c := Claim{Endpoint: id, Epoch: t.epoch}
+	r := t.records[id]
 	if r != nil {
 		c.RecordRevision = r.Revision
 	}
-	if r == nil || !k.inCurrentEpoch(r.Record) {
-		return c, now.Before(k.rights[id].until)
+	if r == nil || !t.inCurrentEpoch(r.Record) {
+		return c, now.Before(t.rights[id].until)
 	}
-	return c, r.Released && r.Owner == k.options.Self
+	return c, r.Released && r.Owner == t.options.Self
 }
 
 // claim returns the claim of an endpoint, and whether its previous owner can no longer send
 // orders.
-func (k *OwnershipTracker) claim(now time.Time, id ggscore.EndpointID) (Claim, bool) {
-	c := Claim{Endpoint: id, Epoch: k.epoch}
-	r := k.records[id]
+func (t *OwnershipTracker) claim(now time.Time, id ggscore.EndpointID) (Claim, bool) {
+	c := Claim{Endpoint: id, Epoch: t.epoch}
+	r := t.records[id]
 	if r == nil {
-		return c, k.earlierRightsExpired(now)
+		return c, t.earlierRightsExpired(now)
 	}
 	c.RecordRevision = r.Revision
-	if !k.inCurrentEpoch(r.Record) {
+	if !t.inCurrentEpoch(r.Record) {
 		// A delayed write from an earlier epoch may have replaced a record of this epoch.
-		return c, now.Sub(r.since) >= k.takeoverWait()
+		return c, now.Sub(r.since) >= t.takeoverWait()
 	}
 	if r.Released {
-		return c, now.Sub(r.since) >= k.options.MinOrderGap+k.options.Margin
+		return c, now.Sub(r.since) >= t.options.MinOrderGap+t.options.Margin
 	}
-	if r.Owner == k.options.Self {
+	if r.Owner == t.options.Self {
 		return Claim{}, false
 	}
 	c.Owner = r.Owner
 	since := r.since
-	if b := k.heartbeats[r.Owner]; b != nil {
+	if b := t.heartbeats[r.Owner]; b != nil {
 		c.OwnerRevision = b.Revision
 		if b.since.After(since) {
 			since = b.since
 		}
 	}
-	return c, now.Sub(since) >= k.takeoverWait()
+	return c, now.Sub(since) >= t.takeoverWait()
 }
 
 // SetReachable replaces the set of VMs whose gossip heartbeats arrive.
-func (k *OwnershipTracker) SetReachable(vms []ggscore.VMID) {
-	k.reachable = make(map[ggscore.VMID]bool, len(vms))
+func (t *OwnershipTracker) SetReachable(vms []ggscore.VMID) {
+	t.reachable = make(map[ggscore.VMID]bool, len(vms))
 	for _, vm := range vms {
-		k.reachable[vm] = true
+		t.reachable[vm] = true
 	}
 }
 
@@ -96,11 +96,11 @@
 // reachable VMs with fewer than MaxRecords endpoints. VMs in the endpoint's failure domain
 // take precedence, and rendezvous hashing selects one of them. If two VMs both select
 // themselves, the conditions of the store's transaction let only one claim succeed.
-func (k *OwnershipTracker) preferredOwner(i *ggscore.Instance) ggscore.VMID {
-	owned := k.ownedCounts()
-	best, bestWeight, bestLocal := k.options.Self, 0.0, false
-	for vm, b := range k.heartbeats {
-		if vm != k.options.Self && (!k.reachable[vm] || owned[vm] >= k.options.MaxRecords) {
+func (t *OwnershipTracker) preferredOwner(i *ggscore.Instance) ggscore.VMID {
+	owned := t.ownedCounts()
+	best, bestWeight, bestLocal := t.options.Self, 0.0, false
+	for vm, b := range t.heartbeats {
+		if vm != t.options.Self && (!t.reachable[vm] || owned[vm] >= t.options.MaxRecords) {
 			continue
 		}
 		local := b.Domain == i.Domain
@@ -121,9 +121,9 @@
 }
 
 // ownedCounts returns the number of endpoints that each VM owns.
-func (k *OwnershipTracker) ownedCounts() map[ggscore.VMID]int {
-	n := make(map[ggscore.VMID]int, len(k.heartbeats))
-	for _, r := range k.records {
+func (t *OwnershipTracker) ownedCounts() map[ggscore.VMID]int {
+	n := make(map[ggscore.VMID]int, len(t.heartbeats))
+	for _, r := range t.records {
 		if !r.Released {
 			n[r.Owner]++
 		}
@@ -132,11 +132,11 @@
 }
 
 // ClaimAcknowledged records that the store acknowledged a claim that was sent at the given time.
-func (k *OwnershipTracker) ClaimAcknowledged(sent time.Time, c Claim, at ggscore.StorePosition) {
-	if c.Epoch != k.epoch || at.Epoch != k.epoch {
+func (t *OwnershipTracker) ClaimAcknowledged(sent time.Time, c Claim, at ggscore.StorePosition) {
+	if c.Epoch != t.epoch || at.Epoch != t.epoch {
 		return
 	}
-	r := Record{Endpoint: c.Endpoint, Owner: k.options.Self, Epoch: at.Epoch, Revision: at.Revision}
-	k.records[c.Endpoint] = &record{Record: r, since: sent}
-	k.extend(sent, r)
+	r := Record{Endpoint: c.Endpoint, Owner: t.options.Self, Epoch: at.Epoch, Revision: at.Revision}
+	t.records[c.Endpoint] = &record{Record: r, since: sent}
+	t.extend(sent, r)
 }
--- a/core/ggsfencing/explore_test.go
+++ b/core/ggsfencing/explore_test.go
@@ -35,7 +35,7 @@
 	w.current, w.history, w.delayed = w.current.clone(), slices.Clone(w.history), slices.Clone(w.delayed)
 	w.vms = make([]*vm, len(x.vms))
 	for i, v := range x.vms {
-		w.vms[i] = &vm{id: v.id, k: v.k.Clone()}
+		w.vms[i] = &vm{id: v.id, tracker: v.tracker.Clone()}
 	}
 	c := &exploration{simulation: &w, steps: slices.Clone(x.steps), last: map[ggscore.EndpointID]order{}}
 	for id, o := range x.last {
@@ -52,7 +52,7 @@
 }
 
 func (x *exploration) claimAll(v *vm, f outcome) {
-	for range v.k.Claims(x.now, x.endpoints) {
+	for range v.tracker.Claims(x.now, x.endpoints) {
 		x.claim(v, 0, f, time.Hour)
 	}
 }
@@ -62,7 +62,7 @@
 func (x *exploration) sendOrders() string {
 	for _, e := range x.endpoints {
 		for _, v := range x.vms {
-			f, ok := v.k.AuthorizeOrder(x.now, e.ID)
+			f, ok := v.tracker.AuthorizeOrder(x.now, e.ID)
 			if !ok {
 				continue
 			}
@@ -99,7 +99,7 @@
 		add("heartbeat, delayed", func(x *exploration, v *vm) { x.heartbeat(v, delayed, time.Hour) })
 		add("claims, delayed", func(x *exploration, v *vm) { x.claimAll(v, delayed) })
 		add("releases, delayed", func(x *exploration, v *vm) { x.release(v, delayed, time.Hour) })
-		add("restarts", func(_ *exploration, v *vm) { v.k = newTracker(v.id) })
+		add("restarts", func(_ *exploration, v *vm) { v.tracker = newTracker(v.id) })
 	}
 	return ms
 }
@@ -133,7 +133,7 @@
 		x.sync(v)
 	}
 	for _, e := range x.endpoints {
-		if !slices.ContainsFunc(x.vms, func(v *vm) bool { _, ok := v.k.AuthorizeOrder(x.now, e.ID); return ok }) {
+		if !slices.ContainsFunc(x.vms, func(v *vm) bool { _, ok := v.tracker.AuthorizeOrder(x.now, e.ID); return ok }) {
 			return fmt.Sprintf("%s has no owner", e.ID)
 		}
 	}
--- a/core/ggsfencing/export_test.go
+++ b/core/ggsfencing/export_test.go
@@ -7,14 +7,14 @@
 )
 
 // Clone returns an independent copy.
-func (k *OwnershipTracker) Clone() *OwnershipTracker {
-	c := *k
-	c.records = make(map[ggscore.EndpointID]*record, len(k.records))
-	for id, r := range k.records {
+func (t *OwnershipTracker) Clone() *OwnershipTracker {
+	c := *t
+	c.records = make(map[ggscore.EndpointID]*record, len(t.records))
+	for id, r := range t.records {
 		x := *r
 		c.records[id] = &x
 	}
-	c.heartbeats = maps.Clone(k.heartbeats) // heartbeats are replaced, never modified
-	c.rights, c.previousOwners = maps.Clone(k.rights), maps.Clone(k.previousOwners)
+	c.heartbeats = maps.Clone(t.heartbeats) // heartbeats are replaced, never modified
+	c.rights, c.previousOwners = maps.Clone(t.rights), maps.Clone(t.previousOwners)
 	return &c
 }
--- a/core/ggsfencing/reading.go
+++ b/core/ggsfencing/reading.go
@@ -11,97 +11,97 @@
 // last one is ignored. The zero position marks a partial reading from a peer. A partial
 // reading proves nothing about records that are absent from it, and it is only used until
 // this VM has read the store.
-func (k *OwnershipTracker) Observe(now time.Time, at ggscore.StorePosition, r Reading) {
-	if at.IsZero() && k.synced || at.Before(ggscore.StorePosition{Epoch: k.epoch, Revision: k.readRevision}) && !at.IsZero() {
+func (t *OwnershipTracker) Observe(now time.Time, at ggscore.StorePosition, r Reading) {
+	if at.IsZero() && t.synced || at.Before(ggscore.StorePosition{Epoch: t.epoch, Revision: t.readRevision}) && !at.IsZero() {
 		return
 	}
-	if k.started.IsZero() {
-		k.started = now
+	if t.started.IsZero() {
+		t.started = now
 	}
-	if !at.IsZero() && (!k.synced || at.Epoch != k.epoch) {
-		k.beginEpoch(now, at.Epoch, r)
+	if !at.IsZero() && (!t.synced || at.Epoch != t.epoch) {
+		t.beginEpoch(now, at.Epoch, r)
 	}
-	k.readRevision = at.Revision
-	k.storedSettled = r.SettledEpoch
-	k.settled = k.settled || r.SettledEpoch == k.epoch
+	t.readRevision = at.Revision
+	t.storedSettled = r.SettledEpoch
+	t.settled = t.settled || r.SettledEpoch == t.epoch
 	seen := make(map[ggscore.EndpointID]bool, len(r.Records))
 	for _, x := range r.Records {
 		seen[x.Endpoint] = true
-		k.observeRecord(now, x)
+		t.observeRecord(now, x)
 	}
-	for id, x := range k.records {
+	for id, x := range t.records {
 		if !seen[id] && x.Revision <= at.Revision {
-			delete(k.records, id)
-			delete(k.rights, id)
+			delete(t.records, id)
+			delete(t.rights, id)
 		}
 	}
-	k.observeHeartbeats(now, at, r.Heartbeats)
+	t.observeHeartbeats(now, at, r.Heartbeats)
 }
 
 // beginEpoch starts an epoch with its first reading.
-func (k *OwnershipTracker) beginEpoch(now time.Time, e ggscore.StoreEpoch, r Reading) {
-	first := !k.synced
-	k.previousOwners = map[ggscore.EndpointID]ggscore.VMID{}
-	for id := range k.records {
-		k.previousOwners[id] = k.Owner(id)
+func (t *OwnershipTracker) beginEpoch(now time.Time, e ggscore.StoreEpoch, r Reading) {
+	first := !t.synced
+	t.previousOwners = map[ggscore.EndpointID]ggscore.VMID{}
+	for id := range t.records {
+		t.previousOwners[id] = t.Owner(id)
 	}
-	k.epoch, k.epochSince, k.synced, k.readRevision, k.ownRevision = e, now, true, 0, 0
+	t.epoch, t.epochSince, t.synced, t.readRevision, t.ownRevision = e, now, true, 0, 0
 	// A store without epochs is never restored from an older copy, so no earlier right exists.
-	k.settled = e == 0 || first && k.options.FirstStart && k.allWrittenIn(e, r.Records)
-	clear(k.records)
-	clear(k.heartbeats)
+	t.settled = e == 0 || first && t.options.FirstStart && t.allWrittenIn(e, r.Records)
+	clear(t.records)
+	clear(t.heartbeats)
 }
 
-func (k *OwnershipTracker) allWrittenIn(e ggscore.StoreEpoch, rs []Record) bool {
+func (t *OwnershipTracker) allWrittenIn(e ggscore.StoreEpoch, rs []Record) bool {
 	return !slices.ContainsFunc(rs, func(r Record) bool { return r.Epoch != e })
 }
 
-func (k *OwnershipTracker) observeHeartbeats(now time.Time, at ggscore.StorePosition, heartbeats []Heartbeat) {
+func (t *OwnershipTracker) observeHeartbeats(now time.Time, at ggscore.StorePosition, heartbeats []Heartbeat) {
 	alive := make(map[ggscore.VMID]bool, len(heartbeats))
 	for _, b := range heartbeats {
 		alive[b.VM] = true
-		if h := k.heartbeats[b.VM]; h == nil || h.Revision != b.Revision {
-			k.heartbeats[b.VM] = &heartbeat{Heartbeat: b, since: now}
+		if h := t.heartbeats[b.VM]; h == nil || h.Revision != b.Revision {
+			t.heartbeats[b.VM] = &heartbeat{Heartbeat: b, since: now}
 		}
-		if b.VM == k.options.Self && b.Revision > k.ownRevision {
-			k.ownRevision = b.Revision
+		if b.VM == t.options.Self && b.Revision > t.ownRevision {
+			t.ownRevision = b.Revision
 		}
 	}
-	for vm, b := range k.heartbeats {
+	for vm, b := range t.heartbeats {
 		if !at.IsZero() && !alive[vm] && b.Revision != 0 {
-			k.heartbeats[vm] = &heartbeat{Heartbeat: Heartbeat{VM: vm}, since: now}
+			t.heartbeats[vm] = &heartbeat{Heartbeat: Heartbeat{VM: vm}, since: now}
 		}
 	}
 }
 
 // observeRecord applies a record that was read from the store.
-func (k *OwnershipTracker) observeRecord(now time.Time, r Record) {
-	h := k.records[r.Endpoint]
+func (t *OwnershipTracker) observeRecord(now time.Time, r Record) {
+	h := t.records[r.Endpoint]
 	if h != nil && h.Revision >= r.Revision {
 		return
 	}
-	k.records[r.Endpoint] = &record{Record: r, since: now}
-	if k.inCurrentEpoch(r) && (r.Owner != k.options.Self || r.Released) {
-		delete(k.rights, r.Endpoint)
+	t.records[r.Endpoint] = &record{Record: r, since: now}
+	if t.inCurrentEpoch(r) && (r.Owner != t.options.Self || r.Released) {
+		delete(t.rights, r.Endpoint)
 	}
 }
 
 // inCurrentEpoch reports whether a record was written in the current epoch, and so names the
 // current owner.
-func (k *OwnershipTracker) inCurrentEpoch(r Record) bool { return r.Epoch == k.epoch }
+func (t *OwnershipTracker) inCurrentEpoch(r Record) bool { return r.Epoch == t.epoch }
 
 // earlierRightsExpired reports whether all rights from earlier epochs have expired.
-func (k *OwnershipTracker) earlierRightsExpired(now time.Time) bool {
-	return k.settled || k.synced && now.Sub(k.epochSince) >= k.takeoverWait()
+func (t *OwnershipTracker) earlierRightsExpired(now time.Time) bool {
+	return t.settled || t.synced && now.Sub(t.epochSince) >= t.takeoverWait()
 }
 
 // SetListed replaces the list of known endpoints.
-func (k *OwnershipTracker) SetListed(now time.Time, list []ggscore.Instance) {
+func (t *OwnershipTracker) SetListed(now time.Time, list []ggscore.Instance) {
 	listed := make(map[ggscore.EndpointID]bool, len(list))
 	for i := range list {
 		listed[list[i].ID] = true
 	}
-	for id, r := range k.records {
+	for id, r := range t.records {
 		switch {
 		case listed[id]:
 			r.unlistedSince = time.Time{}
--- a/core/ggsfencing/world_test.go
+++ b/core/ggsfencing/simulation_test.go
@@ -112,8 +112,8 @@
 }
 
 type vm struct {
-	id ggscore.VMID
-	k  *ggsfencing.OwnershipTracker
+	id      ggscore.VMID
+	tracker *ggsfencing.OwnershipTracker
 }
 
 func newSimulation(vms, endpoints int) *simulation {
@@ -122,7 +122,7 @@
 	}}
 	for i := range vms {
 		id := ggscore.VMID(fmt.Sprintf("vm-%d", i))
-		w.vms = append(w.vms, &vm{id: id, k: newTracker(id)})
+		w.vms = append(w.vms, &vm{id: id, tracker: newTracker(id)})
 	}
 	for i := range endpoints {
 		w.endpoints = append(w.endpoints, ggscore.Instance{ID: ggscore.EndpointID(fmt.Sprintf("runner-%d", i)), Domain: "d"})
@@ -171,15 +171,15 @@
 }
 
 func (w *simulation) heartbeat(v *vm, f outcome, late time.Duration) {
-	p, sent := v.k.NextHeartbeat(w.now), w.now
-	if _, ok := v.k.Epoch(); !ok {
+	p, sent := v.tracker.NextHeartbeat(w.now), w.now
+	if _, ok := v.tracker.Epoch(); !ok {
 		return
 	}
 	x := transaction{
 		epoch: p.Epoch, heartbeats: map[ggscore.VMID]ggscore.StoreRevision{v.id: p.Revision},
 		records: revisions(append(p.Drop, p.Records...)), heartbeat: v.id, drop: p.Drop, settle: p.MarkSettled,
 	}
-	w.store(f, late, x, func(at ggscore.StorePosition, ok bool) { v.k.HeartbeatAnswered(sent, p, at, !ok) })
+	w.store(f, late, x, func(at ggscore.StorePosition, ok bool) { v.tracker.HeartbeatAnswered(sent, p, at, !ok) })
 }
 
 func revisions(rs []ggsfencing.Record) map[ggscore.EndpointID]ggscore.StoreRevision {
@@ -192,7 +192,7 @@
 
 // claim writes a VM's claim with index n.
 func (w *simulation) claim(v *vm, n int, f outcome, late time.Duration) {
-	cs := v.k.Claims(w.now, w.endpoints)
+	cs := v.tracker.Claims(w.now, w.endpoints)
 	if n >= len(cs) {
 		return
 	}
@@ -207,7 +207,7 @@
 	}
 	w.store(f, late, x, func(at ggscore.StorePosition, ok bool) {
 		if ok {
-			v.k.ClaimAcknowledged(sent, c, at)
+			v.tracker.ClaimAcknowledged(sent, c, at)
 		}
 	})
 }
@@ -215,14 +215,14 @@
 // release stops a VM's orders and releases its records, as a planned stop does, and restarts
 // its process.
 func (w *simulation) release(v *vm, f outcome, late time.Duration) {
-	v.k.Stop()
-	p := v.k.NextHeartbeat(w.now)
+	v.tracker.Stop()
+	p := v.tracker.NextHeartbeat(w.now)
 	x := transaction{epoch: p.Epoch, heartbeats: map[ggscore.VMID]ggscore.StoreRevision{v.id: p.Revision}, records: revisions(p.Records)}
 	for _, r := range p.Records {
 		x.put = append(x.put, ggsfencing.Record{Endpoint: r.Endpoint, Owner: v.id, Released: true, Epoch: p.Epoch})
 	}
 	w.store(f, late, x, func(ggscore.StorePosition, bool) {})
-	v.k = newTracker(v.id)
+	v.tracker = newTracker(v.id)
 }
 
 // advance advances the time and applies the delayed writes that are due.
@@ -243,12 +243,12 @@
 // an earlier epoch.
 func (w *simulation) read(v *vm, back int) {
 	s := w.history[len(w.history)-1-min(back, len(w.history)-1)]
-	v.k.Observe(w.now, s.at(), s.reading())
+	v.tracker.Observe(w.now, s.at(), s.reading())
 }
 
 // order makes a VM send an order that arrives after the flight time, if the VM may send it.
 func (w *simulation) order(v *vm, id ggscore.EndpointID, flight time.Duration) {
-	if f, ok := v.k.AuthorizeOrder(w.now, id); ok {
+	if f, ok := v.tracker.AuthorizeOrder(w.now, id); ok {
 		w.orders = append(w.orders, order{at: w.now.Add(flight), endpoint: id, vm: v.id, fence: f})
 	}
 }
@@ -294,7 +294,7 @@
 		w.release(v, f, late)
 	case "restart":
 		if rapid.IntRange(0, 4).Draw(t, "confirm") == 0 {
-			v.k = newTracker(v.id)
+			v.tracker = newTracker(v.id)
 		}
 	case "restore":
 		if rapid.IntRange(0, 2).Draw(t, "confirm") == 0 {
--- a/core/ggsfencing/keeper.go
+++ b/core/ggsfencing/tracker.go
@@ -8,14 +8,14 @@
 //
 // # Usage
 //
-//	k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, MinOrderGap: 3 * time.Second})
-//	k.Observe(now, at, reading)                  // each reading of the store
-//	k.SetListed(now, endpoints)                  // each reading of the list of endpoints
-//	k.SetReachable(vms)                          // VMs whose gossip heartbeats arrive
-//	p := k.NextHeartbeat(now)                    // write it to the store under p's conditions
-//	k.HeartbeatAnswered(sent, p, at, refused)
-//	for _, c := range k.Claims(now, ready) { … k.ClaimAcknowledged(sent, c, at) }
-//	fence, ok := k.AuthorizeOrder(now, endpoint) // immediately before each order
+//	t := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, MinOrderGap: 3 * time.Second})
+//	t.Observe(now, at, reading)                  // each reading of the store
+//	t.SetListed(now, endpoints)                  // each reading of the list of endpoints
+//	t.SetReachable(vms)                          // VMs whose gossip heartbeats arrive
+//	p := t.NextHeartbeat(now)                    // write it to the store under p's conditions
+//	t.HeartbeatAnswered(sent, p, at, refused)
+//	for _, c := range t.Claims(now, ready) { … t.ClaimAcknowledged(sent, c, at) }
+//	fence, ok := t.AuthorizeOrder(now, endpoint) // immediately before each order
 //
 // An ownership record in the store names the VM that sends orders to an endpoint. Each VM
 // writes its own heartbeat under the condition that its records are unchanged. It sends orders
@@ -213,23 +213,23 @@
 
 // takeoverWait is the time after which a right has expired and its last order is at least
 // MinOrderGap old.
-func (k *OwnershipTracker) takeoverWait() time.Duration {
-	return k.options.Validity + k.options.MinOrderGap + k.options.Margin
+func (t *OwnershipTracker) takeoverWait() time.Duration {
+	return t.options.Validity + t.options.MinOrderGap + t.options.Margin
 }
 
 // NextHeartbeat returns the next heartbeat to write. The heartbeat's transaction deletes the
 // records of removed endpoints. Otherwise those records would exhaust the transaction's
 // conditions as endpoints come and go, until the store refused every heartbeat and no endpoint
 // got orders.
-func (k *OwnershipTracker) NextHeartbeat(now time.Time) HeartbeatPlan {
-	p := HeartbeatPlan{Epoch: k.epoch, Revision: k.ownRevision, MarkSettled: k.synced && k.storedSettled != k.epoch && k.earlierRightsExpired(now)}
-	for _, r := range k.records {
-		removed := !r.unlistedSince.IsZero() && now.Sub(r.unlistedSince) >= k.options.RecordRetention
+func (t *OwnershipTracker) NextHeartbeat(now time.Time) HeartbeatPlan {
+	p := HeartbeatPlan{Epoch: t.epoch, Revision: t.ownRevision, MarkSettled: t.synced && t.storedSettled != t.epoch && t.earlierRightsExpired(now)}
+	for _, r := range t.records {
+		removed := !r.unlistedSince.IsZero() && now.Sub(r.unlistedSince) >= t.options.RecordRetention
 		switch {
-		case r.Owner != k.options.Self || r.Released:
+		case r.Owner != t.options.Self || r.Released:
 		case removed && len(p.Drop) < maxDrops:
 			p.Drop = append(p.Drop, r.Record)
-		case !removed && k.inCurrentEpoch(r.Record):
+		case !removed && t.inCurrentEpoch(r.Record):
 			p.Records = append(p.Records, r.Record)
 		}
 	}
@@ -241,41 +241,41 @@
 // After a refusal, the caller has to read the store again. Another VM may own one of the
 // heartbeat's records by then, so no order is sent for any of them until a later heartbeat is
 // acknowledged.
-func (k *OwnershipTracker) HeartbeatAnswered(sent time.Time, p HeartbeatPlan, at ggscore.StorePosition, refused bool) {
-	if p.Epoch != k.epoch || at.Epoch != k.epoch {
+func (t *OwnershipTracker) HeartbeatAnswered(sent time.Time, p HeartbeatPlan, at ggscore.StorePosition, refused bool) {
+	if p.Epoch != t.epoch || at.Epoch != t.epoch {
 		return
 	}
 	for _, r := range p.Records {
-		h := k.records[r.Endpoint]
+		h := t.records[r.Endpoint]
 		if h == nil || h.Revision != r.Revision {
 			continue
 		}
 		if refused {
-			delete(k.rights, r.Endpoint)
+			delete(t.rights, r.Endpoint)
 			continue
 		}
-		k.extend(sent, r)
+		t.extend(sent, r)
 	}
 	if refused {
 		return
 	}
 	for _, r := range p.Drop {
-		delete(k.records, r.Endpoint)
-		delete(k.rights, r.Endpoint)
+		delete(t.records, r.Endpoint)
+		delete(t.rights, r.Endpoint)
 	}
-	k.ownRevision = max(k.ownRevision, at.Revision)
+	t.ownRevision = max(t.ownRevision, at.Revision)
 	if p.MarkSettled {
-		k.storedSettled = p.Epoch
+		t.storedSettled = p.Epoch
 	}
 }
 
 // extend extends the right for a record to Validity after its heartbeat or claim was sent.
-func (k *OwnershipTracker) extend(sent time.Time, r Record) {
-	until := sent.Add(k.options.Validity)
-	if o := k.rights[r.Endpoint]; o.until.After(until) {
+func (t *OwnershipTracker) extend(sent time.Time, r Record) {
+	until := sent.Add(t.options.Validity)
+	if o := t.rights[r.Endpoint]; o.until.After(until) {
 		until = o.until
 	}
-	k.rights[r.Endpoint] = right{until: until, fence: fence(r)}
+	t.rights[r.Endpoint] = right{until: until, fence: fence(r)}
 }
 
 // epochShift reserves the lower half of a fencing token for the record's revision.
@@ -288,9 +288,9 @@
 }
 
 // OwnsAny reports whether this VM owns any endpoint.
-func (k *OwnershipTracker) OwnsAny() bool {
-	for _, r := range k.records {
-		if r.Owner == k.options.Self && !r.Released && k.inCurrentEpoch(r.Record) {
+func (t *OwnershipTracker) OwnsAny() bool {
+	for _, r := range t.records {
+		if r.Owner == t.options.Self && !r.Released && t.inCurrentEpoch(r.Record) {
 			return true
 		}
 	}
@@ -299,8 +299,8 @@
 
 // AuthorizeOrder returns the fencing token for an order to the endpoint, and whether this VM may
 // send the order now.
-func (k *OwnershipTracker) AuthorizeOrder(now time.Time, id ggscore.EndpointID) (ggscore.FencingToken, bool) {
-	r, ok := k.rights[id]
+func (t *OwnershipTracker) AuthorizeOrder(now time.Time, id ggscore.EndpointID) (ggscore.FencingToken, bool) {
+	r, ok := t.rights[id]
 	if !ok || !now.Before(r.until) {
 		return 0, false
 	}
@@ -308,9 +308,9 @@
 }
 
 // Records returns all known ownership records.
-func (k *OwnershipTracker) Records() []Record {
-	rs := make([]Record, 0, len(k.records))
-	for _, r := range k.records {
+func (t *OwnershipTracker) Records() []Record {
+	rs := make([]Record, 0, len(t.records))
+	for _, r := range t.records {
 		rs = append(rs, r.Record)
 	}
 	return rs
@@ -318,16 +318,16 @@
 
 // Owner returns the endpoint's owner, empty if there is none. In a new epoch it is the owner
 // from the previous epoch until a record of the new epoch exists.
-func (k *OwnershipTracker) Owner(id ggscore.EndpointID) ggscore.VMID {
-	r := k.records[id]
+func (t *OwnershipTracker) Owner(id ggscore.EndpointID) ggscore.VMID {
+	r := t.records[id]
 	switch {
-	case r != nil && (k.inCurrentEpoch(r.Record) || !k.synced):
+	case r != nil && (t.inCurrentEpoch(r.Record) || !t.synced):
 		if r.Released {
 			return ""
 		}
 		return r.Owner
-	case k.previousOwners[id] != "":
-		return k.previousOwners[id]
+	case t.previousOwners[id] != "":
+		return t.previousOwners[id]
 	case r != nil && !r.Released:
 		return r.Owner
 	}
@@ -335,10 +335,10 @@
 }
 
 // Epoch returns the epoch of the last reading, and whether the store has been read.
-func (k *OwnershipTracker) Epoch() (ggscore.StoreEpoch, bool) { return k.epoch, k.synced }
+func (t *OwnershipTracker) Epoch() (ggscore.StoreEpoch, bool) { return t.epoch, t.synced }
 
 // Stop revokes all rights of this VM to send orders. A caller that then releases the records
 // must write them under the conditions of NextHeartbeat. Without those conditions, a release
 // that takes effect after the first heartbeat of the VM's next process would let two VMs send
 // orders.
-func (k *OwnershipTracker) Stop() { clear(k.rights) }
+func (t *OwnershipTracker) Stop() { clear(t.rights) }
--- a/core/ggsfencing/keeper_test.go
+++ b/core/ggsfencing/tracker_test.go
@@ -32,27 +32,27 @@
 
 // owner returns the tracker of a VM that owns the runner.
 func owner(c *qt.C) *ggsfencing.OwnershipTracker {
-	k := newTracker("a")
-	k.Observe(at(0), position(1), ggsfencing.Reading{})
-	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(5), false)
-	cs := k.Claims(at(ggsfencing.DefaultClaimDelay), instances())
+	o := newTracker("a")
+	o.Observe(at(0), position(1), ggsfencing.Reading{})
+	o.HeartbeatAnswered(at(0), o.NextHeartbeat(at(0)), position(5), false)
+	cs := o.Claims(at(ggsfencing.DefaultClaimDelay), instances())
 	c.Assert(cs, qt.HasLen, 1)
-	k.ClaimAcknowledged(at(2*time.Second), cs[0], position(10))
-	return k
+	o.ClaimAcknowledged(at(2*time.Second), cs[0], position(10))
+	return o
 }
 
 func TestOrdersEndWithoutHeartbeats(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := owner(c)
-	fence, ok := k.AuthorizeOrder(at(2*time.Second), runner)
+	o := owner(c)
+	fence, ok := o.AuthorizeOrder(at(2*time.Second), runner)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(fence, qt.Equals, ggscore.FencingToken(10))
 
-	k.HeartbeatAnswered(at(4*time.Second), k.NextHeartbeat(at(0)), position(11), false)
-	_, ok = k.AuthorizeOrder(at(4*time.Second+ggsfencing.DefaultValidity-1), runner)
+	o.HeartbeatAnswered(at(4*time.Second), o.NextHeartbeat(at(0)), position(11), false)
+	_, ok = o.AuthorizeOrder(at(4*time.Second+ggsfencing.DefaultValidity-1), runner)
 	c.Assert(ok, qt.IsTrue)
-	_, ok = k.AuthorizeOrder(at(4*time.Second+ggsfencing.DefaultValidity), runner)
+	_, ok = o.AuthorizeOrder(at(4*time.Second+ggsfencing.DefaultValidity), runner)
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -62,9 +62,9 @@
 func TestRefusedHeartbeatEndsOrdersAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := owner(c)
-	k.HeartbeatAnswered(at(4*time.Second), k.NextHeartbeat(at(0)), position(0), true)
-	_, ok := k.AuthorizeOrder(at(4*time.Second), runner)
+	o := owner(c)
+	o.HeartbeatAnswered(at(4*time.Second), o.NextHeartbeat(at(0)), position(0), true)
+	_, ok := o.AuthorizeOrder(at(4*time.Second), runner)
 	c.Assert(ok, qt.IsFalse)
 }
 
@@ -74,32 +74,32 @@
 func TestTakeoverWaitsForTheOwnersRightToExpire(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := newTracker("b")
+	o := newTracker("b")
 	records := []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}}
 	heartbeats := []ggsfencing.Heartbeat{{VM: "a", Domain: "d", Revision: 20}}
-	k.Observe(at(0), position(30), ggsfencing.Reading{Records: records, Heartbeats: heartbeats})
-	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(31), false)
-	c.Assert(k.Claims(at(takeoverWait-1), instances()), qt.HasLen, 0)
+	o.Observe(at(0), position(30), ggsfencing.Reading{Records: records, Heartbeats: heartbeats})
+	o.HeartbeatAnswered(at(0), o.NextHeartbeat(at(0)), position(31), false)
+	c.Assert(o.Claims(at(takeoverWait-1), instances()), qt.HasLen, 0)
 
-	cs := k.Claims(at(takeoverWait), instances())
+	cs := o.Claims(at(takeoverWait), instances())
 	c.Assert(cs, qt.DeepEquals, []ggsfencing.Claim{
 		{Endpoint: runner, RecordRevision: 10, Owner: "a", OwnerRevision: 20},
 	})
 
 	heartbeats[0].Revision = 32
-	k.Observe(at(takeoverWait), position(33), ggsfencing.Reading{Records: records, Heartbeats: heartbeats})
-	c.Assert(k.Claims(at(takeoverWait), instances()), qt.HasLen, 0)
+	o.Observe(at(takeoverWait), position(33), ggsfencing.Reading{Records: records, Heartbeats: heartbeats})
+	c.Assert(o.Claims(at(takeoverWait), instances()), qt.HasLen, 0)
 }
 
 func TestReleasedRecordIsClaimedAfterMinOrderGap(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := newTracker("b")
-	k.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
-	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(31), false)
-	c.Assert(k.Claims(at(minOrderGap), instances()), qt.HasLen, 0)
-	c.Assert(k.Claims(at(minOrderGap+ggsfencing.DefaultMargin), instances()), qt.HasLen, 1)
-	c.Assert(k.Owner(runner), qt.Equals, ggscore.VMID(""))
+	o := newTracker("b")
+	o.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
+	o.HeartbeatAnswered(at(0), o.NextHeartbeat(at(0)), position(31), false)
+	c.Assert(o.Claims(at(minOrderGap), instances()), qt.HasLen, 0)
+	c.Assert(o.Claims(at(minOrderGap+ggsfencing.DefaultMargin), instances()), qt.HasLen, 1)
+	c.Assert(o.Owner(runner), qt.Equals, ggscore.VMID(""))
 }
 
 // Guards against a rolling restart that leaves endpoints without orders for four seconds. Each
@@ -107,14 +107,14 @@
 func TestOwnReleasedRecordIsClaimedAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := newTracker("a")
-	k.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
-	c.Assert(k.Claims(at(0), instances()), qt.HasLen, 0, qt.Commentf("no heartbeat yet"))
-	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(31), false)
-	cs := k.Claims(at(0), instances())
+	o := newTracker("a")
+	o.Observe(at(0), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Released: true, Revision: 10}}})
+	c.Assert(o.Claims(at(0), instances()), qt.HasLen, 0, qt.Commentf("no heartbeat yet"))
+	o.HeartbeatAnswered(at(0), o.NextHeartbeat(at(0)), position(31), false)
+	cs := o.Claims(at(0), instances())
 	c.Assert(cs, qt.DeepEquals, []ggsfencing.Claim{{Endpoint: runner, RecordRevision: 10}})
-	k.ClaimAcknowledged(at(0), cs[0], position(32))
-	_, ok := k.AuthorizeOrder(at(0), runner)
+	o.ClaimAcknowledged(at(0), cs[0], position(32))
+	_, ok := o.AuthorizeOrder(at(0), runner)
 	c.Assert(ok, qt.IsTrue)
 }
 
@@ -123,19 +123,19 @@
 func TestRestartedOwnerKeepsItsRecords(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := newTracker("a")
-	k.Observe(at(0), position(30), ggsfencing.Reading{
+	o := newTracker("a")
+	o.Observe(at(0), position(30), ggsfencing.Reading{
 		Records:    []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}},
 		Heartbeats: []ggsfencing.Heartbeat{{VM: "a", Domain: "d", Revision: 20}},
 	})
-	_, ok := k.AuthorizeOrder(at(0), runner)
+	_, ok := o.AuthorizeOrder(at(0), runner)
 	c.Assert(ok, qt.IsFalse)
-	p := k.NextHeartbeat(at(0))
+	p := o.NextHeartbeat(at(0))
 	c.Assert(p, qt.DeepEquals, ggsfencing.HeartbeatPlan{
 		Revision: 20, Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}},
 	})
-	k.HeartbeatAnswered(at(0), p, position(31), false)
-	fence, ok := k.AuthorizeOrder(at(0), runner)
+	o.HeartbeatAnswered(at(0), p, position(31), false)
+	fence, ok := o.AuthorizeOrder(at(0), runner)
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(fence, qt.Equals, ggscore.FencingToken(10))
 }
@@ -146,18 +146,18 @@
 func TestRecordsOfRemovedEndpointsAreDeleted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := owner(c)
-	k.SetListed(at(0), instances())
-	c.Assert(k.NextHeartbeat(at(time.Hour)).Records, qt.HasLen, 1)
-	k.SetListed(at(time.Hour), nil)
-	p := k.NextHeartbeat(at(time.Hour + ggsfencing.DefaultRecordRetention - 1))
+	o := owner(c)
+	o.SetListed(at(0), instances())
+	c.Assert(o.NextHeartbeat(at(time.Hour)).Records, qt.HasLen, 1)
+	o.SetListed(at(time.Hour), nil)
+	p := o.NextHeartbeat(at(time.Hour + ggsfencing.DefaultRecordRetention - 1))
 	c.Assert(p.Records, qt.HasLen, 1)
 	c.Assert(p.Drop, qt.HasLen, 0)
-	p = k.NextHeartbeat(at(time.Hour + ggsfencing.DefaultRecordRetention))
+	p = o.NextHeartbeat(at(time.Hour + ggsfencing.DefaultRecordRetention))
 	c.Assert(p.Records, qt.HasLen, 0)
 	c.Assert(p.Drop, qt.DeepEquals, []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}})
-	k.HeartbeatAnswered(at(time.Hour+ggsfencing.DefaultRecordRetention), p, position(40), false)
-	c.Assert(k.Records(), qt.HasLen, 0)
+	o.HeartbeatAnswered(at(time.Hour+ggsfencing.DefaultRecordRetention), p, position(40), false)
+	c.Assert(o.Records(), qt.HasLen, 0)
 }
 
 // Guards against a heartbeat with too many conditions when few VMs are left for many
@@ -165,19 +165,19 @@
 func TestClaimsAreBounded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := newTracker("a")
-	k.Observe(at(0), position(1), ggsfencing.Reading{})
-	k.HeartbeatAnswered(at(0), k.NextHeartbeat(at(0)), position(5), false)
+	o := newTracker("a")
+	o.Observe(at(0), position(1), ggsfencing.Reading{})
+	o.HeartbeatAnswered(at(0), o.NextHeartbeat(at(0)), position(5), false)
 	var ready []ggscore.Instance
 	for i := range 100 {
 		ready = append(ready, ggscore.Instance{ID: ggscore.EndpointID(rune('a' + i)), Domain: "d"})
 	}
 	now := at(ggsfencing.DefaultClaimDelay)
-	for n, cl := range k.Claims(now, ready) {
-		k.ClaimAcknowledged(now, cl, position(ggscore.StoreRevision(10+n)))
+	for n, cl := range o.Claims(now, ready) {
+		o.ClaimAcknowledged(now, cl, position(ggscore.StoreRevision(10+n)))
 	}
-	c.Assert(k.NextHeartbeat(now).Records, qt.HasLen, ggsfencing.DefaultMaxRecords)
-	c.Assert(k.Claims(now, ready), qt.HasLen, 0)
+	c.Assert(o.NextHeartbeat(now).Records, qt.HasLen, ggsfencing.DefaultMaxRecords)
+	c.Assert(o.Claims(now, ready), qt.HasLen, 0)
 }
 
 // Guards against a stale reading that arrives after a newer one and restores an owner that
@@ -185,10 +185,10 @@
 func TestOlderReadingIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := newTracker("b")
-	k.Observe(at(0), position(40), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "c", Revision: 35}}})
-	k.Observe(at(1), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}}})
-	c.Assert(k.Owner(runner), qt.Equals, ggscore.VMID("c"))
+	o := newTracker("b")
+	o.Observe(at(0), position(40), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "c", Revision: 35}}})
+	o.Observe(at(1), position(30), ggsfencing.Reading{Records: []ggsfencing.Record{{Endpoint: runner, Owner: "a", Revision: 10}}})
+	c.Assert(o.Owner(runner), qt.Equals, ggscore.VMID("c"))
 }
 
 // Guards against new endpoints that every VM claims, so that nine claims in ten fail. An
@@ -205,13 +205,13 @@
 	reachable := []ggscore.VMID{"a", "b", "far"}
 	claims := 0
 	for _, vm := range vms {
-		k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm.VM, Domain: vm.Domain, MinOrderGap: minOrderGap})
-		k.Observe(at(0), position(10), ggsfencing.Reading{Heartbeats: vms})
-		k.SetReachable(reachable)
+		o := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm.VM, Domain: vm.Domain, MinOrderGap: minOrderGap})
+		o.Observe(at(0), position(10), ggsfencing.Reading{Heartbeats: vms})
+		o.SetReachable(reachable)
 		if vm.VM == "gone" {
 			continue
 		}
-		n := len(k.Claims(at(ggsfencing.DefaultClaimDelay), instances()))
+		n := len(o.Claims(at(ggsfencing.DefaultClaimDelay), instances()))
 		if vm.Domain != "d" {
 			c.Assert(n, qt.Equals, 0, qt.Commentf("%s", vm.VM))
 		}
@@ -238,10 +238,10 @@
 		ready = append(ready, ggscore.Instance{ID: ggscore.EndpointID(fmt.Sprintf("r%d", i)), Domain: "d"})
 	}
 	claims := func(vm ggscore.VMID, most int, records []ggsfencing.Record) int {
-		k := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, Domain: "d", MinOrderGap: minOrderGap, MaxRecords: most})
-		k.Observe(at(0), position(10), ggsfencing.Reading{Records: records, Heartbeats: vms})
-		k.SetReachable(reachable)
-		return len(k.Claims(at(ggsfencing.DefaultClaimDelay), ready))
+		o := ggsfencing.NewOwnershipTracker(ggsfencing.Options{Self: vm, Domain: "d", MinOrderGap: minOrderGap, MaxRecords: most})
+		o.Observe(at(0), position(10), ggsfencing.Reading{Records: records, Heartbeats: vms})
+		o.SetReachable(reachable)
+		return len(o.Claims(at(ggsfencing.DefaultClaimDelay), ready))
 	}
 	c.Assert(claims("wide", endpoints, nil) >= endpoints/2, qt.IsTrue)
 
@@ -261,12 +261,12 @@
 func TestRecordsOfAnEarlierEpochAreDeleted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	k := newTracker("a")
+	o := newTracker("a")
 	copied := ggsfencing.Record{Endpoint: runner, Owner: "a", Epoch: 1, Revision: 10}
-	k.Observe(at(0), ggscore.StorePosition{Epoch: 2, Revision: 20}, ggsfencing.Reading{Records: []ggsfencing.Record{copied}})
-	k.SetListed(at(0), nil)
-	c.Check(k.NextHeartbeat(at(ggsfencing.DefaultRecordRetention-1)).Drop, qt.HasLen, 0)
-	p := k.NextHeartbeat(at(ggsfencing.DefaultRecordRetention))
+	o.Observe(at(0), ggscore.StorePosition{Epoch: 2, Revision: 20}, ggsfencing.Reading{Records: []ggsfencing.Record{copied}})
+	o.SetListed(at(0), nil)
+	c.Check(o.NextHeartbeat(at(ggsfencing.DefaultRecordRetention-1)).Drop, qt.HasLen, 0)
+	p := o.NextHeartbeat(at(ggsfencing.DefaultRecordRetention))
 	c.Check(p.Records, qt.HasLen, 0)
 	c.Check(p.Drop, qt.DeepEquals, []ggsfencing.Record{copied})
 }
