--- a/core/ggsclaim/model_test.go
+++ b/core/ggsclaim/model_test.go
@@ -109,7 +109,7 @@
 }
 
 // print formats the history with one operation a line.
-func (w *world) print() string {
+func (w *simulation) print() string {
 	var b strings.Builder
 	for _, o := range w.history {
 		i, out := o.Input.(input), o.Output.(output)
--- a/core/ggsclaim/world_test.go
+++ b/core/ggsclaim/simulation_test.go
@@ -31,9 +31,9 @@
 	grant    Grant
 }
 
-// world simulates one shard of the platform's key-value service and the processes that
+// simulation simulates one shard of the platform's key-value service and the processes that
 // claim keys in it. Every action is one event, so a seed reproduces a run.
-type world struct {
+type simulation struct {
 	now       time.Time
 	limits    Limits
 	shard     Shard
@@ -49,8 +49,8 @@
 	runs      map[KeyHash]int
 }
 
-func newWorld(n int) *world {
-	w := &world{
+func newSimulation(n int) *simulation {
+	w := &simulation{
 		now:      time.Unix(1_800_000_000, 0),
 		limits:   DefaultLimits(time.Hour),
 		attempts: map[OpID]*attempt{},
@@ -62,16 +62,16 @@
 	return w
 }
 
-func (w *world) tick() int64 {
+func (w *simulation) tick() int64 {
 	w.clock++
 	return w.clock
 }
 
-func (w *world) key(n byte) Key {
+func (w *simulation) key(n byte) Key {
 	return Key{Hash: KeyHash{n}, Issued: time.Unix(1_800_000_000, 0)}
 }
 
-func (w *world) begin(p int, key, body byte) OpID {
+func (w *simulation) begin(p int, key, body byte) OpID {
 	w.lastOp++
 	var id ClaimID
 	binary.BigEndian.PutUint64(id[:], uint64(w.lastOp))
@@ -82,7 +82,7 @@
 	return w.lastOp
 }
 
-func (w *world) finish(p int, a *attempt, s State) {
+func (w *simulation) finish(p int, a *attempt, s State) {
 	w.lastOp++
 	in := input{key: a.in.key, claim: a.in.claim, finish: s}
 	w.attempts[w.lastOp] = &attempt{in: in, process: p, call: w.tick()}
@@ -90,7 +90,7 @@
 }
 
 // startIO starts a process's next I/O if it has none in flight.
-func (w *world) startIO(p int) {
+func (w *simulation) startIO(p int) {
 	pr := w.processes[p]
 	if pr.step.Kind == StepIdle {
 		pr.step = pr.writer.Next(w.now)
@@ -107,7 +107,7 @@
 )
 
 // finishIO finishes a process's I/O.
-func (w *world) finishIO(p, how int) {
+func (w *simulation) finishIO(p, how int) {
 	pr := w.processes[p]
 	step := pr.step
 	pr.step = Step{}
@@ -132,7 +132,7 @@
 	w.collect(p)
 }
 
-func (w *world) put(s Shard, prev ggscore.StoreRevision) bool {
+func (w *simulation) put(s Shard, prev ggscore.StoreRevision) bool {
 	if prev != w.revision {
 		return false
 	}
@@ -142,13 +142,13 @@
 }
 
 // applyDelayed lets a delayed write reach the service.
-func (w *world) applyDelayed(i int) {
+func (w *simulation) applyDelayed(i int) {
 	d := w.delayed[i]
 	w.delayed = append(w.delayed[:i:i], w.delayed[i+1:]...)
 	w.put(d.next, d.prev)
 }
 
-func (w *world) collect(p int) {
+func (w *simulation) collect(p int) {
 	for _, s := range w.processes[p].writer.Settled() {
 		a := w.attempts[s.Op]
 		w.answer(a, s.Decision)
@@ -159,7 +159,7 @@
 	}
 }
 
-func (w *world) answer(a *attempt, d Decision) {
+func (w *simulation) answer(a *attempt, d Decision) {
 	a.answered = true
 	w.history = append(w.history, porcupine.Operation{
 		Input: a.in, Call: a.call, Output: output{kind: d.Kind, state: d.State}, Return: w.tick(),
@@ -170,19 +170,19 @@
 	}
 }
 
-func (w *world) recordPossibleRelease(a *attempt) {
+func (w *simulation) recordPossibleRelease(a *attempt) {
 	in := input{key: a.in.key, claim: a.in.claim, finish: StateReleased}
 	w.history = append(w.history, porcupine.Operation{Input: in, Call: w.tick(), Output: output{}, Return: 1 << 60})
 }
 
-func (w *world) cancel(op OpID) {
+func (w *simulation) cancel(op OpID) {
 	a := w.attempts[op]
 	w.processes[a.process].writer.Cancel(op)
 	w.answer(a, Decision{Kind: DecisionUnavailable})
 }
 
 // crash discards the state of a process; its write may still take effect.
-func (w *world) crash(p int) {
+func (w *simulation) crash(p int) {
 	pr := w.processes[p]
 	if pr.step.Kind == StepWrite {
 		w.delayed = append(w.delayed, delayedWrite{next: pr.step.Next, prev: pr.step.Prev})
@@ -197,12 +197,12 @@
 
 // recordLost ends an attempt without an answer: it may have taken effect or may still
 // do so.
-func (w *world) recordLost(a *attempt) {
+func (w *simulation) recordLost(a *attempt) {
 	a.answered = true
 	w.history = append(w.history, porcupine.Operation{Input: a.in, Call: a.call, Output: output{}, Return: 1 << 60})
 }
 
-func (w *world) recordAllLost() {
+func (w *simulation) recordAllLost() {
 	for _, a := range w.attempts {
 		if !a.answered {
 			w.recordLost(a)
@@ -211,7 +211,7 @@
 }
 
 // dispatch runs the request of a grant, or releases the grant unused.
-func (w *world) dispatch(t *rapid.T, i int, run bool) {
+func (w *simulation) dispatch(t *rapid.T, i int, run bool) {
 	a := w.granted[i]
 	w.granted = append(w.granted[:i:i], w.granted[i+1:]...)
 	if !run {
--- a/core/ggsclaim/writer_test.go
+++ b/core/ggsclaim/writer_test.go
@@ -17,7 +17,7 @@
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(3)
+		w := newSimulation(3)
 		names, act := actions(w)
 		for range rapid.IntRange(100, 200).Draw(t, "steps") {
 			act[rapid.SampledFrom(names).Draw(t, "action")](t)
@@ -31,7 +31,7 @@
 
 // actions returns the actions by name, and the names repeated according to their
 // weight.
-func actions(w *world) ([]string, map[string]func(*rapid.T)) {
+func actions(w *simulation) ([]string, map[string]func(*rapid.T)) {
 	process := rapid.IntRange(0, len(w.processes)-1)
 	act := map[string]func(*rapid.T){
 		"begin": func(t *rapid.T) {
@@ -70,7 +70,7 @@
 }
 
 // open returns the claims that have no answer yet.
-func (w *world) open() []OpID {
+func (w *simulation) open() []OpID {
 	var open []OpID
 	for op := OpID(1); op <= w.lastOp; op++ {
 		if a := w.attempts[op]; !a.answered && a.in.finish == 0 {
@@ -81,21 +81,21 @@
 }
 
 // settle runs a process without faults until it needs no I/O.
-func (w *world) settle(p int) {
+func (w *simulation) settle(p int) {
 	for w.startIO(p); w.processes[p].step.Kind != StepIdle; w.startIO(p) {
 		w.finishIO(p, endAnswered)
 	}
 }
 
 // claimAndSettle claims key 1 by a process, without faults, and returns the answer.
-func (w *world) claimAndSettle(p int) output {
+func (w *simulation) claimAndSettle(p int) output {
 	w.begin(p, 1, 1)
 	w.settle(p)
 	return w.lastAnswer()
 }
 
 // beginWrite claims key 1 by the first process, up to the start of the claim's write.
-func (w *world) beginWrite() OpID {
+func (w *simulation) beginWrite() OpID {
 	op := w.begin(0, 1, 1)
 	w.startIO(0)
 	w.finishIO(0, endAnswered)
@@ -104,7 +104,7 @@
 }
 
 // lastAnswer returns the last answer to a claim.
-func (w *world) lastAnswer() output {
+func (w *simulation) lastAnswer() output {
 	return w.history[len(w.history)-1].Output.(output)
 }
 
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			w := newWorld(1)
+			w := newSimulation(1)
 			w.beginWrite()
 			w.finishIO(0, how)
 			w.settle(0)
@@ -138,7 +138,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			w := newWorld(2)
+			w := newSimulation(2)
 			op := w.beginWrite()
 			w.finishIO(0, endLostBeforeEffect)
 			w.cancel(op)
@@ -159,7 +159,7 @@
 func TestCancelledClaimInFlightIsReleased(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
+	w := newSimulation(2)
 	op := w.beginWrite()
 	w.cancel(op)
 	w.finishIO(0, endAnswered)
@@ -172,7 +172,7 @@
 func TestClaimBeforeOutageIsReleased(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
+	w := newSimulation(2)
 	w.beginWrite()
 	w.finishIO(0, endLostAfterEffect)
 	w.startIO(0)
@@ -190,7 +190,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := qt.New(t)
-			w := newWorld(2)
+			w := newSimulation(2)
 			w.claimAndSettle(0)
 			first := w.granted[0]
 			w.finish(0, first, StateReleased)
@@ -214,7 +214,7 @@
 func TestUnknownOutcomeIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
+	w := newSimulation(2)
 	w.claimAndSettle(0)
 	w.finish(0, w.granted[0], StateUnknown)
 	w.settle(0)
@@ -227,7 +227,7 @@
 func TestReleaseWithLostAnswer(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
+	w := newSimulation(2)
 	w.claimAndSettle(0)
 	w.finish(0, w.granted[0], StateReleased)
 	w.startIO(0)
@@ -243,7 +243,7 @@
 func TestLateGrantIsRefused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	w.beginWrite()
 	w.now = w.now.Add(2 * w.limits.Retention)
 	w.finishIO(0, endAnswered)
@@ -257,7 +257,7 @@
 func TestClaimOfCrashedHolderBecomesUnknown(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(2)
+	w := newSimulation(2)
 	w.claimAndSettle(0)
 	c.Assert(w.granted, qt.HasLen, 1)
 	w.crash(0)
@@ -271,7 +271,7 @@
 func TestClaimsAreBatchedIntoOneWrite(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	w := newWorld(1)
+	w := newSimulation(1)
 	w.beginWrite()
 	for key := byte(2); key < 100; key++ {
 		w.begin(0, key, 1)
