--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -76,47 +76,47 @@
 
 // DeleteEnded processes the result of an OrderDelete. The unit stays released whatever the
 // result is, since it was released before the order was returned.
-func (s *Borrower) DeleteEnded(now time.Time, u Unit, res Result) []Order {
-	s.unitState(u).inFlight = false
-	s.mayHaveUnknownRecord = s.mayHaveUnknownRecord || res == ResultUnknown
-	return s.Tick(now)
+func (b *Borrower) DeleteEnded(now time.Time, u Unit, res Result) []Order {
+	b.unitState(u).inFlight = false
+	b.mayHaveUnknownRecord = b.mayHaveUnknownRecord || res == ResultUnknown
+	return b.Tick(now)
 }
 
 // ListFailed processes the failure of an OrderList.
-func (s *Borrower) ListFailed(now time.Time) {
-	s.listInFlight = false
-	s.backOff(now)
+func (b *Borrower) ListFailed(now time.Time) {
+	b.listInFlight = false
+	b.backOff(now)
 }
 
 // Listed processes the answer to an OrderList.
-func (s *Borrower) Listed(now time.Time, records []Record) []Order {
-	s.listInFlight = false
-	s.mayHaveUnknownRecord = false
+func (b *Borrower) Listed(now time.Time, records []Record) []Order {
+	b.listInFlight = false
+	b.mayHaveUnknownRecord = false
 	taken := map[Unit]bool{}
-	holders := map[ggscore.LeaseID]bool{s.lease.ID: true}
+	holders := map[ggscore.LeaseID]bool{b.lease.ID: true}
 	orders := []Order{}
 	for _, r := range records {
 		taken[r.Unit] = true
 		holders[r.Lease] = holders[r.Lease] || r.Unit != WaitMarker
-		s.adopt(now, r)
-		orders = append(orders, s.deleteReleased(r)...)
+		b.adopt(now, r)
+		orders = append(orders, b.deleteReleased(r)...)
 	}
-	orders = append(orders, s.borrow(now, taken)...)
-	if s.shortfall(now) > 0 {
-		s.backOff(now)
-		orders = append(orders, s.requestTurn(taken, len(holders))...)
+	orders = append(orders, b.borrow(now, taken)...)
+	if b.shortfall(now) > 0 {
+		b.backOff(now)
+		orders = append(orders, b.requestTurn(taken, len(holders))...)
 	}
-	orders = append(orders, s.yield(now, taken[WaitMarker], len(holders))...)
-	if s.demand <= s.staticUnits() && s.idleAt.IsZero() && len(s.heldUnits()) > 0 {
-		s.idleAt = now.Add(idleTimeout)
+	orders = append(orders, b.yield(now, taken[WaitMarker], len(holders))...)
+	if b.demand <= b.staticUnits() && b.idleAt.IsZero() && len(b.heldUnits()) > 0 {
+		b.idleAt = now.Add(idleTimeout)
 	}
 	return orders
 }
 
 // Next returns when to call Tick next, or the zero time if no call is needed.
-func (s *Borrower) Next() time.Time {
+func (b *Borrower) Next() time.Time {
 	next := time.Time{}
-	for _, t := range []time.Time{s.growsAt, s.idleAt, s.nextAttempt, s.nextTurnEnd(), s.lease.Expires} {
+	for _, t := range []time.Time{b.growsAt, b.idleAt, b.nextAttempt, b.nextTurnEnd(), b.lease.Expires} {
 		if !t.IsZero() && (next.IsZero() || t.Before(next)) {
 			next = t
 		}
@@ -130,60 +130,60 @@
 // The answer may arrive when the lease of the record has expired and the VM holds another one.
 // The record is then deleted, and another borrower may hold the unit. Only a record of the
 // current lease counts.
-func (s *Borrower) PutEnded(now time.Time, u Unit, l ggscore.LeaseID, rev ggscore.StoreRevision, res Result) []Order {
-	x := s.unitState(u)
+func (b *Borrower) PutEnded(now time.Time, u Unit, l ggscore.LeaseID, rev ggscore.StoreRevision, res Result) []Order {
+	x := b.unitState(u)
 	x.inFlight = false
 	if res == ResultDone {
-		s.adopt(now, Record{Unit: u, Revision: rev, Lease: l})
-		s.attemptWait = minAttemptWait
-		return s.Tick(now)
+		b.adopt(now, Record{Unit: u, Revision: rev, Lease: l})
+		b.attemptWait = minAttemptWait
+		return b.Tick(now)
 	}
-	s.mayHaveUnknownRecord = s.mayHaveUnknownRecord || res == ResultUnknown
-	s.backOff(now)
+	b.mayHaveUnknownRecord = b.mayHaveUnknownRecord || res == ResultUnknown
+	b.backOff(now)
 	return nil
 }
 
 // SetDemand sets the number of loads that the group could start now. It returns orders to
 // execute.
-func (s *Borrower) SetDemand(now time.Time, loads int) []Order {
-	s.demand = loads
-	if loads > s.staticUnits() {
-		s.idleAt = time.Time{}
-	} else if s.idleAt.IsZero() {
-		s.idleAt = now.Add(idleTimeout)
+func (b *Borrower) SetDemand(now time.Time, loads int) []Order {
+	b.demand = loads
+	if loads > b.staticUnits() {
+		b.idleAt = time.Time{}
+	} else if b.idleAt.IsZero() {
+		b.idleAt = now.Add(idleTimeout)
 	}
-	return s.Tick(now)
+	return b.Tick(now)
 }
 
 // SetLease sets the VM's new or renewed lease. Units held under an earlier lease are dropped,
 // since their records expire with that lease.
-func (s *Borrower) SetLease(l Lease) {
-	if l.ID != s.lease.ID {
-		for _, x := range s.units {
+func (b *Borrower) SetLease(l Lease) {
+	if l.ID != b.lease.ID {
+		for _, x := range b.units {
 			x.heldRevision = 0
 		}
 	}
-	s.lease = l
+	b.lease = l
 }
 
 // SetOwner sets whether the VM owns its group's endpoints.
-func (s *Borrower) SetOwner(owner bool) { s.owner = owner }
+func (b *Borrower) SetOwner(owner bool) { b.owner = owner }
 
 // SetPlan changes the plan. The first plan takes effect immediately. A later change reduces
 // shares immediately, and increases them after growDelay.
 //
 // The groups receive a change at different times. A group that grew immediately would use units
 // that another group still uses, because that group hasn't received the change yet.
-func (s *Borrower) SetPlan(now time.Time, p Plan) {
-	if s.plan == (Plan{}) {
-		s.plan = p
+func (b *Borrower) SetPlan(now time.Time, p Plan) {
+	if b.plan == (Plan{}) {
+		b.plan = p
 	}
-	if s.plan == p {
-		s.nextPlan, s.growsAt = Plan{}, time.Time{}
+	if b.plan == p {
+		b.nextPlan, b.growsAt = Plan{}, time.Time{}
 		return
 	}
-	s.nextPlan = p
-	s.growsAt = now.Add(growDelay)
+	b.nextPlan = p
+	b.growsAt = now.Add(growDelay)
 }
 
 // Share returns the loads that the group may use now. It must be called immediately before
@@ -193,55 +193,55 @@
 // state when other VMs hold them, and the store would get the loads of both. Share therefore
 // compares the lease's expiry with the VM's own monotonic clock at each call. The expiry is
 // counted from before the renewal was sent, so the lease expires later on the platform.
-func (s *Borrower) Share(now time.Time) ggscore.LoadShare {
-	units := s.staticUnits()
-	if now.Before(s.lease.Expires) {
-		for u, x := range s.units {
-			if u != WaitMarker && x.heldRevision != 0 && int(u) < s.borrowable() {
+func (b *Borrower) Share(now time.Time) ggscore.LoadShare {
+	units := b.staticUnits()
+	if now.Before(b.lease.Expires) {
+		for u, x := range b.units {
+			if u != WaitMarker && x.heldRevision != 0 && int(u) < b.borrowable() {
 				units++
 			}
 		}
 	}
-	return s.lowerRatePlan().Share(units)
+	return b.lowerRatePlan().Share(units)
 }
 
 // Tick handles the timeouts that are due at now, and returns orders to execute.
-func (s *Borrower) Tick(now time.Time) []Order {
-	if !s.growsAt.IsZero() && !now.Before(s.growsAt) {
-		s.plan, s.nextPlan, s.growsAt = s.nextPlan, Plan{}, time.Time{}
+func (b *Borrower) Tick(now time.Time) []Order {
+	if !b.growsAt.IsZero() && !now.Before(b.growsAt) {
+		b.plan, b.nextPlan, b.growsAt = b.nextPlan, Plan{}, time.Time{}
 	}
-	if s.listInFlight && now.Sub(s.listSentAt) > listTimeout {
-		s.ListFailed(now)
+	if b.listInFlight && now.Sub(b.listSentAt) > listTimeout {
+		b.ListFailed(now)
 	}
-	if !s.idleAt.IsZero() && !now.Before(s.idleAt) {
-		s.idleAt = time.Time{}
-		return s.release(now, append(s.heldUnits(), WaitMarker))
+	if !b.idleAt.IsZero() && !now.Before(b.idleAt) {
+		b.idleAt = time.Time{}
+		return b.release(now, append(b.heldUnits(), WaitMarker))
 	}
-	if s.listInFlight || now.Before(s.nextAttempt) || !s.needsList(now) {
+	if b.listInFlight || now.Before(b.nextAttempt) || !b.needsList(now) {
 		return nil
 	}
-	s.listInFlight = true
-	s.listSentAt = now
+	b.listInFlight = true
+	b.listSentAt = now
 	return []Order{{Kind: OrderList}}
 }
 
 // lowerRatePlan returns the plan whose units allow fewer loads per second. During a change of
 // plan it compares both plans.
-func (s *Borrower) lowerRatePlan() Plan {
-	if !s.growsAt.IsZero() && s.nextPlan.Share(1).LoadsPerSecond < s.plan.Share(1).LoadsPerSecond {
-		return s.nextPlan
+func (b *Borrower) lowerRatePlan() Plan {
+	if !b.growsAt.IsZero() && b.nextPlan.Share(1).LoadsPerSecond < b.plan.Share(1).LoadsPerSecond {
+		return b.nextPlan
 	}
-	return s.plan
+	return b.plan
 }
 
 // staticUnits returns the number of static units that the VM may use.
-func (s *Borrower) staticUnits() int {
-	if !s.owner {
+func (b *Borrower) staticUnits() int {
+	if !b.owner {
 		return 0
 	}
-	n := s.plan.Static(s.options.Group)
-	if s.growsAt.IsZero() {
+	n := b.plan.Static(b.options.Group)
+	if b.growsAt.IsZero() {
 		return n
 	}
-	return min(n, s.nextPlan.Static(s.options.Group))
+	return min(n, b.nextPlan.Static(b.options.Group))
 }
