--- a/core/ggsturn/observed.go
+++ b/core/ggsturn/observed.go
@@ -49,15 +49,15 @@
 
 // observesAll reports whether all endpoints are observed, because turns are enforced or may
 // have to be soon.
-func (p *modeController) observesAll(now time.Time) bool {
-	return p.enforced || now.Before(p.observeAllUntil)
+func (m *modeController) observesAll(now time.Time) bool {
+	return m.enforced || now.Before(m.observeAllUntil)
 }
 
 // updateObserveAll starts or extends the observation of all endpoints if too many streams are
 // degraded.
-func (p *modeController) updateObserveAll(now time.Time) {
-	if p.streams >= minStreams && p.degraded >= observeAllFraction*p.streams {
-		p.observeAllUntil = now.Add(observeAllDuration)
+func (m *modeController) updateObserveAll(now time.Time) {
+	if m.streams >= minStreams && m.degraded >= observeAllFraction*m.streams {
+		m.observeAllUntil = now.Add(observeAllDuration)
 	}
 }
 
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -106,51 +106,51 @@
 }
 
 // updateDecodeGap adjusts the estimated gap without prefill.
-func (p *modeController) updateDecodeGap(gap time.Duration) {
+func (m *modeController) updateDecodeGap(gap time.Duration) {
 	switch {
-	case p.decodeGap == 0:
-		p.decodeGap = gap
-	case gap < p.decodeGap:
-		p.decodeGap -= time.Duration(decodeGapStep * (1 - decodeGapQuantile) * float64(p.decodeGap))
+	case m.decodeGap == 0:
+		m.decodeGap = gap
+	case gap < m.decodeGap:
+		m.decodeGap -= time.Duration(decodeGapStep * (1 - decodeGapQuantile) * float64(m.decodeGap))
 	default:
-		p.decodeGap += time.Duration(decodeGapStep * decodeGapQuantile * float64(p.decodeGap))
+		m.decodeGap += time.Duration(decodeGapStep * decodeGapQuantile * float64(m.decodeGap))
 	}
 }
 
 // addTally adds stream counts of any VM.
-func (p *modeController) addTally(now time.Time, streams, degraded int) {
+func (m *modeController) addTally(now time.Time, streams, degraded int) {
 	keep := 0.0
-	if !p.at.IsZero() {
-		keep = math.Exp(-float64(now.Sub(p.at)) / float64(degradedTimeConstant))
+	if !m.at.IsZero() {
+		keep = math.Exp(-float64(now.Sub(m.at)) / float64(degradedTimeConstant))
 	}
-	p.at, p.streams, p.degraded = now, p.streams*keep+float64(streams), p.degraded*keep+float64(degraded)
+	m.at, m.streams, m.degraded = now, m.streams*keep+float64(streams), m.degraded*keep+float64(degraded)
 }
 
 // updateMode starts or stops enforcing turns by the stream counts.
-func (p *modeController) updateMode(now time.Time) {
-	if p.streams < minStreams {
+func (m *modeController) updateMode(now time.Time) {
+	if m.streams < minStreams {
 		return
 	}
-	share := p.degraded / p.streams
+	share := m.degraded / m.streams
 	switch {
-	case !p.enforced && share >= maxDegraded && !now.Before(p.suspendedUntil):
-		p.baseline = share
-		p.setMode(now, true)
-	case p.enforced && now.Sub(p.since) >= minTrial && share > p.expectedDegraded(now):
-		p.suspendFor = min(max(suspendFactor*p.suspendFor, suspendInitial), suspendMax)
-		p.suspendedUntil = now.Add(p.suspendFor)
-		p.setMode(now, false)
+	case !m.enforced && share >= maxDegraded && !now.Before(m.suspendedUntil):
+		m.baseline = share
+		m.setMode(now, true)
+	case m.enforced && now.Sub(m.since) >= minTrial && share > m.expectedDegraded(now):
+		m.suspendFor = min(max(suspendFactor*m.suspendFor, suspendInitial), suspendMax)
+		m.suspendedUntil = now.Add(m.suspendFor)
+		m.setMode(now, false)
 	}
 }
 
 // setMode changes the mode and resets the stream counts.
-func (p *modeController) setMode(now time.Time, enforced bool) {
-	p.enforced, p.since, p.streams, p.degraded = enforced, now, 0, 0
+func (m *modeController) setMode(now time.Time, enforced bool) {
+	m.enforced, m.since, m.streams, m.degraded = enforced, now, 0, 0
 }
 
 // expectedDegraded returns the fraction of streams expected to be degraded without turns.
-func (p *modeController) expectedDegraded(now time.Time) float64 {
-	return p.baseline * math.Exp(-float64(now.Sub(p.since))/float64(baselineTimeConstant))
+func (m *modeController) expectedDegraded(now time.Time) float64 {
+	return m.baseline * math.Exp(-float64(now.Sub(m.since))/float64(baselineTimeConstant))
 }
 
 // prefillWithin returns the time within a gap that ends now in which the endpoint had prompts
@@ -184,9 +184,9 @@
 }
 
 // prefillLimit returns the prefill time that may begin within the target gap, zero for no limit.
-func (p *modeController) prefillLimit(targetGap time.Duration) time.Duration {
-	if !p.enforced {
+func (m *modeController) prefillLimit(targetGap time.Duration) time.Duration {
+	if !m.enforced {
 		return 0
 	}
-	return max(time.Duration(gapFraction*float64(targetGap))-p.decodeGap, time.Duration(minPrefillFraction*float64(targetGap)))
+	return max(time.Duration(gapFraction*float64(targetGap))-m.decodeGap, time.Duration(minPrefillFraction*float64(targetGap)))
 }
--- a/core/ggsturn/size.go
+++ b/core/ggsturn/size.go
@@ -16,24 +16,24 @@
 )
 
 // add records a prompt's size. An unstated or impossible size is ignored.
-func (u *promptSize) add(tokens int) {
+func (p *promptSize) add(tokens int) {
 	if tokens <= 0 || tokens > maxTokens {
 		return
 	}
-	if !u.seen {
-		u.seen, u.mean = true, float64(tokens)
+	if !p.seen {
+		p.seen, p.mean = true, float64(tokens)
 		return
 	}
-	u.mean += sizeWeight * (float64(tokens) - u.mean)
+	p.mean += sizeWeight * (float64(tokens) - p.mean)
 }
 
 // orMean returns the size, or the mean if the size is unstated or impossible.
-func (u *promptSize) orMean(tokens int) int {
+func (p *promptSize) orMean(tokens int) int {
 	switch {
 	case tokens > 0 && tokens <= maxTokens:
 		return tokens
-	case u.seen:
-		return int(u.mean)
+	case p.seen:
+		return int(p.mean)
 	}
 	return defaultTokens
 }
