--- a/core/ggsroute/router.go
+++ b/core/ggsroute/router.go
@@ -63,7 +63,7 @@
 	options  Options
 	policy   ggscore.PolicySpec
 	gateways int
-	// regions is the number of regions with dispatchers, including the own one.
+	// regions is the number of regions with dispatchers, including this region.
 	regions     int
 	rng         *rand.Rand
 	dispatchers map[ggscore.VMID]*dispatcher
