--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -76,7 +76,7 @@
 // VMs that started at the same time have the same sequences. If the sequence alone selected the
 // forwarder, one VM of a domain would forward the heartbeats of all VMs of other domains at the
 // same moment. With 69 VMs these were 57 heartbeats to 11 peers, or 280 KB, which occupied its
-// link of 10 Mbit/s for 225 ms and delayed the chunks of its response streams. The hash of the
+// link of 10 Mbit/s for 225 ms and delayed the chunks of its answer streams. The hash of the
 // sender's ID spreads the selection.
 func forwarder(self ggscore.VMID, vms []ggscore.VMID, sequence uint64) ggscore.VMID {
 	slices.Sort(vms)
