--- a/core/ggsschedule/stories_test.go
+++ b/core/ggsschedule/stories_test.go
@@ -407,8 +407,8 @@
 }
 
 // An earlier owner's request starts on a protected adapter before the ownership is
-// full. A report counts one run, which may be an own request in flight. After the own
-// request ends, the adapter must stay until a report shows it idle.
+// full. A report counts one run, which may be the new owner's request in flight. After
+// that request ends, the adapter must stay until a report shows it idle.
 func TestNewOwnershipPinsAdapters(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
