--- a/io/ggsconn/flight.go
+++ b/io/ggsconn/tracker.go
@@ -33,11 +33,11 @@
 
 // NothingWritten reports whether no byte of the request was written, nor will be. It must be called
 // only after the request failed, because it blocks further writes to the request's connections.
-func (f *RequestTracker) NothingWritten() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	none := !f.untracked
-	for _, c := range f.conns {
+func (t *RequestTracker) NothingWritten() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	none := !t.untracked
+	for _, c := range t.conns {
 		if c.seal() {
 			none = false
 		}
@@ -47,24 +47,24 @@
 
 // Received returns the number of bytes received on the request's connections, including the bytes
 // of earlier requests.
-func (f *RequestTracker) Received() int64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (t *RequestTracker) Received() int64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var n int64
-	for _, c := range f.conns {
+	for _, c := range t.conns {
 		n += c.received.Load()
 	}
 	return n
 }
 
-func (f *RequestTracker) gotConn(i httptrace.GotConnInfo) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (t *RequestTracker) gotConn(i httptrace.GotConnInfo) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	c, ok := i.Conn.(*conn)
 	if !ok {
-		f.untracked = true
+		t.untracked = true
 		return
 	}
 	c.startRequest()
-	f.conns = append(f.conns, c)
+	t.conns = append(t.conns, c)
 }
