--- a/io/ggslog/limit.go
+++ b/io/ggslog/sampler.go
@@ -42,34 +42,34 @@
 }
 
 // Log implements log.Logger.
-func (l *Sampler) Log(keyvals ...any) error {
-	pass, dropped, event := l.count(keyvals)
+func (s *Sampler) Log(keyvals ...any) error {
+	pass, dropped, event := s.count(keyvals)
 	if dropped > 0 {
-		if err := l.next.Log("event", EventLogSampled, "sampled", event, "count", dropped); err != nil {
+		if err := s.next.Log("event", EventLogSampled, "sampled", event, "count", dropped); err != nil {
 			return err
 		}
 	}
 	if !pass {
 		return nil
 	}
-	return l.next.Log(keyvals...)
+	return s.next.Log(keyvals...)
 }
 
 // count reports whether a line passes, and how many lines of its event were dropped
 // in the previous window.
-func (l *Sampler) count(keyvals []any) (pass bool, dropped int, event any) {
+func (s *Sampler) count(keyvals []any) (pass bool, dropped int, event any) {
 	for i := 0; i+1 < len(keyvals); i += 2 {
 		if keyvals[i] == "event" {
 			event = keyvals[i+1]
 		}
 	}
-	now := l.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	w := l.windows[event]
+	now := s.now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	w := s.windows[event]
 	if w == nil {
 		w = &window{start: now}
-		l.windows[event] = w
+		s.windows[event] = w
 	}
 	if now.Sub(w.start) >= limitWindow {
 		dropped = w.dropped
