--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -338,7 +338,7 @@
 	}
 }
 
-// applyTurns applies peers' measurements of prompt processing, and the turn modes of the VM
+// applyTurns applies peers' measurements of prefill, and the turn modes of the VM
 // that decides on them. Edge.mu is held.
 func (e *Edge) applyTurns(
 	now time.Time, vm ggscore.VMID, xs []ggscore.TurnSample, ys []ggscore.TurnTally, ms []ggscore.TurnMode,
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -33,7 +33,7 @@
 	Capacity uint64 `json:"capacity,omitempty"`
 	// Count makes each store heartbeat a change.
 	Count uint64 `json:"count"`
-	// TurnStates are the learned prompt processing times of services, for VMs that start.
+	// TurnStates are the learned prefill times of services, for VMs that start.
 	TurnStates []turnStateRecord `json:"shapes,omitempty"`
 }
 
@@ -236,7 +236,7 @@
 	return r, peers
 }
 
-// restoreTurnStates restores what another VM had learned about prompt processing.
+// restoreTurnStates restores what another VM had learned about prefill.
 func (e *Edge) restoreTurnStates(rs []turnStateRecord) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
