--- a/io/ggsvms/vms.go
+++ b/io/ggsvms/vms.go
@@ -54,7 +54,7 @@
 type Membership interface {
 	// IsReader reports whether this process reads the platform's list.
 	IsReader() bool
-	// Readers returns the peers of the own failure domain that read the platform's list. Others
+	// Readers returns the peers of this failure domain that read the platform's list. Others
 	// returns all other peers.
 	Readers() []Peer
 	Others() []Peer
@@ -79,7 +79,7 @@
 type list struct {
 	vms    []ggscore.VM
 	digest ggscore.Digest
-	// read is the time by the own clock at which the list was requested from the platform. It is
+	// read is the time by the local clock at which the list was requested from the platform. It is
 	// zero if there is no list yet.
 	read time.Time
 }
@@ -129,11 +129,11 @@
 	f.subscribers = append(f.subscribers, callback)
 }
 
-// adopt replaces the own list if n was read later.
+// adopt replaces the current list if n was read later.
 //
 // A peer that can't reach the platform continues to serve the list that it last read. In such a
 // list, a VM that has been leaving for long may still be live, and would get new work. A list that
-// was read earlier than the own list is therefore ignored, whichever peer serves it.
+// was read earlier than the current list is therefore ignored, whichever peer serves it.
 func (f *Follower) adopt(n list) {
 	f.mu.Lock()
 	if !n.read.After(f.list.read) {
