--- a/io/ggsheartbeat/server.go
+++ b/io/ggsheartbeat/server.go
@@ -120,7 +120,7 @@
 	s.handleChange()
 }
 
-// SetSelf sets the own member's state. The leaving state is final.
+// SetSelf sets the state of this dispatcher's member. The leaving state is final.
 func (s *Server) SetSelf(leaving bool, r ggscore.Revision) {
 	s.mu.Lock()
 	s.table.SetSelf(leaving, r)
