--- a/io/ggsheartbeat/server.go
+++ b/io/ggsheartbeat/server.go
@@ -120,7 +120,7 @@
 	s.handleChange()
 }
 
-// SetSelf sets the own member's state. The leaving state is final.
+// SetSelf sets the state of this dispatcher's member. The leaving state is final.
 func (s *Server) SetSelf(leaving bool, r ggscore.Revision) {
 	s.mu.Lock()
 	s.table.SetSelf(leaving, r)
@@ -150,7 +150,7 @@
 	gap := time.NewTimer(s.opts.MinInterval)
 	defer gap.Stop()
 	for {
-		// Urgent updates wait for the end of the gap, which bounds the bandwidth and processor
+		// Urgent updates wait for MinInterval to end, which bounds the bandwidth and processor
 		// time of a burst of updates.
 		select {
 		case <-gap.C:
