--- a/cmd/ggsnode/dispatcher.go
+++ b/cmd/ggsnode/dispatcher.go
@@ -92,7 +92,7 @@
 		Self: s.VM, Region: s.Region, Domain: s.Domain, Incarnation: string(i),
 		RequestWorkers: s.RequestWorkers, OrderWorkers: s.OrderWorkers,
 	}, ggsdispatch.Parts{
-		Scheduler: k, Engine: e, Plain: e, Orderer: e, Reporter: e,
+		Scheduler: k, Engine: e, Plain: e, Loader: e, Reporter: e,
 		Claims: c, Guard: o, Observer: o, Clock: t, Log: l,
 	})
 	return o, d
--- a/cmd/ggsnode/edge.go
+++ b/cmd/ggsnode/edge.go
@@ -166,7 +166,7 @@
 		},
 	}, ggsedge.Parts{
 		Store: ggsdialect.NewStore(s.Store), Codec: ggsdialect.Codec{}, Dialect: ggsdialect.Headers{},
-		Orderer: ggsdialect.NewOrderer(p), Pool: p, Peers: u, Calls: ggsrpc.NewPool(ggsrpc.PoolOptions{}),
+		PlacementClient: ggsdialect.NewOrderer(p), Pool: p, Peers: u, Calls: ggsrpc.NewPool(ggsrpc.PoolOptions{}),
 		Log: l, Now: ggsclock.Boot, Monotonic: t,
 	}), nil
 }
--- a/core/engine.go
+++ b/core/engine.go
@@ -19,10 +19,10 @@
 	Call(ctx context.Context, addr netip.AddrPort, r *Request, sink ChunkSink) error
 }
 
-// An AdapterOrderer orders a runner to load or unload an adapter. The error for an order that
+// An AdapterLoader orders a runner to load or unload an adapter. The error for an order that
 // may have taken effect is an *AmbiguousOrderError. An outdated fencing token gives a
 // *FencedError.
-type AdapterOrderer interface {
+type AdapterLoader interface {
 	Load(ctx context.Context, addr netip.AddrPort, a AdapterRef, f FencingToken) error
 	Unload(ctx context.Context, addr netip.AddrPort, a AdapterRef, f FencingToken) error
 }
--- a/core/ggsmember/member.go
+++ b/core/ggsmember/member.go
@@ -17,9 +17,9 @@
 	Incarnation string
 	Sequence    uint64
 	Leaving     bool
-	// Gone is set in heartbeats only, if the sender marked the member as gone, for lack of
+	// Failed is set in heartbeats only, if the sender marked the member as gone, for lack of
 	// heartbeats or by an update. The member refutes the mark by a greater sequence number.
-	Gone bool
+	Failed bool
 	// Revision is the revision of the document that the member has in force.
 	Revision ggscore.Revision
 }
--- a/core/ggsmember/table.go
+++ b/core/ggsmember/table.go
@@ -95,7 +95,7 @@
 // Receive processes a heartbeat that arrived from an address.
 func (t *Table) Receive(now time.Time, from netip.AddrPort, h Heartbeat) {
 	s := h.Sender
-	s.Addr, s.Gone = from, false
+	s.Addr, s.Failed = from, false
 	if s.VM == t.self.VM {
 		return
 	}
@@ -267,7 +267,7 @@
 func (t *Table) merge(now time.Time, m Member) *entry {
 	e := t.entries[m.VM]
 	if e == nil {
-		if m.Gone {
+		if m.Failed {
 			return nil
 		}
 		e = t.add(m, now)
@@ -277,7 +277,7 @@
 	if e.member.Incarnation != m.Incarnation {
 		return t.mergeIncarnation(now, e, m)
 	}
-	if m.Gone {
+	if m.Failed {
 		if m.Sequence >= e.member.Sequence && !e.gone {
 			e.gone = true
 			t.markUrgent(e)
@@ -309,7 +309,7 @@
 // otherwise make that process live again.
 func (t *Table) mergeIncarnation(now time.Time, e *entry, m Member) *entry {
 	listedOnly := e.member.Incarnation == ""
-	if m.Gone || m.Incarnation == "" || (!listedOnly && !Supersedes(m.Incarnation, e.member.Incarnation)) {
+	if m.Failed || m.Incarnation == "" || (!listedOnly && !Supersedes(m.Incarnation, e.member.Incarnation)) {
 		return nil
 	}
 	m.Leaving = m.Leaving || e.listedLeaving
@@ -340,7 +340,7 @@
 
 // refute handles an update that marks this member as gone.
 func (t *Table) refute(m Member) {
-	if m.Gone && m.Incarnation == t.self.Incarnation {
+	if m.Failed && m.Incarnation == t.self.Incarnation {
 		t.self.Sequence = max(t.self.Sequence, m.Sequence)
 		t.selfUrgent = true
 		t.broadcasts = max(t.broadcasts, 1)
@@ -350,6 +350,6 @@
 // update returns the state of a member to send in heartbeats.
 func (e *entry) update() Member {
 	m := e.member
-	m.Gone = e.gone
+	m.Failed = e.gone
 	return m
 }
--- a/core/ggsmember/table_test.go
+++ b/core/ggsmember/table_test.go
@@ -224,7 +224,7 @@
 	d := newDomain(100)
 	d.advance(2 * time.Second)
 	update := *d.view(0)
-	update.Gone = true
+	update.Failed = true
 	for _, t := range d.tables {
 		t.Receive(d.now, member(0, 0).Addr, Heartbeat{Sender: member(0, 0), Updates: []Member{update}})
 	}
@@ -244,7 +244,7 @@
 	d := newDomain(20)
 	d.tables[0].Receive(d.now, member(1, 0).Addr, Heartbeat{Sender: member(1, 0)})
 	gone, old := member(1, 0), member(1, 0)
-	gone.Sequence, gone.Gone, old.Sequence = 9, true, 8
+	gone.Sequence, gone.Failed, old.Sequence = 9, true, 8
 	for _, m := range []Member{gone, old} {
 		d.tables[0].Receive(d.now, member(2, 0).Addr, Heartbeat{Sender: member(2, 0), Updates: []Member{m}})
 	}
--- a/core/ggsplace/homes.go
+++ b/core/ggsplace/homes.go
@@ -36,7 +36,7 @@
 		return nil
 	}
 	rate := t.demand.Recent(now, q.Target)
-	if !t.options.Policy.On(ggscore.MechanismCopies) {
+	if !t.options.Policy.On(ggscore.MechanismReplicas) {
 		rate = 0
 	}
 	n := 1 + min(int(rate/replicaRate), maxHomes-1)
--- a/core/ggsplace/table.go
+++ b/core/ggsplace/table.go
@@ -125,7 +125,7 @@
 
 // A Change is the difference between two successive lists of registry entries.
 type Change struct {
-	Gone []ggscore.Instance
+	Removed []ggscore.Instance
 	// Leaving lists endpoints whose state changed to leaving.
 	Leaving []ggscore.Instance
 	// Any reports whether endpoints were added, removed or changed state.
@@ -157,13 +157,13 @@
 	}
 	for id, e := range t.endpoints {
 		if !seen[id] {
-			c.Gone = append(c.Gone, e.Instance)
+			c.Removed = append(c.Removed, e.Instance)
 			delete(t.endpoints, id)
 			t.breakers.Remove(id)
 		}
 	}
 	t.index()
-	c.Any = c.Any || len(c.Gone) > 0
+	c.Any = c.Any || len(c.Removed) > 0
 	return c
 }
 
--- a/core/ggsplace/table_test.go
+++ b/core/ggsplace/table_test.go
@@ -293,8 +293,8 @@
 	l[0].Leaving = true
 	x := tb.SetInstances(l)
 	c.Assert(x.Any, qt.IsTrue)
-	c.Assert(x.Gone, qt.HasLen, 1)
-	c.Assert(x.Gone[0].ID, qt.Equals, ggscore.EndpointID("r00"))
+	c.Assert(x.Removed, qt.HasLen, 1)
+	c.Assert(x.Removed[0].ID, qt.Equals, ggscore.EndpointID("r00"))
 	c.Assert(x.Leaving, qt.HasLen, 1)
 	c.Assert(x.Leaving[0].ID, qt.Equals, ggscore.EndpointID("r01"))
 	c.Assert(tb.SetInstances(l), qt.DeepEquals, ggsplace.Change{})
--- a/core/ggsturn/pauses_test.go
+++ b/core/ggsturn/pauses_test.go
@@ -15,7 +15,7 @@
 	t := ggsturn.NewTable(ggsturn.Options{VM: "vm"})
 	t.SetService(models, targetGap)
 	t.SetDecides(true)
-	t.Restore(at(0), ggscore.TurnState{Service: models, PerToken: perToken, Quiet: quiet})
+	t.Restore(at(0), ggscore.TurnState{Service: models, PerToken: perToken, DecodeGap: quiet})
 	return t
 }
 
@@ -161,7 +161,7 @@
 	b.RecordStream(at(0), models, "r1", true)
 	b.RecordStream(at(0), models, "r1", false)
 	n := b.Take(at(0), models, runner, 1000, 0)
-	b.RecordFirstPiece(at(70*time.Millisecond), n, at(0))
+	b.RecordFirstChunk(at(70*time.Millisecond), n, at(0))
 	s, l := b.DrainUnreported()
 	c.Assert(s, qt.DeepEquals, []ggscore.TurnSample{{Service: models, Tokens: 1000, Took: 70 * time.Millisecond}})
 	c.Assert(l, qt.DeepEquals, []ggscore.TurnTally{{Service: models, Streams: 2, Degraded: 1}})
--- a/core/ggsturn/samples.go
+++ b/core/ggsturn/samples.go
@@ -33,7 +33,7 @@
 	var ms []ggscore.TurnMode
 	for n, v := range t.services {
 		if v.targetGap > 0 {
-			ms = append(ms, ggscore.TurnMode{Service: n, Waits: v.mode.enforced, DegradedBefore: v.mode.baseline})
+			ms = append(ms, ggscore.TurnMode{Service: n, Enforced: v.mode.enforced, DegradedBefore: v.mode.baseline})
 		}
 	}
 	return ms
@@ -42,11 +42,11 @@
 // ApplyMode applies the mode set by the VM that decides.
 func (t *Table) ApplyMode(now time.Time, m ggscore.TurnMode) {
 	p := &t.service(m.Service).mode
-	if t.decides || p.enforced == m.Waits {
+	if t.decides || p.enforced == m.Enforced {
 		return
 	}
 	p.baseline = m.DegradedBefore
-	p.setMode(now, m.Waits)
+	p.setMode(now, m.Enforced)
 }
 
 // DrainUnreported returns the samples and stream counts collected since the previous call.
@@ -63,7 +63,7 @@
 		if v.targetGap > 0 && v.speed.known() {
 			hs = append(hs, ggscore.TurnState{
 				Service: n, PerToken: v.speed.slope, Start: v.speed.intercept,
-				Quiet: v.mode.decodeGap, Mode: ggscore.TurnMode{Service: n, Waits: v.mode.enforced, DegradedBefore: v.mode.baseline},
+				DecodeGap: v.mode.decodeGap, Mode: ggscore.TurnMode{Service: n, Enforced: v.mode.enforced, DegradedBefore: v.mode.baseline},
 			})
 		}
 	}
@@ -82,8 +82,8 @@
 		return
 	}
 	v.speed.slope, v.speed.intercept = min(max(h.PerToken, minPerToken), maxPerToken), max(h.Start, 0)
-	v.mode.decodeGap = max(h.Quiet, 0)
-	if h.Mode.Waits {
+	v.mode.decodeGap = max(h.DecodeGap, 0)
+	if h.Mode.Enforced {
 		v.mode.baseline = min(max(h.Mode.DegradedBefore, maxDegraded), 1)
 		v.mode.setMode(now, true)
 	}
--- a/core/ggsturn/speed.go
+++ b/core/ggsturn/speed.go
@@ -131,9 +131,9 @@
 	return q.slowness
 }
 
-// RecordFirstPiece records the arrival of an answer's first chunk. sent is when the prompt was
+// RecordFirstChunk records the arrival of an answer's first chunk. sent is when the prompt was
 // sent, at its turn or slightly later.
-func (t *Table) RecordFirstPiece(now time.Time, n ggscore.PromptTurn, sent time.Time) {
+func (t *Table) RecordFirstChunk(now time.Time, n ggscore.PromptTurn, sent time.Time) {
 	v, q := t.service(n.Service), t.queue(n.Endpoint)
 	i := q.find(n)
 	if i < 0 || n.Tokens <= 0 || !v.knowsAllTurns(now, n.Endpoint) {
--- a/core/ggsturn/table_test.go
+++ b/core/ggsturn/table_test.go
@@ -29,7 +29,7 @@
 func table(vm ggscore.VMID) *ggsturn.Table {
 	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
 	t.SetService(models, targetGap)
-	t.Restore(at(0), ggscore.TurnState{Service: models, PerToken: perToken, Quiet: quiet, Mode: ggscore.TurnMode{Service: models, Waits: true, DegradedBefore: 0.5}})
+	t.Restore(at(0), ggscore.TurnState{Service: models, PerToken: perToken, DecodeGap: quiet, Mode: ggscore.TurnMode{Service: models, Enforced: true, DegradedBefore: 0.5}})
 	return t
 }
 
@@ -141,7 +141,7 @@
 	now := time.Duration(0)
 	for range 12 {
 		n := b.Take(at(now), models, runner, 1000, 0)
-		b.RecordFirstPiece(at(now+200*time.Millisecond), n, at(now))
+		b.RecordFirstChunk(at(now+200*time.Millisecond), n, at(now))
 		now += time.Second
 	}
 	slow := b.Estimate(at(now), models, runner, 1000).Ready
--- a/core/instance.go
+++ b/core/instance.go
@@ -179,8 +179,8 @@
 	InTransit []ModelAdapter
 }
 
-// An InstanceOrderer sends orders to instances and requests their status.
-type InstanceOrderer interface {
+// An PlacementClient sends orders to instances and requests their status.
+type PlacementClient interface {
 	Order(ctx context.Context, o PlacementOrder) (PlacementAnswer, error)
 	Status(ctx context.Context, id EndpointID, addr netip.AddrPort) (InstanceStatus, error)
 }
--- a/core/policy.go
+++ b/core/policy.go
@@ -12,8 +12,8 @@
 	MechanismTurns Mechanism = "turns"
 	// MechanismHomes makes all VMs load an adapter at the same endpoints, its homes.
 	MechanismHomes Mechanism = "homes"
-	// MechanismCopies gives popular adapters more homes.
-	MechanismCopies Mechanism = "copies"
+	// MechanismReplicas gives popular adapters more homes.
+	MechanismReplicas Mechanism = "copies"
 	// MechanismRelease evicts rare adapters as soon as their requests have ended.
 	MechanismRelease Mechanism = "release"
 	// MechanismDemand evicts the adapter with the lowest demand of all VMs, rather than the
@@ -36,7 +36,7 @@
 // Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
-		MechanismTurns, MechanismHomes, MechanismCopies, MechanismRelease, MechanismDemand,
+		MechanismTurns, MechanismHomes, MechanismReplicas, MechanismRelease, MechanismDemand,
 		MechanismWantedFirst, MechanismFailures, MechanismBreakers, MechanismRegions, MechanismConcurrentPolls, MechanismWarm,
 	}
 }
--- a/core/turn.go
+++ b/core/turn.go
@@ -49,8 +49,8 @@
 
 // A TurnMode is the decision whether the turns of a service's prompts are enforced.
 type TurnMode struct {
-	Service Service
-	Waits   bool
+	Service  Service
+	Enforced bool
 	// DegradedBefore is the fraction of streams that were degraded before turns were enforced.
 	DegradedBefore float64
 }
@@ -62,7 +62,7 @@
 	// chunk for an empty prompt.
 	PerToken time.Duration
 	Start    time.Duration
-	// Quiet is the gap between a stream's chunks while its endpoint prefills no prompt.
-	Quiet time.Duration
-	Mode  TurnMode
+	// DecodeGap is the gap between a stream's chunks while its endpoint prefills no prompt.
+	DecodeGap time.Duration
+	Mode      TurnMode
 }
--- a/fakes/ggsfakebatch/fleet_test.go
+++ b/fakes/ggsfakebatch/fleet_test.go
@@ -292,7 +292,7 @@
 		if s.degraded {
 			s.vm.turns.RecordStream(p.At, fleetService, engineID(n), true)
 		}
-		s.vm.turns.RecordFirstPiece(p.At, s.turn, s.sent)
+		s.vm.turns.RecordFirstChunk(p.At, s.turn, s.sent)
 	} else {
 		gap := p.At.Sub(s.last)
 		s.gap = max(s.gap, gap)
--- a/io/ggsdispatch/dispatcher.go
+++ b/io/ggsdispatch/dispatcher.go
@@ -49,7 +49,7 @@
 	Scheduler ggscore.Scheduler
 	Engine    ggscore.EngineCaller
 	Plain     ggscore.PlainCaller
-	Orderer   ggscore.AdapterOrderer
+	Loader    ggscore.AdapterLoader
 	Reporter  ggscore.RunnerReporter
 	Claims    ggscore.Claimer
 	Guard     ggscore.OwnerGuard
--- a/io/ggsdispatch/orders.go
+++ b/io/ggsdispatch/orders.go
@@ -65,9 +65,9 @@
 		return &ggscore.OrderRefusedError{Addr: addr, Detail: err.Error()}
 	}
 	if o.Kind == ggscore.OrderLoad {
-		return d.parts.Orderer.Load(ctx, addr, o.Adapter, f)
+		return d.parts.Loader.Load(ctx, addr, o.Adapter, f)
 	}
-	return d.parts.Orderer.Unload(ctx, addr, o.Adapter, f)
+	return d.parts.Loader.Unload(ctx, addr, o.Adapter, f)
 }
 
 // endOf returns how a failed order ended: EndFailed if the order is known to have had no
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -87,14 +87,14 @@
 
 // A Parts has the dependencies of an Edge.
 type Parts struct {
-	Store   Store
-	Codec   Codec
-	Dialect ggscore.Dialect
-	Orderer ggscore.InstanceOrderer
-	Pool    *ggsexchange.Pool
-	Peers   *ggspeer.Conn
-	Calls   *ggsrpc.Pool
-	Log     log.Logger
+	Store           Store
+	Codec           Codec
+	Dialect         ggscore.Dialect
+	PlacementClient ggscore.PlacementClient
+	Pool            *ggsexchange.Pool
+	Peers           *ggspeer.Conn
+	Calls           *ggsrpc.Pool
+	Log             log.Logger
 	// Now is the clock for decisions. It advances while the VM is suspended.
 	Now func() time.Time
 	// Monotonic is the clock for the deadlines of requests.
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -240,7 +240,7 @@
 	for _, l := range change.Leaving {
 		_ = level.Info(e.Log).Log("event", ggslog.EventEndpointLeaving, "endpoint", l.ID, "service", l.Service, "revision", at.Revision)
 	}
-	for _, g := range change.Gone {
+	for _, g := range change.Removed {
 		_ = level.Info(e.Log).Log("event", ggslog.EventEndpointGone, "endpoint", g.ID, "addr", g.Addr)
 		e.Pool.CloseIdle(g.Addr)
 		e.mu.Lock()
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -52,7 +52,7 @@
 	for _, h := range hs {
 		rs = append(rs, turnStateRecord{
 			Service: string(h.Service), PerToken: h.PerToken.Nanoseconds(), Start: h.Start.Microseconds(),
-			Quiet: h.Quiet.Microseconds(), Waits: h.Mode.Waits, DegradedBefore: h.Mode.DegradedBefore,
+			Quiet: h.DecodeGap.Microseconds(), Waits: h.Mode.Enforced, DegradedBefore: h.Mode.DegradedBefore,
 		})
 	}
 	return rs
@@ -62,7 +62,7 @@
 	us := func(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 	return ggscore.TurnState{
 		Service: ggscore.Service(r.Service), PerToken: time.Duration(r.PerToken), Start: us(r.Start),
-		Quiet: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Waits: r.Waits, DegradedBefore: r.DegradedBefore},
+		DecodeGap: us(r.Quiet), Mode: ggscore.TurnMode{Service: ggscore.Service(r.Service), Enforced: r.Waits, DegradedBefore: r.DegradedBefore},
 	}
 }
 
--- a/io/ggsedge/relay.go
+++ b/io/ggsedge/relay.go
@@ -188,7 +188,7 @@
 	defer e.mu.Unlock()
 	degraded := false
 	if !j.committed {
-		e.turns.RecordFirstPiece(now, j.turn, j.sentAt)
+		e.turns.RecordFirstChunk(now, j.turn, j.sentAt)
 		first := e.since(j.arrived)
 		degraded = first > j.route.Target && first-j.turnWait <= j.route.Target
 	} else {
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -250,7 +250,7 @@
 func (e *Edge) sync(ctx context.Context, w *worker, i ggscore.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	st, err := e.Orderer.Status(ctx, i.ID, i.Addr)
+	st, err := e.PlacementClient.Status(ctx, i.ID, i.Addr)
 	if err != nil {
 		_ = level.Info(e.Log).Log("event", ggslog.EventStatusFailed, "endpoint", i.ID, "err", err)
 		return false
@@ -277,7 +277,7 @@
 	defer cancel()
 	begun := e.Monotonic()
 	e.stats.Orders.Add(1)
-	a, err := e.Orderer.Order(ctx, o)
+	a, err := e.PlacementClient.Order(ctx, o)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if a != ggscore.PlacementUnknown {
--- a/io/ggsengine/client.go
+++ b/io/ggsengine/client.go
@@ -16,9 +16,9 @@
 type Settings struct {
 	// DialTimeout bounds the establishing of a connection.
 	DialTimeout time.Duration
-	// SilenceTimeout is the time without a received byte after which a run ends.
+	// ReadIdleTimeout is the time without a received byte after which a run ends.
 	// It also bounds the time to the first byte.
-	SilenceTimeout time.Duration
+	ReadIdleTimeout time.Duration
 	// OrderTimeout bounds an order. The duration of a load depends on the weight
 	// store.
 	OrderTimeout time.Duration
@@ -44,19 +44,19 @@
 var (
 	_ ggscore.EngineCaller   = (*Client)(nil)
 	_ ggscore.PlainCaller    = (*Client)(nil)
-	_ ggscore.AdapterOrderer = (*Client)(nil)
+	_ ggscore.AdapterLoader  = (*Client)(nil)
 	_ ggscore.RunnerReporter = (*Client)(nil)
 )
 
 // DefaultSettings returns settings for endpoints in the same failure domain.
 func DefaultSettings() Settings {
 	return Settings{
-		DialTimeout:    time.Second,
-		SilenceTimeout: time.Minute,
-		OrderTimeout:   time.Minute,
-		ReportTimeout:  2 * time.Second,
-		IdleTimeout:    30 * time.Second,
-		MaxConns:       256,
+		DialTimeout:     time.Second,
+		ReadIdleTimeout: time.Minute,
+		OrderTimeout:    time.Minute,
+		ReportTimeout:   2 * time.Second,
+		IdleTimeout:     30 * time.Second,
+		MaxConns:        256,
 	}
 }
 
--- a/io/ggsengine/exchange.go
+++ b/io/ggsengine/exchange.go
@@ -29,7 +29,7 @@
 func (c *Client) exchange(ctx context.Context, x *exchange) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	idleTimer := time.AfterFunc(c.settings.SilenceTimeout, func() { cancel(&IdleTimeoutError{}) })
+	idleTimer := time.AfterFunc(c.settings.ReadIdleTimeout, func() { cancel(&IdleTimeoutError{}) })
 	defer idleTimer.Stop()
 	tracked, flight := ggsconn.Track(ctx)
 	req, err := x.newRequest(tracked)
@@ -47,7 +47,7 @@
 	if err := x.refusal(resp); err != nil {
 		return err
 	}
-	body := &activityReader{r: resp.Body, onRead: func() { idleTimer.Reset(c.settings.SilenceTimeout) }}
+	body := &activityReader{r: resp.Body, onRead: func() { idleTimer.Reset(c.settings.ReadIdleTimeout) }}
 	if err := x.forward(resp, body); err != nil {
 		return x.callError(ctx, false, err)
 	}
--- a/io/ggsengine/fault_test.go
+++ b/io/ggsengine/fault_test.go
@@ -360,7 +360,7 @@
 	b := newFixture(c, nil)
 	b.engine.Preload(adapterA())
 	s := ggsengine.DefaultSettings()
-	s.SilenceTimeout = time.Second
+	s.ReadIdleTimeout = time.Second
 	cl := newClient(c, s)
 	var got collector
 	err := cl.Run(ggsfakebench.Context(c), b.addr, request("q1", adapterA(), 1<<20), func(k ggscore.Chunk) error {
--- a/io/ggsheartbeat/codec.go
+++ b/io/ggsheartbeat/codec.go
@@ -49,7 +49,7 @@
 	for _, f := range []struct {
 		set  bool
 		flag byte
-	}{{m.Leaving, flagLeaving}, {m.Gone, flagGone}, {monitor, flagMonitor}} {
+	}{{m.Leaving, flagLeaving}, {m.Failed, flagGone}, {monitor, flagMonitor}} {
 		if f.set {
 			flags |= f.flag
 		}
@@ -128,7 +128,7 @@
 
 func (d *decoder) member() (ggsmember.Member, bool) {
 	flags := d.byte()
-	m := ggsmember.Member{VM: ggscore.VMID(d.text()), Leaving: flags&flagLeaving != 0, Gone: flags&flagGone != 0}
+	m := ggsmember.Member{VM: ggscore.VMID(d.text()), Leaving: flags&flagLeaving != 0, Failed: flags&flagGone != 0}
 	var id uuid.UUID
 	d.fill(id[:])
 	if id != uuid.Nil {
--- a/io/ggspeer/conn_test.go
+++ b/io/ggspeer/conn_test.go
@@ -44,7 +44,7 @@
 		Uses:     []ggscore.Use{{Endpoint: "r1", Target: a, Count: 5, Active: true}},
 		Samples:  []ggscore.TurnSample{{Service: "s", Tokens: 1460, Took: 70 * time.Millisecond}},
 		Tallies:  []ggscore.TurnTally{{Service: "s", Streams: 9, Degraded: 2}},
-		Modes:    []ggscore.TurnMode{{Service: "s", Waits: true, DegradedBefore: 0.25}},
+		Modes:    []ggscore.TurnMode{{Service: "s", Enforced: true, DegradedBefore: 0.25}},
 		Limits: []ggscore.EndpointLimit{
 			{Endpoint: "r1", Limit: &ggscore.RateLimit{RequestsPerSecond: 5.2}, Age: 40 * time.Millisecond}, {Endpoint: "r2", Age: time.Second},
 		},
--- a/io/ggspeer/wire.go
+++ b/io/ggspeer/wire.go
@@ -258,7 +258,7 @@
 func modeWires(xs []ggscore.TurnMode) []modeWire {
 	ws := make([]modeWire, 0, len(xs))
 	for _, x := range xs {
-		ws = append(ws, modeWire{Service: string(x.Service), Waits: x.Waits, DegradedBefore: x.DegradedBefore})
+		ws = append(ws, modeWire{Service: string(x.Service), Waits: x.Enforced, DegradedBefore: x.DegradedBefore})
 	}
 	return ws
 }
@@ -266,7 +266,7 @@
 func modesOf(ws []modeWire) []ggscore.TurnMode {
 	var xs []ggscore.TurnMode
 	for _, w := range ws {
-		xs = append(xs, ggscore.TurnMode{Service: ggscore.Service(w.Service), Waits: w.Waits, DegradedBefore: w.DegradedBefore})
+		xs = append(xs, ggscore.TurnMode{Service: ggscore.Service(w.Service), Enforced: w.Waits, DegradedBefore: w.DegradedBefore})
 	}
 	return xs
 }
