--- a/core/ggsresident/answers.go
+++ b/core/ggsresident/answers.go
@@ -86,7 +86,8 @@
 // accepted records an order that is being executed.
 //
 // An endpoint accepts a repeated order for an operation in progress whatever number the order
-// expects, and doesn't count it.
+// expects, and doesn't count it. A poll is such a repetition, so its acceptance leaves
+// l.sequence unchanged.
 func (l *Ledger) accepted(now time.Time, s Step) {
 	if h := l.held[s.Target]; s.Poll && h != nil {
 		h.pollAt = now.Add(l.options.PollInterval)
--- a/core/ggsresident/ledger.go
+++ b/core/ggsresident/ledger.go
@@ -45,37 +45,40 @@
 	DefaultPollInterval = 20 * time.Millisecond
 	// WantRetention is how long an adapter stays wanted after the last request for it.
 	WantRetention = 3 * time.Second
-	// minIdleTime is how long an adapter has to be unused before it is evicted. An eviction of
-	// an adapter in use blocks all other orders until the adapter's requests have ended, and
-	// new requests for the adapter are refused. Uses by other VMs are known after a heartbeat
-	// interval of 150 ms plus its delivery time.
+	// minIdleTime is how long an adapter, unless it is rare (see rareRequestRate), must have
+	// been unused before it is evicted. It exceeds the time until a use by another VM is known
+	// here: a 150 ms heartbeat interval plus the heartbeat's delivery. The eviction of an
+	// adapter in use blocks all other orders until the adapter's requests have ended, and new
+	// requests for the adapter are refused.
 	minIdleTime = 350 * time.Millisecond
 	// rareRequestRate is the request rate, in requests per second, below which an adapter is
-	// evicted as soon as all VMs have reported that they no longer use it. The reports are
-	// 0.1 s old on average, so at most one eviction in thirty coincides with a new
-	// request.
+	// evicted as soon as all VMs have reported that they no longer use it. The reports are 0.1 s
+	// old on average, in which at most 0.03 requests arrive, so at most one eviction in thirty
+	// coincides with a new request.
 	rareRequestRate = 0.3
 	// useReportMaxAge is the age up to which a VM's report that it uses an adapter is valid. Each
 	// heartbeat repeats the report.
 	useReportMaxAge = 600 * time.Millisecond
 	// warmLoadPoll is the time until the first poll for an adapter that the endpoint held
-	// recently. Such an adapter loads in a tenth of the time.
+	// recently. The endpoint may still have it in its own memory, and then loads it in a tenth
+	// of DefaultLoadTime.
 	warmLoadPoll = 26 * time.Millisecond
 	// resyncAfter is the time between an ambiguous answer and the resync from the endpoint's
-	// report. Reports are some 100 ms old, and a report from before the last order would undo
-	// it in the ledger.
+	// report. Reports are some 100 ms old. A report made before the last order was executed
+	// would remove that order's result from the ledger.
 	resyncAfter = 450 * time.Millisecond
 	// misdirectedPause is how long an endpoint gets no orders after another one answered at its
-	// address. It equals the heartbeat interval of the endpoint's entry.
+	// address. It equals the interval at which an endpoint renews its entry on the platform's
+	// list.
 	misdirectedPause = 1200 * time.Millisecond
 	// minBackoff and maxBackoff bound the exponential backoff before an unanswered order is
 	// repeated again.
 	minBackoff      = 10 * time.Millisecond
 	maxBackoff      = 500 * time.Millisecond
 	maxBackoffShift = 6
-	// maxWants bounds the adapters that wait to be loaded. It is two rounds of
-	// DefaultMaxInTransit, half a second in all; further requests are served faster at other
-	// endpoints.
+	// maxWants bounds the adapters that wait to be loaded. Loading that many,
+	// DefaultMaxInTransit at a time, takes half a second; requests for further adapters are
+	// served faster at other endpoints.
 	maxWants = 8
 )
 
@@ -90,7 +93,8 @@
 	MaxInTransit int
 	LoadTime     time.Duration
 	PollInterval time.Duration
-	// Unanswered are the unanswered orders to the endpoint's current and earlier processes.
+	// Unanswered holds the unanswered orders to the endpoint's current and earlier processes. If
+	// it is nil, the ledger starts without any.
 	Unanswered *Unanswered
 	// ReportDelay is the extra delivery time of VMs' use reports, compared with a heartbeat that
 	// is sent directly.
@@ -188,12 +192,12 @@
 	return l.ambiguousSince.IsZero() || now.Sub(l.ambiguousSince) < resyncAfter
 }
 
-// RecentlyMisdirected reports whether another endpoint has recently answered at the address. The
-// caller then pauses.
+// RecentlyMisdirected reports whether another endpoint has recently answered at the endpoint's
+// address. The caller then sends no orders and no status requests.
 //
-// A runner that restarts after a crash answers at its address under another identity, while
-// the previous entry stays on the list for 3.6 s. Without the pause, status requests and
-// orders alternated at a rate of 180 per second each.
+// A runner that restarts after a crash answers at its address under another identity, while its
+// previous entry stays on the platform's list for 3.6 s. Without the pause, status requests and
+// orders alternated, 180 of each per second.
 func (l *Ledger) RecentlyMisdirected(now time.Time) bool {
 	return !l.misdirectedAt.IsZero() && now.Sub(l.misdirectedAt) < misdirectedPause
 }
@@ -236,7 +240,7 @@
 }
 
 // keepReplacement keeps the state of a newer version in transit. The endpoint's report omits the
-// newer version while it waits for the previous version's requests.
+// newer version until the requests on the previous version have ended.
 func (h *held) keepReplacement(now time.Time, before *held) {
 	if before.inTransit && before.target > h.version {
 		h.inTransit, h.target, h.orderedAt, h.pollAt = true, before.target, before.orderedAt, now
--- a/core/ggsresident/ledger_test.go
+++ b/core/ggsresident/ledger_test.go
@@ -103,8 +103,9 @@
 	c.Assert(s, qt.DeepEquals, ggsresident.Step{Target: adapter(9), Expected: 8})
 }
 
-// Three orders in ten get no answer and are executed seconds later. The same order is repeated
-// at once under the same condition, so that only one of the two can take effect.
+// Guards against an order that takes effect twice, because it got no answer, was repeated at
+// once, and the first one is executed seconds later. Both have the same condition, so only one
+// can take effect.
 func TestUnansweredOrderIsRepeatedUnderItsCondition(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -167,9 +168,8 @@
 	c.Assert(l.Holds(adapter(1), 0), qt.IsFalse)
 }
 
-// After an ambiguous answer the number of accepted orders isn't known. The report is only
-// requested when it must be newer than the last order, since an older one would undo that
-// order in the ledger.
+// Guards against a report that is older than the last order and would remove that order's result
+// from the ledger. After an ambiguous answer, the ledger waits until a report must be newer.
 func TestAmbiguousAnswerIsResolvedByALaterReport(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -227,7 +227,8 @@
 	c.Assert(l.Version(adapter(0)), qt.Equals, uint64(2))
 }
 
-// A runner that restarts after a crash is empty. It holds no adapter, and no base model either.
+// Guards against orders to load an adapter into a runner that lacks the adapter's base model, as
+// after a crash and a restart.
 func TestEmptyRunnerGetsItsModelFirst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -343,8 +344,8 @@
 	}
 }
 
-// Guards against polls that block orders. Three orders in ten get no answer. While a poll waited
-// for one, which was half of the time, nothing else was loaded on the runner.
+// Guards against polls that block orders. Three orders in ten get no answer, so a poll was
+// waiting for one half of the time, and nothing else was loaded on the runner meanwhile.
 func TestPollsDoNotBlockOrders(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -385,9 +386,9 @@
 	c.Assert(l.RecentlyMisdirected(at(2*time.Second)), qt.IsFalse)
 }
 
-// Guards against a runner that crashes because it is ordered to load too many adapters. It
-// refuses a repeated eviction because it accepted a late order from the VM's previous process,
-// and the ledger assumed that the eviction had been executed.
+// Guards against a runner that crashes because it is ordered to load too many adapters: the
+// ledger assumes that an eviction was executed because its repetition is refused. The runner
+// refuses it because it accepted a late order of the VM's previous process instead.
 func TestRefusedRepeatFreesNoSlot(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsresident/orders.go
+++ b/core/ggsresident/orders.go
@@ -9,8 +9,8 @@
 )
 
 // Next returns the order that is due. Polls may be in flight at the same time as each other and
-// as one other order: a poll changes nothing, and the condition of one that is executed after
-// newer orders no longer holds.
+// as one other order: a poll changes nothing, and if it is executed after newer orders, its
+// condition no longer holds and the endpoint doesn't accept it.
 func (l *Ledger) Next(now time.Time) (Step, bool) {
 	if !l.synced {
 		return Step{}, false
@@ -203,8 +203,9 @@
 //
 // A rare adapter counts as unused as soon as its users have ended. Otherwise half of the slots
 // of a busy runner were held by adapters whose requests had ended and that waited minIdleTime
-// after the last report of use. That another VM has just sent a request for a rare adapter is
-// unlikely, and such a request only delays the runner's orders.
+// after the last report of use. Another VM is unlikely to have just sent a request for a rare
+// adapter. If it has, the eviction and the runner's other orders wait until that request has
+// ended.
 func (l *Ledger) unusedAt(now time.Time, h *held, rate float64) time.Time {
 	if h.released && rate < rareRequestRate && l.options.Policy.On(ggscore.MechanismRelease) {
 		return h.lastUsed
