--- a/core/ggsroute/bench_test.go
+++ b/core/ggsroute/bench_test.go
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("groups=%d/runners=%d/adapters=%d", f.groups, f.groups*f.runners, f.adapters)
 }
 
-// sizes returns the sizes at which the benchmarks run, for the growth of cost with
-// size: a small deployment, the design limit of 340 groups, and two between.
+// sizes returns the deployment sizes of the benchmarks, which show how costs grow: a small
+// deployment, the design limit of 340 groups, and two sizes between.
 func sizes() []fleet {
 	return []fleet{
 		{groups: 3, runners: 4, adapters: 3_000},
--- a/core/ggsroute/board.go
+++ b/core/ggsroute/board.go
@@ -26,8 +26,8 @@
 const (
 	// ViewWhole includes the adapters. It is for readers in the dispatchers' region.
 	ViewWhole View = iota
-	// ViewLoads leaves out the adapters. It is for other regions: their requests
-	// cross only where the gain exceeds the cost of loading an adapter anyway.
+	// ViewLoads leaves out the adapters. It is for readers in other regions, which send a
+	// request here only if the gain exceeds the cost of loading its adapter.
 	ViewLoads
 )
 
--- a/core/ggsroute/board_bench_test.go
+++ b/core/ggsroute/board_bench_test.go
@@ -29,7 +29,7 @@
 	return len(b), nil
 }
 
-// A churn generates the changes of groups' summaries from period to period.
+// A churn holds the groups' summaries and changes them from one period to the next.
 type churn struct {
 	rng       *rand.Rand
 	refs      []ggscore.AdapterRef
--- a/core/ggsroute/board_test.go
+++ b/core/ggsroute/board_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// A gateway misses a change, or prefers the older state of a lagging relay, and
-// its callers wait for loads of resident adapters for as long as it runs. After two
-// relays have caught up, it must choose as if it had read each summary itself.
+// Guards against a gateway that misses a change, or keeps the older state of a lagging relay, so
+// that its callers wait for loads of resident adapters. After reading two up-to-date relays, it
+// must choose as if it had read each summary itself.
 func TestBoardsMatchSummaries(t *testing.T) {
 	t.Parallel()
 	refs := adapterRefs(4)
@@ -108,8 +108,8 @@
 	})
 }
 
-// A dispatcher's VM fails. The relay still answers, so that the gateway regards
-// all of the relay's dispatchers as alive and sends requests to the failed one.
+// Guards against requests to a failed dispatcher, because a relay still answers and the gateway
+// regards all of that relay's dispatchers as alive.
 func TestBoardMarksDispatchersWithoutSummariesAsGone(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -132,8 +132,8 @@
 	c.Check(err, qt.IsNil)
 }
 
-// An answer of a relay is lost, and the next one starts at the lost version. If
-// the gateway applied it, the lost changes would be missing permanently.
+// Guards against changes that are missing permanently: a relay's answer is lost, and the gateway
+// applies the next answer, which starts at the lost version.
 func TestChangesAfterLostOnesAreRefused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -150,8 +150,8 @@
 	c.Check(b.Since(at(0), whole.To, ggsroute.ViewWhole).Groups, qt.HasLen, 0)
 }
 
-// A relay has deleted the tombstone of an evicted adapter, and a slow reader that
-// never received it continues to route to the adapter's former dispatcher.
+// Guards against a slow reader that continues to route to an evicted adapter's former
+// dispatcher, because the relay deleted the tombstone before the reader received it.
 func TestSlowReaderGetsWholeEntry(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsroute/choose.go
+++ b/core/ggsroute/choose.go
@@ -14,7 +14,8 @@
 // defaultLoadTime applies if the document sets no load time.
 const defaultLoadTime = 250 * time.Millisecond
 
-// A home is a pool with one of the highest rendezvous scores for an adapter.
+// A home of an adapter is a pool with one of the highest rendezvous scores for it, where it is
+// loaded by default.
 type home struct {
 	pool  *pool
 	score uint64
@@ -44,10 +45,9 @@
 	}
 }
 
-// bestHolder returns the best pool where the adapter is resident or loading.
-// Homes have precedence, and other pools count only if no home has a free slot.
-// The other replicas of an adapter whose rate has fallen thereby become idle and
-// are evicted.
+// bestHolder returns the best pool where the adapter is resident or loading. Homes have
+// precedence, and other pools count only if no home has a free slot. If an adapter's rate falls,
+// it has fewer homes, and its replicas elsewhere become idle and are evicted.
 func (r *Router) bestHolder(q *query, local bool) candidate {
 	best := candidate{}
 	if q.adapter == nil {
@@ -142,7 +142,8 @@
 	return best
 }
 
-// A bound is the load per slot below which a pool accepts new adapters by hash.
+// A bound is the load per slot below which a pool is chosen as the home of an adapter that isn't
+// resident.
 type bound struct{ perSlot float64 }
 
 // loadBound computes the bound from the mean load of a region's pools.
@@ -162,9 +163,9 @@
 	return float64(p.load()) < b.perSlot*float64(p.slots)
 }
 
-// leastLoaded returns the better of two pools chosen at random. The least loaded
-// of all pools would be the same one for every gateway until the next summaries,
-// and all gateways would send to it at once.
+// leastLoaded returns the better of two pools chosen at random. The least loaded of all pools
+// would be the same one for every gateway until the next summaries arrive, and all gateways
+// would send their requests to it at once.
 func (r *Router) leastLoaded(q *query, local bool) candidate {
 	pools := q.service.pools(local)
 	first := r.randomPool(q, pools)
@@ -226,13 +227,12 @@
 // avoidsLoad reports whether the request is sent to another region, where its
 // adapter is resident, instead of loading the adapter in this region.
 //
-// Otherwise each region would hold replicas of the same busy adapters, and the
-// weight store would serve each adapter once per region. With three regions of 32
-// adapter slots, the 96 slots would hold a third of the adapters that they can
-// hold, and callers would wait for queued loads. An adapter is loaded in this
-// region if the region's request rate justifies the load: the first request waits
-// for the load, and requests that arrive meanwhile cross. A crossing request
-// doesn't move the adapter, so an adapter can't alternate between regions.
+// Otherwise each region would hold replicas of the same busy adapters, and the weight store
+// would serve each adapter once per region. With three regions of 32 adapter slots, the 96 slots
+// would hold only 32 different adapters instead of up to 96, and callers would wait for queued
+// loads. An adapter is loaded in this region if the region's request rate justifies the load:
+// the first request waits for the load, and requests that arrive meanwhile cross. A request that
+// crosses doesn't evict its adapter there, so an adapter can't alternate between regions.
 func (r *Router) avoidsLoad(q *query, local *candidate) bool {
 	price := r.policy.CrossRegionPrice
 	if local.stall <= price {
@@ -329,8 +329,8 @@
 	shrinkUtilization = 0.5
 )
 
-// homeSlots returns the number of slots that one home offers an adapter: half of
-// the mean number of slots of the region's pools.
+// homeSlots returns the number of slots that an adapter is assumed to get at each of its homes:
+// half of the mean number of slots of the region's pools.
 func (s *service) homeSlots() float64 {
 	if len(s.local) == 0 {
 		return 0
--- a/core/ggsroute/crossing.go
+++ b/core/ggsroute/crossing.go
@@ -16,8 +16,8 @@
 	total int64
 }
 
-// allows reports whether a request with its answer of that size may cross now.
-// One that exceeds the size of the bucket crosses when the bucket is full.
+// allows reports whether a request may cross now that takes the given number of bytes, its
+// answer included. A request larger than the bucket may cross when the bucket is full.
 func (b *tokenBucket) allows(now time.Time, bytes int) bool {
 	b.refill(now)
 	return b.rate == 0 || b.tokens >= min(float64(bytes), b.rate*crossRegionBurstSeconds)
@@ -49,7 +49,7 @@
 	}
 }
 
-// waitFor returns the time until a request of that size may cross.
+// waitFor returns the time until a request that takes the given number of bytes may cross.
 func (b *tokenBucket) waitFor(bytes int) time.Duration {
 	if b.rate == 0 {
 		return 0
--- a/core/ggsroute/pool.go
+++ b/core/ggsroute/pool.go
@@ -22,7 +22,7 @@
 	pools   []*pool
 }
 
-// A pool is a dispatcher's endpoints of one service.
+// A pool is the router's state of a dispatcher's endpoints of one service.
 type pool struct {
 	dispatcher *dispatcher
 	service    *service
@@ -33,10 +33,10 @@
 	endpoints int
 	// reported is the number of requests running and queued, as last reported.
 	reported int
-	// unreported is the number of own requests sent since the last report, less
-	// those that ended since.
+	// unreported is the number of this gateway's requests sent since the last report, less those
+	// that ended since.
 	unreported int
-	// inFlight is the number of own requests in flight.
+	// inFlight is the number of this gateway's requests in flight.
 	inFlight int
 	loading  int
 	// stall is the mean stall of requests that waited for a load, as of
@@ -50,9 +50,9 @@
 	generation uint64
 }
 
-// An adapter is one that is resident or loading on some pool. Adapters are
-// identified by their hash alone. On a collision, a request is at worst routed
-// to a pool that must load its adapter first.
+// An adapter is the state of an adapter that is resident or loading on some pool. Adapters are
+// identified by their hash alone. On a collision, a request is at worst routed to a pool that
+// must load its adapter first.
 type adapter struct {
 	hash    uint64
 	holders []holder
@@ -63,8 +63,8 @@
 	pool *pool
 	// score is the adapter's rendezvous score for the pool.
 	score uint64
-	// slots and load are those of the runners where the adapter is resident;
-	// unreported counts own requests as in pool.
+	// slots and load are those of the runners where the adapter is resident; unreported counts
+	// this gateway's requests, as in pool.
 	slots      int
 	load       int
 	unreported int
@@ -72,8 +72,8 @@
 	// runners is the number of runners where the adapter is resident. It is set
 	// only from boards.
 	runners int
-	// presumedUntil is how long the holder is kept for a load that an own
-	// request must have caused and that no summary shows yet.
+	// presumedUntil is the time until which the holder is kept although no summary names it: a
+	// request of this gateway must have caused a load there.
 	presumedUntil time.Time
 	generation    uint64
 }
@@ -170,7 +170,7 @@
 	return h
 }
 
-// clear resets the state from the last summary and keeps the count of own requests
+// clear resets the state from the last summary. It keeps the number of this gateway's requests
 // in flight.
 func (p *pool) clear() {
 	p.service.loading -= p.loading
--- a/core/ggsroute/rate.go
+++ b/core/ggsroute/rate.go
@@ -18,7 +18,7 @@
 	slots [rateSlots]rateSlot
 }
 
-// A rateSlot is the rate of one adapter.
+// A rateSlot is the rate of one adapter, as of the time at.
 type rateSlot struct {
 	hash      uint64
 	at        time.Time
--- a/core/ggsroute/region_test.go
+++ b/core/ggsroute/region_test.go
@@ -18,7 +18,7 @@
 	price             = 50 * time.Millisecond
 )
 
-// A twoRegions is two regions with a dispatcher and gateways each.
+// A twoRegions simulates two regions, each with one dispatcher and several gateways.
 type twoRegions struct {
 	regions  [2]ggscore.Region
 	gateways [2][]*ggsroute.Router
@@ -38,7 +38,7 @@
 	return p
 }
 
-// publish gives all gateways both dispatchers' summaries.
+// publish updates all gateways with the summaries of both dispatchers.
 func (p *twoRegions) publish(now time.Time, seq uint64) {
 	for side, region := range p.regions {
 		s := summary(string(region), seq)
@@ -78,9 +78,9 @@
 	}
 }
 
-// One region has 1.5 times the load that it can serve, and the other is idle. All
-// gateways of the busy region see the same idle summary, send every request across
-// and switch back a second later: callers wait in both, and bytes cross without a gain.
+// Guards against gateways of an overloaded region that all see the same idle summary of another
+// region, send every request there and switch back a second later. Callers would wait in both
+// regions, and bytes would cross without a gain.
 func TestRegionsDoNotOscillate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -103,9 +103,9 @@
 	c.Check(p.crossed > 600 && p.crossed < 3000, qt.IsTrue, qt.Commentf("%d of 6600 requests crossed", p.crossed))
 }
 
-// A region loses its runners, and all its callers' requests cross to the other.
-// Traffic between regions is billed by volume, so without a limit one hour of
-// outage costs as much as a year of normal traffic.
+// Guards against unlimited traffic to another region after a region loses its runners. Such
+// traffic is billed by volume: one hour of outage would cost as much as a year of normal
+// traffic.
 func TestBytesAcrossRegionsAreBounded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -182,9 +182,9 @@
 	}
 }
 
-// Three regions each hold the same thirty busy adapters, so that callers of all
-// other adapters wait for loads. A rare adapter must be used where it is resident.
-// A busy one must be loaded locally, and its callers cross until it is.
+// Guards against three regions that each hold the same thirty adapters, so that callers of all
+// others wait for loads. Requests for a rare adapter must cross to where it is resident; those
+// for a busy one only until it is loaded locally.
 func TestRareAdaptersCrossToTheirRegion(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -222,9 +222,8 @@
 	}
 }
 
-// Loads queue at a dispatcher for seconds, and its summaries don't show the queue.
-// Every caller of a rare adapter is sent there to wait, while loads at another
-// dispatcher take 250 ms.
+// Guards against sending every caller of a rare adapter to a dispatcher where loads queue for
+// seconds, which its summaries don't show, while loads at another dispatcher take 250 ms.
 func TestReportedStallsRaisePrediction(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsroute/replica_test.go
+++ b/core/ggsroute/replica_test.go
@@ -29,7 +29,7 @@
 	ends   time.Duration
 }
 
-// endDue ends the requests that are due.
+// endDue ends the requests whose end time has passed.
 func (b *testbed) endDue() {
 	for len(b.requests) > 0 && b.requests[0].ends <= b.now {
 		b.router.Ended(at(b.now), b.requests[0].choice, ggsroute.End{Held: time.Second})
@@ -70,9 +70,9 @@
 	return counts
 }
 
-// A rare adapter becomes the busiest: with one home, its callers queue while other
-// dispatchers' batches have free slots. After the peak, replicas that stay occupy
-// adapter slots that other adapters need.
+// Guards against a rare adapter that becomes the busiest but keeps one home: its callers would
+// queue while other dispatchers have free slots. After the peak, replicas that stayed would
+// occupy adapter slots that other adapters need.
 func TestReplicasFollowTheRate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -94,9 +94,9 @@
 	c.Check(after, qt.DeepEquals, quiet)
 }
 
-// An adapter's rate varies around the threshold for one more replica. Without
-// hysteresis, the replica is loaded and evicted alternately, and each load delays
-// loads of other adapters.
+// Guards against a replica that is loaded and evicted alternately because its adapter's rate
+// varies around the threshold for one more replica. Each load would delay loads of other
+// adapters.
 func TestReplicaCountHasHysteresis(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -116,8 +116,8 @@
 	c.Check(changes <= 1, qt.IsTrue, qt.Commentf("%d changes of the number of homes", changes))
 }
 
-// An overloaded home receives every new adapter that hashes to it while other
-// dispatchers are idle, and its callers queue for slots.
+// Guards against an overloaded home that receives every new adapter that hashes to it, so that
+// callers queue for slots while other dispatchers are idle.
 func TestOverloadedHomeIsSkipped(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -135,8 +135,8 @@
 	}
 }
 
-// A VM is replaced and another takes its runners over. If the homes depended on
-// the VM, all adapters would be loaded again elsewhere.
+// Guards against loading all adapters of a VM's runners again elsewhere when another VM takes
+// these runners over. Homes must depend on the runners only.
 func TestHomesStayWhenADispatcherIsReplaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsroute/route.go
+++ b/core/ggsroute/route.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// loadFactor is the bound of a pool's load per slot, as a multiple of the
-	// mean of the region's pools.
+	// loadFactor times the mean load per slot of the region's pools is the load per slot below
+	// which a pool is chosen as a home.
 	loadFactor = 1.25
-	// minBoundPerSlot is the lowest bound, in requests per slot, so that on an
-	// idle deployment adapters stay at their homes.
+	// minBoundPerSlot is the lowest value of that bound, in requests per slot. Without it, the
+	// bound of an idle deployment would be almost zero and adapters would leave their homes.
 	minBoundPerSlot = 0.75
-	// replicaDiscount is the factor on the predicted stall of a load if the
-	// adapter's rate needs another replica.
+	// replicaDiscount multiplies the predicted stall of a load if the adapter's rate needs
+	// another replica, so that the load is chosen more readily.
 	replicaDiscount = 0.5
 	// maxReplicas is the highest number of homes of one adapter.
 	maxReplicas = 16
@@ -111,7 +111,8 @@
 	return p.usable(q.now) && (len(q.exclude) == 0 || !slices.Contains(q.exclude, p.dispatcher.vm))
 }
 
-// Ended reverts what Sent counted, and updates the means from the request's end.
+// Ended removes the request from the counts of requests in flight, and updates the mean times
+// and sizes with its End.
 func (r *Router) Ended(now time.Time, c Choice, e End) {
 	p := c.pool
 	p.inFlight = max(p.inFlight-1, 0)
@@ -167,7 +168,8 @@
 	}, nil
 }
 
-// Sent counts a request that is sent to the chosen dispatcher.
+// Sent records that a request was sent to the chosen dispatcher. If that is in another region,
+// Sent takes the request's bytes from the cross-region budget.
 func (r *Router) Sent(now time.Time, c Choice) {
 	p := c.pool
 	p.inFlight++
--- a/core/ggsroute/route_test.go
+++ b/core/ggsroute/route_test.go
@@ -173,9 +173,9 @@
 	c.Check(second.Reason, qt.Equals, ggsroute.ReasonLoading)
 }
 
-// A VM's clock is set back before its dispatcher restarts. The new summaries sort
-// before those of the earlier incarnation, and the dispatcher receives no requests
-// for as long as it runs.
+// Guards against a dispatcher that receives no requests for as long as it runs, because its VM's
+// clock was set back before it started and its summaries sort before those of the earlier
+// incarnation.
 func TestRestartAfterClockSetBack(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -189,9 +189,8 @@
 	c.Check(err, qt.IsNil)
 }
 
-// A summary that a dispatcher sent before it began to leave is delayed and arrives
-// after the leaving one. Requests are then sent to the leaving dispatcher until it
-// stops, and each is refused or cut off.
+// Guards against requests to a leaving dispatcher, where each is refused or cut off. A summary
+// from before it began to leave is delayed and arrives after the one that says that it leaves.
 func TestDelayedSummaryDoesNotRestoreLeavingDispatcher(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -253,8 +252,8 @@
 	}
 }
 
-// Boards are read every ten seconds. A dispatcher fills up in between, and gateways
-// continue to send to it although each answer reports its load.
+// Guards against gateways that continue to send to a full dispatcher although each answer
+// reports its load, because they read boards only every ten seconds.
 func TestObservedLoadChangesChoice(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsroute/update.go
+++ b/core/ggsroute/update.go
@@ -7,7 +7,7 @@
 	ggscore "greengageslip/core"
 )
 
-// tombstoneAge is how long the summary order of a removed dispatcher is kept. It
+// tombstoneAge is how long the position of a removed dispatcher's last summary is kept. It
 // exceeds any delay of a summary in transit.
 const tombstoneAge = time.Hour
 
@@ -59,9 +59,9 @@
 	d.order.leaving = true
 }
 
-// Remove deletes the state of a dispatcher that no longer exists. The position in
-// the order of its summaries is kept for tombstoneAge, so that a delayed summary
-// can't make the dispatcher usable again.
+// Remove deletes the state of a dispatcher that no longer exists. The position of its last
+// summary is kept for tombstoneAge, so that a delayed summary can't make the dispatcher usable
+// again.
 func (r *Router) Remove(now time.Time, vm ggscore.VMID) {
 	r.evictRemoved(now)
 	d, ok := r.dispatchers[vm]
