--- a/core/ggsschedule/cost_test.go
+++ b/core/ggsschedule/cost_test.go
@@ -165,8 +165,8 @@
 	return n
 }
 
-// Allocations on the hot path would cause garbage collection pauses in the dispatcher.
-// The test isn't parallel, since it counts the allocations of the whole process.
+// Guards against allocations on the hot path, which would cause garbage collection pauses in the
+// dispatcher. The test isn't parallel, since it counts the allocations of the whole process.
 //
 //nolint:paralleltest // see above
 func TestHotPathAllocatesNothing(t *testing.T) {
--- a/core/ggsschedule/costs.go
+++ b/core/ggsschedule/costs.go
@@ -12,29 +12,31 @@
 	// minRefillRate is the popularity, in arrivals a second, below which an adapter is not
 	// loaded ahead of demand.
 	minRefillRate = 0.002
-	// hysteresis is how many times more popular an adapter must be than the one evicted for
-	// it ahead of demand. Without it the two would evict each other in turn.
+	// hysteresis is how many times more popular an adapter must be than the one evicted for it
+	// ahead of demand. Without this factor the two would evict each other in turn.
 	hysteresis = 2
 	// replicatedCostFactor scales the cost of an eviction when the adapter is also resident
 	// on another runner.
 	replicatedCostFactor = 0.25
-	// fullOccupancyCost is the cost, in arrivals a second, of loading onto a runner whose
-	// request slots are all taken.
+	// fullOccupancyCost is the cost of loading onto a runner whose request slots are all taken,
+	// in the unit of eviction costs: arrivals a second that would need a reload.
 	fullOccupancyCost = 0.05
 	// backlogMaxAge bounds the age of the counts from which waits are predicted.
 	backlogMaxAge = 250 * time.Millisecond
-	// loadRateWindow is the time constant of the mean rate of loads. The predicted rate is
-	// at least minLoadRateFraction of the share.
+	// loadRateWindow is the time constant of the mean rate of loads. The predicted rate is at
+	// least minLoadRateFraction of this owner's share of the weight store's rate.
 	loadRateWindow      = 10 * time.Second
 	minLoadRateFraction = 0.05
-	// standingAfter is how long a load queue must stand before new requests are refused. With
-	// a StallWeight of 1, waitTargetLoads is the wait target in load times.
+	// standingAfter is how long the wait for loads must exceed the wait target before new
+	// requests are refused. With a StallWeight of 1, waitTargetLoads is the wait target in load
+	// times.
 	standingAfter   = 2 * time.Second
 	waitTargetLoads = 2
 	// evictedSmoothing is the inverse weight of a new sample in the mean popularity of
 	// evicted adapters.
 	evictedSmoothing = 16
-	// standingEndPressure is the pressure below which a queue no longer counts as standing.
+	// standingEndPressure is the predicted wait, as a fraction of the wait target, below which a
+	// queue no longer counts as standing.
 	standingEndPressure = 0.1
 	// waitTargetUrgent is the factor on the wait target of the highest priority. Each lower
 	// priority adds waitTargetStep, up to a factor of 1.
@@ -167,10 +169,10 @@
 	return v.backlog / v.loadRate
 }
 
-// standingQueue reports whether the load queue has exceeded the wait target for longer
-// than standingAfter. A burst may fill the queue up to the budgets. A standing queue
-// delays every request without raising the throughput of loads, so it is shortened by
-// refusing new requests early.
+// standingQueue reports whether the load queue has exceeded the wait target for longer than
+// standingAfter. A burst may fill the queue until waits reach the requests' time budgets. A
+// standing queue delays every request without raising the throughput of loads, so it is
+// shortened by refusing new requests early.
 func (s *Scheduler) standingQueue(now time.Time, v *service) bool {
 	p := s.pressure(now, v)
 	switch {
--- a/core/ggsschedule/dispatch.go
+++ b/core/ggsschedule/dispatch.go
@@ -192,8 +192,8 @@
 	return n
 }
 
-// servable reports whether any endpoint could serve the adapter's requests in its
-// present mode, if necessary after a load or a pause.
+// servable reports whether any endpoint, in that endpoint's present mode, could serve the
+// adapter's requests, if necessary after a load or a pause.
 func (a *adapter) servable() bool {
 	for _, e := range a.service.endpoints {
 		if e.spec.Leaving || e.mode == ggscore.ModeNone {
--- a/core/ggsschedule/first_report_test.go
+++ b/core/ggsschedule/first_report_test.go
@@ -12,8 +12,9 @@
 	"greengageslip/core/ggsschedule"
 )
 
-// A new owner refused requests after a planned stop: its runners had not reported yet
-// and counted as full, and the rate of loads reached so far was zero.
+// Guards against a new owner that refuses requests after a planned stop of the previous one,
+// because its runners, which have not reported yet, count as full and its rate of loads is still
+// zero.
 func TestNewOwnerDoesNotRefuseBeforeTheFirstReport(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsschedule/loads.go
+++ b/core/ggsschedule/loads.go
@@ -188,8 +188,8 @@
 	r.setState(stateGone, now)
 }
 
-// removeReplica removes a replica. If the replica was lost without an order of this
-// owner, its adapter is listed for loading again.
+// removeReplica removes a replica. lost says that it disappeared without an unload by this
+// scheduler; its adapter is then added to service.refill, unless it needs no replica.
 func (s *Scheduler) removeReplica(now time.Time, r *replica, lost bool) {
 	if r.state == stateReserved {
 		s.cancelReserved(now, r)
--- a/core/ggsschedule/machine_test.go
+++ b/core/ggsschedule/machine_test.go
@@ -81,8 +81,8 @@
 	// finished load or a report, false after an order to evict it.
 	knownResident map[slotKey]bool
 	evicted       map[slotKey]time.Time
-	// orderedUnder holds the incarnation and the ownership that the scheduler knew when it
-	// ordered a load or an eviction.
+	// orderedUnder holds, for each load or eviction, the engine incarnation and the ownership
+	// that the scheduler knew when it ordered it.
 	orderedUnder map[slotKey]string
 	snapshots    []ggscore.RunnerReport
 	delayed      []delayedEffect
@@ -579,10 +579,9 @@
 	}
 }
 
-// Engines restart, fail loads, lose ends, leave and change owners, and reports come
-// late, twice or never. The scheduler must not evict an adapter that a run uses,
-// dispatch a request twice or lose one: callers would get broken answers, duplicate
-// runs or no answer.
+// Guards against evicting an adapter that a run uses, and against dispatching a request twice or
+// never. Engines restart, fail loads, leave and change owners, answers to orders are lost, and
+// reports come late, twice or never.
 func TestSchedulerKeepsItsContract(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/ggsschedule/plan.go
+++ b/core/ggsschedule/plan.go
@@ -158,8 +158,9 @@
 	return true
 }
 
-// orderRefill orders the load of the most popular adapter that a restart removed, if no
-// runner has the adapter and one can load it. It reports whether it ordered a load.
+// orderRefill orders the load of the most popular adapter in service.refill, the list of
+// adapters lost by a restart or a removal, if no runner has the adapter and one can load it. It
+// reports whether it ordered a load.
 func (s *Scheduler) orderRefill(now time.Time) bool {
 	for _, v := range s.ordered {
 		for len(v.refill) > 0 {
--- a/core/ggsschedule/policies_test.go
+++ b/core/ggsschedule/policies_test.go
@@ -165,7 +165,8 @@
 	what := qt.Commentf("%s %s", cost.w.name, cost.c.name)
 	stall, most := cost.o.stall(0.95), max(base.o.stall(0.95), stallFloor)
 	if cost.o.refused*10 < base.o.refused {
-		// The baseline refuses the requests that would have stalled longest.
+		// Here the baseline refused over ten times as many requests, those that would have
+		// stalled longest, so its stall percentile is too low for comparison.
 		most *= 2
 	}
 	c.Check(stall <= most, qt.IsTrue, qt.Commentf("%s %s: stall p95 %s, most %s", cost.w.name, cost.c.name, stall, most))
@@ -179,8 +180,8 @@
 // about 1 or more.
 const minEfficiency = 0.8
 
-// stallFloor is a stall that no policy can undercut while more than one request in
-// twenty needs a load: an eviction, a load and a short wait for its token.
+// stallFloor is the least p95 stall under any policy if more than 5% of the requests need a
+// load: the time of an eviction, a load and a short wait for the load rate limit.
 const stallFloor = 300 * time.Millisecond
 
 func ms(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/core/ggsschedule/stories_test.go
+++ b/core/ggsschedule/stories_test.go
@@ -44,9 +44,9 @@
 	return all
 }
 
-// The answer of a load is lost. A report from before the order must not settle the
-// load: the scheduler would order it twice, or dispatch to an adapter that isn't
-// resident.
+// Guards against a report from before a load order that is taken as the load's result when the
+// order's answer was lost. The scheduler would order the load twice, or dispatch to an adapter
+// that isn't resident.
 func TestOldReportDoesNotSettleLoad(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -65,8 +65,8 @@
 	c.Assert(kinds(s.Report(now, report("r1", "one", now, idle("a")...))), qt.DeepEquals, []string{"dispatch q1"})
 }
 
-// The answer of an eviction is lost and the adapter is still resident. The eviction may
-// still take effect, so the adapter is unloaded again before it serves requests.
+// Guards against requests on an adapter whose eviction got no answer and may still take effect.
+// The adapter is unloaded again before it serves requests.
 func TestLostEvictionIsRepeated(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -84,9 +84,8 @@
 	c.Assert(orders, qt.Not(qt.Contains), "dispatch q2")
 }
 
-// An old owner's request still streams its answer when a new owner takes over the
-// runner. The new owner doesn't know the request, and evicting its adapter would break
-// the answer.
+// Guards against the eviction of an adapter that a request of the previous owner uses, which
+// this owner knows only from reports. The eviction would break the request's answer.
 func TestForeignRunPinsUntilIdle(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -105,8 +104,9 @@
 	c.Assert(kinds(s.Report(now, report("r1", "one", now, idle("a")...))), qt.DeepEquals, []string{"unload a"})
 }
 
-// A paused old owner sends a request after the new owner's first report. The next
-// report shows more runs than the new owner's own, and the adapter must not be evicted.
+// Guards against the eviction of an adapter whose report counts more running requests than this
+// owner dispatched: the previous owner, which was paused, sent the rest after this owner's first
+// report.
 func TestForeignRunInLaterReportPins(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -121,8 +121,8 @@
 	c.Assert(kinds(s.Submit(now, request("q1", "b"))), qt.HasLen, 0)
 }
 
-// The connection breaks after the dispatch of a non-idempotent request. A second
-// dispatch could run it twice, so only proof that it didn't run allows a retry.
+// Guards against running a non-idempotent request twice when its connection breaks after the
+// dispatch. Only proof that the request didn't run allows a retry.
 func TestUnknownEndIsNotDispatchedAgain(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -148,8 +148,8 @@
 	}
 }
 
-// A runner restarts without its adapters. Loading all at once would stall the weight
-// store, and loading rare adapters first would delay the callers of popular ones.
+// Guards against loading all adapters of a restarted runner at once, which would stall the
+// weight store, and against loading rare adapters before popular ones.
 func TestRestartReloadsMostPopularFirst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -172,8 +172,8 @@
 	c.Assert(kinds(s.LoadEnded(now, "r1", ref("busy"), ggscore.EndDone)), qt.DeepEquals, []string{"load rare"})
 }
 
-// One market sends a burst, and another sends a few requests after it. In the order of
-// arrival the few would wait for the whole burst.
+// Guards against serving markets in the order of arrival: the few requests of one market would
+// wait for a whole burst of another.
 func TestMarketsShareByWeight(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -206,8 +206,8 @@
 	c.Assert(served, qt.DeepEquals, map[string]int{"flood": 3, "few": 6})
 }
 
-// Long requests are queued when an interactive one arrives. The interactive request
-// must run first, and among equal priorities the one with the nearest deadline.
+// Guards against an interactive request that waits behind long ones queued earlier. Among equal
+// priorities, the request with the nearest deadline runs first.
 func TestPriorityThenDeadline(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -236,8 +236,8 @@
 	c.Assert(order, qt.DeepEquals, []string{"dispatch q4", "dispatch q3", "dispatch q2"})
 }
 
-// A request can't be served within its budget. An immediate refusal leaves the caller
-// time to retry elsewhere.
+// Guards against queueing a request that can't be served within its time budget. An immediate
+// refusal leaves the caller time to retry elsewhere.
 func TestUnservableRequestIsRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -274,8 +274,9 @@
 	}
 }
 
-// Loads of one adapter keep failing. Its retries must not delay requests for other
-// adapters, and its own requests must be refused within their budget.
+// Guards against repeated loads of an adapter whose loads keep failing, which would delay
+// requests for other adapters. The adapter's own requests must be refused within their time
+// budget.
 func TestFailedLoadDoesNotBlockOthers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -305,9 +306,9 @@
 	c.Fatal("the request of the failing adapter was never answered")
 }
 
-// An eviction takes ten seconds while the token of its load is reserved. If the bucket
-// filled up meanwhile, two loads would follow at once and exceed the owner's share of
-// the weight store.
+// Guards against two loads at once, which exceed the owner's share of the weight store. The
+// token of a load is reserved during its eviction, here ten seconds, and the bucket must not
+// fill up meanwhile.
 func TestSlowEvictionDoesNotExceedBurst(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -327,8 +328,9 @@
 	c.Assert(kinds(s.Tick(now.Add(time.Second))), qt.DeepEquals, []string{"unload b"})
 }
 
-// Two loads wait for evictions when the owner's share shrinks to one load a second.
-// Ordering both at once would exceed the share, and with it the sum of all shares.
+// Guards against ordering two loads at once that waited for evictions when the owner's share
+// shrank to one load a second. Together they would exceed the share, and the sum of all owners'
+// shares its limit.
 func TestShrunkShareHoldsForReservedLoads(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -343,8 +345,8 @@
 	c.Assert(kinds(s.Tick(now.Add(time.Second))), qt.DeepEquals, []string{"load d"})
 }
 
-// The load of an adapter is delayed while deferrable requests for it arrive. Each must
-// be dispatched after the load or refused before its budget runs out; none may be lost.
+// Guards against lost deferrable requests that arrive while the load of their adapter is
+// delayed. Each must be dispatched after the load, or refused before its time budget runs out.
 func TestDeferrableRequestsAreAllAnswered(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -386,8 +388,8 @@
 	}
 }
 
-// Ownership moves to another VM and back. A report from before shows an adapter that
-// the other owner may have evicted since, and requests would be dispatched to it.
+// Guards against dispatching to an adapter that another owner may have evicted: ownership moved
+// to another VM and back, and a report from before still shows the adapter.
 func TestReportFromBeforeOwnershipIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -406,9 +408,9 @@
 	c.Assert(orders, qt.DeepEquals, []string{"dispatch q1", "load b"})
 }
 
-// An earlier owner's request starts on a protected adapter before the ownership is
-// full. A report counts one run, which may be the new owner's request in flight. After
-// that request ends, the adapter must stay until a report shows it idle.
+// Guards against the eviction of a protected adapter on which an earlier owner's request runs. A
+// report counts one run, which may also be this owner's request, so the adapter must stay after
+// that request ends until a report shows it idle.
 func TestNewOwnershipPinsAdapters(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -431,8 +433,8 @@
 	c.Assert(kinds(s.Report(now, report("r1", "one", now, idle("a")...))), qt.DeepEquals, []string{"unload a"})
 }
 
-// A caller hangs up while its request runs, and the run fails. A retry would occupy a
-// slot for an answer that nobody reads.
+// Guards against the retry of a failed run whose caller has disconnected. It would occupy a slot
+// for an answer that nobody reads.
 func TestCancelledRequestIsNotRetried(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -446,8 +448,8 @@
 	c.Assert(orders[0].Failure.Kind, qt.Equals, ggscore.FailureCancelled)
 }
 
-// A runner fails every request at once. Unbounded retries would never end, and without
-// a pause the runner, whose slots are always free, would attract all other requests.
+// Guards against endless retries on a runner that fails every request immediately. Its slots are
+// always free, so without a pause it would attract all other requests too.
 func TestFailingRunnerIsPaused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -464,8 +466,8 @@
 	c.Assert(kinds(s.Tick(s.NextTick())), qt.DeepEquals, []string{"dispatch q2"})
 }
 
-// The last runner is lost while requests are queued. They must be refused at once with
-// outcome notRun, not when their budget runs out.
+// Guards against requests that stay queued until their time budget runs out after the last
+// runner was lost. They must be refused at once with outcome notRun.
 func TestQueuedRequestsAreRefusedWhenRunnerIsLost(t *testing.T) {
 	t.Parallel()
 	for name, removeRunner := range map[string]func(s *ggsschedule.Scheduler, now time.Time) []ggscore.Order{
@@ -494,8 +496,8 @@
 	}
 }
 
-// A runner is lost with adapters as popular as those on the remaining runner. Loading
-// them ahead of demand would evict the others, which would be loaded back in turn.
+// Guards against loading a lost runner's adapters ahead of demand when that evicts equally
+// popular ones. These would be reloaded, evicting the first again.
 func TestRefillDoesNotThrash(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -513,8 +515,8 @@
 	c.Assert(kinds(s.RemoveEndpoint(now, "r2")), qt.HasLen, 0)
 }
 
-// A connection breaks, but the engine continues the run. A report from before the break
-// shows the adapter idle and must not permit an eviction.
+// Guards against the eviction of an adapter whose run the engine continues after the connection
+// broke, because a report from before the break shows the adapter idle.
 func TestOldReportDoesNotUnpin(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -534,9 +536,8 @@
 	c.Assert(kinds(s.Report(now, report("r1", "one", now, idle("a")...))), qt.DeepEquals, []string{"unload a"})
 }
 
-// A report still shows an adapter shortly after its eviction and must not attract
-// requests to it. An adapter that a later report shows was loaded by another owner and
-// takes a slot.
+// Guards against dispatching to an evicted adapter that a delayed report still shows. If a later
+// report shows it, another owner has loaded it, and it occupies a slot.
 func TestEvictedAdapterInLaggingReportIsIgnored(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsschedule/tables.go
+++ b/core/ggsschedule/tables.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// minTrackedRate is the popularity, in arrivals a second, below which an adapter's
+	// minTrackedRate is the popularity, in arrivals a second, below which an idle adapter's
 	// entry may be removed.
 	minTrackedRate = 0.0005
-	// sweepsPerInsert is the number of entries that are checked for each new one.
+	// sweepsPerInsert is the number of adapter entries that are checked for removal at each new
+	// one.
 	sweepsPerInsert = 2
 )
 
@@ -215,7 +216,8 @@
 	// evicted adapters.
 	drift   ggspopularity.Drift
 	evicted float64
-	// refill lists adapters that a restart or a removal took from a runner.
+	// refill lists the adapters that were lost from a runner by its restart or removal, to be
+	// loaded again.
 	refill []*adapter
 	// runTime is the mean time of a run, or zero while unknown.
 	runTime time.Duration
@@ -257,14 +259,14 @@
 	v.allAdapters = v.allAdapters[:n-1]
 }
 
-// A job is one request that was submitted and hasn't ended.
+// A job is the scheduler's state of one request that was submitted and hasn't ended.
 type job struct {
 	item     ggsqueue.Item[*job]
 	request  *ggscore.Request
 	adapter  *adapter
 	replica  *replica
 	endpoint *endpoint
-	// bound is the only endpoint that a baseline policy allows.
+	// bound is the only endpoint on which a baseline policy allows the job, or nil.
 	bound *endpoint
 	// queuedAt is when the wait began; batchUntil ends the wait for a fuller batch.
 	queuedAt   time.Time
