--- a/core/ggsshare/borrow.go
+++ b/core/ggsshare/borrow.go
@@ -11,7 +11,8 @@
 type unitState struct {
 	// heldRevision is the revision of this borrower's record, zero if it holds none.
 	heldRevision ggscore.StoreRevision
-	// turnStart is when the current turn with the unit began.
+	// turnStart is when the current turn began: the time for which the unit may be kept although
+	// another borrower waits.
 	turnStart time.Time
 	// releasedRevision is the greatest revision that the borrower has released.
 	releasedRevision ggscore.StoreRevision
@@ -22,9 +23,10 @@
 // adopt marks a record's unit as held if the record belongs to the current lease.
 //
 // A delete whose answer was lost may take effect much later, and a list may still contain the
-// record from before the delete. If the borrower used the unit again, the unit would have two
-// holders as soon as another borrows it. A released revision is therefore never adopted. A
-// later put gives the record a new revision, which the late delete doesn't match.
+// record from before the delete. If the borrower used the unit again, the late delete would free
+// it for another borrower, and the unit would have two holders. A released revision is therefore
+// never adopted. A later put gives the record a new revision, which the late delete doesn't
+// match.
 func (b *Borrower) adopt(now time.Time, r Record) {
 	x := b.unitState(r.Unit)
 	if r.Lease != b.lease.ID || r.Lease == 0 || r.Revision <= x.releasedRevision {
@@ -68,8 +70,8 @@
 	return orders
 }
 
-// borrowable returns the number of units that may be borrowed. During a change of plan it is
-// the smaller number of the two plans.
+// borrowable returns the number of units that may be borrowed. During a change of plan, the
+// smaller of the two plans' numbers counts.
 func (b *Borrower) borrowable() int {
 	if b.growsAt.IsZero() {
 		return b.plan.Borrowed()
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -29,8 +29,8 @@
 import ggscore "greengageslip/core"
 
 // staticShare is the share of units that are static. It is small, since a static unit is idle
-// while its group loads nothing. It isn't zero, since a group that can't reach the platform
-// could then load nothing at all.
+// while its group loads nothing. It isn't zero, since a group that can't reach the platform can
+// use static units only and could then load nothing.
 const staticShare = 0.25
 
 // A Unit is the number of a borrowed unit.
--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -8,12 +8,13 @@
 )
 
 const (
-	// growDelay is the time from a change of plan until shares grow, so that the groups whose
-	// shares shrink have received the change before.
+	// growDelay is the time from a change of plan until shares grow. By then the groups whose
+	// shares shrink have received the change.
 	growDelay = 15 * time.Second
 	// idleTimeout is how long borrowed units are kept without demand.
 	idleTimeout = 2 * time.Second
-	// turnDuration is how long a unit is kept while another borrower waits for one.
+	// turnDuration is how long a borrowed unit may be kept, counted from the start of its turn,
+	// while another borrower waits for one.
 	turnDuration = 10 * time.Second
 	// minAttemptWait and maxAttemptWait bound the backoff between attempts to borrow, before
 	// jitter.
@@ -128,8 +129,8 @@
 // ResultDone.
 //
 // The answer may arrive when the lease of the record has expired and the VM holds another one.
-// The record is then deleted, and another borrower may hold the unit. Only a record of the
-// current lease counts.
+// The platform has then deleted the record, and another borrower may hold the unit. Only a
+// record of the current lease counts.
 func (b *Borrower) PutEnded(now time.Time, u Unit, l ggscore.LeaseID, rev ggscore.StoreRevision, res Result) []Order {
 	x := b.unitState(u)
 	x.inFlight = false
@@ -189,10 +190,11 @@
 // Share returns the loads that the group may use now. It must be called immediately before
 // each load, and its result must not be cached.
 //
-// A VM that was paused or disconnected from the platform still has its borrowed units in its
-// state when other VMs hold them, and the store would get the loads of both. Share therefore
-// compares the lease's expiry with the VM's own monotonic clock at each call. The expiry is
-// counted from before the renewal was sent, so the lease expires later on the platform.
+// A VM that was paused or disconnected from the platform still counts its borrowed units after
+// other VMs have borrowed them, and the weight store would get the loads of both. Share
+// therefore compares the lease's expiry with the VM's own monotonic clock at each call. The
+// expiry is counted from before the renewal was sent, so the lease expires later on the
+// platform.
 func (b *Borrower) Share(now time.Time) ggscore.LoadShare {
 	units := b.staticUnits()
 	if now.Before(b.lease.Expires) {
