--- a/core/ggsthrottle/share.go
+++ b/core/ggsthrottle/share.go
@@ -13,8 +13,8 @@
 // A share is this VM's share of an endpoint's limit.
 type share struct {
 	valid bool
-	// rotation is the number of times that the selection of VMs has changed since the last
-	// answer.
+	// rotation is the number of whole rotateAfter periods since the last announcement. It seeds
+	// the selection of VMs.
 	rotation  int64
 	perSecond float64
 }
@@ -31,7 +31,8 @@
 	return s
 }
 
-// rankedVMs returns the VMs by rank for an endpoint. The ranking is the same on all VMs.
+// rankedVMs returns the VMs in descending order of a hash of the endpoint, the rotation and the
+// VM. The ranking is the same on all VMs.
 func rankedVMs(vms []ggscore.VMID, id ggscore.EndpointID, rotation int64) []ggscore.VMID {
 	prefix := string(id) + " " + strconv.FormatInt(rotation, 10) + " "
 	ranks := make(map[ggscore.VMID]uint64, len(vms))
--- a/core/ggsthrottle/share_test.go
+++ b/core/ggsthrottle/share_test.go
@@ -167,7 +167,7 @@
 			c.run(60*time.Second, 75*time.Second, tc.perVM)
 			allowed := int(excess*tc.limit*window.Seconds()) + slack
 			qt.Check(t, c.maxArrivals(settleTime) <= allowed, qt.IsTrue, qt.Commentf("%d, %d allowed", c.maxArrivals(settleTime), allowed))
-			// The endpoint's limit is also used up.
+			// The VMs use at least 70% of the limit.
 			used := c.arrivalRate(65*time.Second, 75*time.Second)
 			qt.Check(t, used >= 0.7*tc.limit, qt.IsTrue, qt.Commentf("%.1f a second of %.1f", used, tc.limit))
 		})
--- a/core/ggsthrottle/table.go
+++ b/core/ggsthrottle/table.go
@@ -41,7 +41,7 @@
 type endpoint struct {
 	// limit is nil after answers have stopped announcing one.
 	limit *ggscore.RateLimit
-	// asOf is the time of the last announcement.
+	// asOf is the time of the last announcement of a limit, or of no limit.
 	asOf   time.Time
 	share  share
 	bucket bucket
