--- a/core/ggsturn/observed.go
+++ b/core/ggsturn/observed.go
@@ -16,8 +16,8 @@
 	minObserved     = 8
 	observedDivisor = 8
 	// observeAllFraction is the fraction of degraded streams from which all endpoints are
-	// observed, for observeAllDuration. It is far below maxDegraded, so that all turns are
-	// known before turns are enforced. Observation goes on for as long as turns may have to be
+	// observed, for observeAllDuration. It is far below maxDegraded, so that all turns are known
+	// before turns are enforced. The duration covers the time in which turns may have to be
 	// enforced again.
 	observeAllFraction = 0.05
 	observeAllDuration = time.Minute
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -14,16 +14,16 @@
 	// minPrefillFraction is the fraction of the allowed gap that prefill gets at least,
 	// however long decoding steps are.
 	minPrefillFraction = 0.25
-	// The estimate of the gap without prefill tracks the quantile decodeGapQuantile of all
-	// gaps, and moves by the factor decodeGapStep with each.
+	// The estimate of the gap without prefill tracks the quantile decodeGapQuantile of all gaps,
+	// and changes by the factor decodeGapStep with each gap.
 	decodeGapQuantile = 0.2
 	decodeGapStep     = 0.05
 	// minPrefillInGap is the fraction of a gap that prefill has to fill for the gap to be
 	// attributed to prompts. A gap due to a lost packet, a slow VM or a stall has another
 	// cause, and enforcing turns would only delay callers.
 	minPrefillInGap = 0.8
-	// degradedTimeConstant is the decay time constant of the stream counts, minStreams the
-	// decayed count below which they aren't evaluated.
+	// degradedTimeConstant is the decay time constant of the stream counts. minStreams is the
+	// decayed count of streams below which the counts aren't evaluated.
 	degradedTimeConstant = 2 * time.Second
 	minStreams           = 30.0
 	// maxDegraded is the fraction of degraded streams from which turns are enforced. Under the
@@ -46,9 +46,9 @@
 
 // A modeController decides whether turns are enforced.
 //
-// Without turns, prefill causes gaps in streams. With turns, prompts wait and endpoints
-// prefill a tenth slower. Both degrade streams. Turns are enforced while many streams are
-// degraded without them and fewer are degraded with them.
+// Without turns, prefill causes gaps in streams. With turns, prompts wait and endpoints prefill
+// a tenth slower. Both degrade streams. Turns are enforced while many streams are degraded
+// without turns and fewer are degraded with turns.
 type modeController struct {
 	// decodeGap is the estimated gap in a stream while its endpoint prefills nothing.
 	decodeGap time.Duration
@@ -126,7 +126,7 @@
 	m.at, m.streams, m.degraded = now, m.streams*keep+float64(streams), m.degraded*keep+float64(degraded)
 }
 
-// updateMode starts or stops enforcing turns by the stream counts.
+// updateMode starts or stops enforcing turns, depending on the fraction of degraded streams.
 func (m *modeController) updateMode(now time.Time) {
 	if m.streams < minStreams {
 		return
--- a/core/ggsturn/pauses_test.go
+++ b/core/ggsturn/pauses_test.go
@@ -136,8 +136,8 @@
 	c.Assert(b.Estimate(at(0), models, runner, 1000).Ready, qt.Equals, 50*time.Millisecond)
 }
 
-// Guards against VMs that decide for themselves from slightly different counts. Prompts of
-// some VMs would wait while those of others overtake them.
+// Guards against VMs that each decide on enforcement from slightly different counts. Prompts of
+// VMs that enforce turns would wait while those of other VMs overtake them.
 func TestOneVMDecidesOnTurns(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsturn/samples.go
+++ b/core/ggsturn/samples.go
@@ -74,8 +74,9 @@
 // Restore initializes the state of a service from the record of another VM or of this VM's
 // previous process. It has no effect once this VM has learned the prefill speed.
 //
-// Without it, half of the streams had excessive gaps in the 10 s after all processes of a
-// deployment were killed, because each process had to learn again that turns were needed.
+// Without the restored state, half of the streams had excessive gaps in the 10 s after all
+// processes of a deployment were killed, because each process had to learn again that turns were
+// needed.
 func (t *Table) Restore(now time.Time, h ggscore.TurnState) {
 	v := t.service(h.Service)
 	if v.speed.known() || h.PerToken <= 0 {
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -13,7 +13,7 @@
 // # Usage
 //
 //	t := ggsturn.NewTable(ggsturn.Options{VM: vm})
-//	t.SetService(service, targetGap)                        // from the configuration
+//	t.SetService(service, targetGap)                     // from the configuration
 //	t.SetEndpoints(service, endpoints)                   // in a large fleet
 //	e := t.Estimate(now, service, endpoint, tokens)      // to choose an endpoint
 //	n := t.Take(now, service, endpoint, tokens, delay)   // announce to peers, wait until n.Begin
@@ -21,7 +21,7 @@
 //	n, ok := t.Confirm(now, n)                           // send, or announce and wait again
 //	t.Add(now, n)                                        // a peer's turn
 //	t.Drop(n)                                            // the turn is no longer needed
-//	t.RecordFirstPiece(now, n, sent)                     // the first chunk arrived
+//	t.RecordFirstChunk(now, n, sent)                     // the first chunk arrived
 //	degraded := t.RecordGap(now, service, endpoint, gap) // a gap between two chunks
 //	t.RecordStream(now, service, endpoint, degraded)     // a stream ended or became degraded
 //	samples, tallies := t.DrainUnreported()              // report to peers
@@ -48,9 +48,9 @@
 // Options configure a Table.
 type Options struct {
 	VM ggscore.VMID
-	// LastNumber is the number that precedes the first turn's. It has to differ between
-	// processes of a VM, so that turns of a new process aren't mistaken for those of the previous
-	// one.
+	// LastNumber is the number before that of the table's first turn. It has to differ between
+	// processes of a VM, so that turns of a new process aren't mistaken for those of the
+	// previous one.
 	LastNumber uint64
 }
 
