--- a/fakes/ggsfakebatch/engine.go
+++ b/fakes/ggsfakebatch/engine.go
@@ -23,7 +23,7 @@
 	"time"
 )
 
-// Params are the parameters of an engine.
+// Params sets an engine's capacity and step times.
 type Params struct {
 	// Slots is the maximum number of running requests. Memory is the maximum number of
 	// tokens that running requests occupy together.
@@ -137,7 +137,7 @@
 	}
 }
 
-// nextRead returns the number of prompt tokens that the next step reads.
+// nextRead returns the number of prompt tokens that the next step reads, at most Params.Chunk.
 func (e *Engine) nextRead() int {
 	n := 0
 	for _, r := range e.running {
--- a/fakes/ggsfakebatch/fleet_test.go
+++ b/fakes/ggsfakebatch/fleet_test.go
@@ -24,7 +24,7 @@
 	// fleetFirstPieceTarget is the target latency of the first piece of an answer.
 	fleetFirstPieceTarget = 800 * time.Millisecond
 	// fleetWarmup is the time that VMs have to measure how fast the engines read prompts.
-	// Streams that arrive earlier don't count towards ended and longGaps.
+	// Requests that arrive earlier don't count towards ended and longGaps.
 	fleetWarmup = 5 * time.Second
 	// fleetBurstWindow is the time within which the requests of a burst arrive.
 	fleetBurstWindow = 60 * time.Millisecond
@@ -385,9 +385,10 @@
 	return with, without
 }
 
-// Guards against streams that pause for about 350 ms again and again because a burst of
-// prompts fills the engine's steps. With turns 1.4 % and 1.3 % of the streams exceed targetGap,
-// without 50 % and 44 %. The median first piece takes 90 ms and 150 ms.
+// Guards against streams that pause for about 350 ms again and again because a burst of prompts
+// fills the engine's steps. Measured for slowEngine and wideEngine: with turns 1.4 % and 1.3 %
+// of the streams exceed targetGap, without turns 50 % and 44 %. The median first piece takes 90
+// ms and 150 ms.
 func TestStreamsDontPauseForPrompts(t *testing.T) {
 	t.Parallel()
 	for name, l := range map[string]workload{"slow engine": slowEngine(), "wide engine": wideEngine()} {
--- a/fakes/ggsfakeengine/batch.go
+++ b/fakes/ggsfakeengine/batch.go
@@ -157,7 +157,7 @@
 	e.release()
 }
 
-// tokenInterval returns the time to the next token at the current batch occupancy.
+// tokenInterval returns the time between tokens of a run at the current batch occupancy.
 func (e *Engine) tokenInterval() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fakes/ggsfakeengine/report.go
+++ b/fakes/ggsfakeengine/report.go
@@ -6,7 +6,8 @@
 	ggscore "greengageslip/core"
 )
 
-// A snapshot is the engine's reported state from a point in time on.
+// A snapshot is the engine's state from a point in time until the next snapshot, as reports show
+// it.
 type snapshot struct {
 	from   time.Time
 	report ggscore.RunnerReport
@@ -45,6 +46,6 @@
 	}
 }
 
-// minHistory is the minimum age to which history is kept, so that a report lag that is set
-// later has states to report.
+// minHistory is how long past states are kept at least, so that a report lag that is set or
+// raised later has states to report.
 const minHistory = 5 * time.Second
--- a/fakes/ggsfakeplatform/handler.go
+++ b/fakes/ggsfakeplatform/handler.go
@@ -169,8 +169,8 @@
 	return entryWire{Key: k, Value: e.value, Revision: e.revision, Lease: e.lease}
 }
 
-// maxBodyBytes limits a request body. It exceeds the default limit of a value enough for the
-// base64 encoding.
+// maxBodyBytes limits a request body. It leaves room for the base64 encoding of a value of the
+// default maximum size.
 const maxBodyBytes = 2 << 20
 
 func bind(g *gin.Context, out any) bool {
--- a/fakes/ggsfakeplatform/platform.go
+++ b/fakes/ggsfakeplatform/platform.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// Calls returns the counters of calls.
+// Calls returns how many calls the platform has received so far, by kind and outcome.
 func (p *Platform) Calls() Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,7 +202,8 @@
 	p.changed = make(chan struct{})
 }
 
-// burstDivisor sets the burst of a rate limit: a quarter of a second's calls.
+// burstDivisor divides a rate limit in calls per second: the quotient, the calls of a quarter of
+// a second, may be made in one burst.
 const burstDivisor = 4
 
 func limiter(perSecond float64) *rate.Limiter {
--- a/fakes/ggsfakeplatform/store.go
+++ b/fakes/ggsfakeplatform/store.go
@@ -156,7 +156,7 @@
 	return ks
 }
 
-// compact drops changes that have a later change of the same key.
+// compact drops each change that a later change of the same key supersedes.
 func (s *store) compact() {
 	if len(s.changes) < 2*len(s.entries)+minChanges {
 		return
--- a/fakes/ggsfakesite/endpoint.go
+++ b/fakes/ggsfakesite/endpoint.go
@@ -63,7 +63,7 @@
 	FaultNoStamp
 )
 
-// An Endpoint is a runner or an instance of a plain service.
+// An Endpoint simulates a runner or an instance of a plain service.
 type Endpoint struct {
 	options EndpointOptions
 
