--- a/core/ggsroute/choose.go
+++ b/core/ggsroute/choose.go
@@ -111,8 +111,8 @@
 	return score
 }
 
-// bestHome returns the best of the adapter's homes, by bounded-load rendezvous
-// hashing over the runners of the region.
+// bestHome returns the best of the adapter's homes, by bounded-load rendezvous hashing over the
+// runners of the region. If all pools exceed the bound, it returns the best of all.
 func (r *Router) bestHome(q *query, local bool) candidate {
 	pools := q.service.pools(local)
 	bound := loadBound(q, pools)
@@ -146,7 +146,7 @@
 // resident.
 type bound struct{ perSlot float64 }
 
-// loadBound computes the bound from the mean load of a region's pools.
+// loadBound computes the bound from the mean load per slot of a region's usable pools.
 func loadBound(q *query, pools []*pool) bound {
 	load, slots := 1, 1
 	for _, p := range pools {
@@ -258,10 +258,10 @@
 
 // worthCrossing decides at random whether a gain is worth the price of crossing.
 //
-// Summaries lag, so all gateways see the same idle region at once. If all of them
-// crossed, that region would be the busy one a moment later, and all would
-// switch back. Each request crosses only with the probability that balances the
-// two regions. The probability falls to zero as the gain approaches the price.
+// Summaries lag, so all gateways see the same idle region at once. If all of them crossed, that
+// region would be the busy one a moment later, and all would switch back. Each request therefore
+// crosses with a probability of at most one half, which balances the two regions. The
+// probability falls to zero as the gain approaches the price.
 func (r *Router) worthCrossing(gain time.Duration) bool {
 	price := r.policy.CrossRegionPrice
 	if gain <= price {
@@ -283,8 +283,8 @@
 	return max(stall, time.Duration(float64(p.stall)*math.Exp(-age.Seconds()/rateWindow.Seconds())))
 }
 
-// recordStall updates the mean stall with the time that a request waited for a
-// load.
+// recordStall updates the mean stall with the time that a request waited for a load. Requests
+// sent to a pool for another reason than its being a home or loading the adapter are ignored.
 func (p *pool) recordStall(now time.Time, c *Choice, stall time.Duration) {
 	if c.Reason != ReasonHome && c.Reason != ReasonLoading || stall <= 0 {
 		return
--- a/core/ggsroute/router.go
+++ b/core/ggsroute/router.go
@@ -15,13 +15,13 @@
 //	// send the request to c.VM and relay the answer, then
 //	r.Ended(now, c, ggsroute.End{Held: held, AnswerBytes: n})
 //
-// A pool is a dispatcher's endpoints of one service. A request with an adapter is
-// sent to a pool where the adapter is resident and a batch slot is free. If there
-// is none, it is sent to a pool where the adapter is loading, else to the
-// adapter's home. The home is chosen by rendezvous hashing over the region's
-// runners. Hashing over runners, and not over dispatchers, weights pools by their
-// size, and an adapter keeps its home when another VM takes the runners over.
-// Pools whose load exceeds a bound are skipped for the next home.
+// A pool is a dispatcher's endpoints of one service. A request with an adapter is sent to a pool
+// where the adapter is resident and a batch slot is free. If there is none, it is sent to a pool
+// where the adapter is loading, else to the adapter's home. The home is chosen by rendezvous
+// hashing over the region's runners. Hashing over runners, and not over dispatchers, weights
+// pools by their size, and an adapter keeps its home when another VM takes the runners over. A
+// home whose load exceeds a bound is skipped, and the pool with the next highest hash is used
+// instead.
 //
 // The package has no clock, goroutine or lock of its own, and a Router or Board
 // must not be used concurrently. The same seed and sequence of calls always give
@@ -105,9 +105,9 @@
 	}
 }
 
-// SetGateways sets the number of live gateways. The router multiplies its own
-// request rates by this number to estimate the deployment's rates, and it uses an
-// equal part of the deployment's cross-region bytes.
+// SetGateways sets the number of live gateways. The router multiplies its own request rates by
+// this number to estimate the deployment's rates, and its limit of cross-region bytes is the
+// deployment's divided by this number.
 func (r *Router) SetGateways(n int) {
 	r.gateways = max(n, 1)
 	r.setCrossRegionRate()
@@ -120,7 +120,8 @@
 	r.setCrossRegionRate()
 }
 
-// setCrossRegionRate sets the router's part of the deployment's cross-region bytes.
+// setCrossRegionRate sets the bytes per second that the router may send between regions: an
+// equal part of the deployment's limit for each gateway.
 func (r *Router) setCrossRegionRate() {
 	r.crossRegion.setRate(r.policy.CrossRegionBytesPerSecond / float64(r.gateways))
 }
--- a/core/ggsschedule/costs.go
+++ b/core/ggsschedule/costs.go
@@ -10,13 +10,13 @@
 
 const (
 	// minRefillRate is the popularity, in arrivals a second, below which an adapter is not
-	// loaded ahead of demand.
+	// loaded ahead of demand, that is, before a request waits for it.
 	minRefillRate = 0.002
 	// hysteresis is how many times more popular an adapter must be than the one evicted for it
 	// ahead of demand. Without this factor the two would evict each other in turn.
 	hysteresis = 2
-	// replicatedCostFactor scales the cost of an eviction when the adapter is also resident
-	// on another runner.
+	// replicatedCostFactor multiplies the cost of an eviction if the adapter is also resident on
+	// another runner, where its requests can run.
 	replicatedCostFactor = 0.25
 	// fullOccupancyCost is the cost of loading onto a runner whose request slots are all taken,
 	// in the unit of eviction costs: arrivals a second that would need a reload.
@@ -28,8 +28,8 @@
 	loadRateWindow      = 10 * time.Second
 	minLoadRateFraction = 0.05
 	// standingAfter is how long the wait for loads must exceed the wait target before new
-	// requests are refused. With a StallWeight of 1, waitTargetLoads is the wait target in load
-	// times.
+	// requests are refused. With a StallWeight of 1, the wait target is waitTargetLoads times
+	// the load time.
 	standingAfter   = 2 * time.Second
 	waitTargetLoads = 2
 	// evictedSmoothing is the inverse weight of a new sample in the mean popularity of
@@ -53,10 +53,9 @@
 	return float64(waited) / float64(s.waitTarget(a.queue.Head().Value))
 }
 
-// waitTarget is the acceptable wait of a job for a load. With a StallWeight of 0 it is
-// the job's whole budget, with 1 it is the time of waitTargetLoads loads, and in
-// between it is the weighted geometric mean of the two. Lower priorities have a longer
-// target.
+// waitTarget is the acceptable wait of a job for a load. With a StallWeight of 0 it is the job's
+// whole budget, with 1 it is the time of waitTargetLoads loads, and in between it is the
+// weighted geometric mean of the two. Lower priorities have a longer wait target.
 func (s *Scheduler) waitTarget(j *job) time.Duration {
 	if j.waitTarget == 0 {
 		w := s.options.StallWeight
@@ -151,14 +150,16 @@
 	return max(s.loadWait(now, j), a.retryAt.Sub(now)) + s.options.LoadTime
 }
 
-// loadWait predicts how long a job waits until the load of its adapter begins. Loads
-// are ordered by wait relative to the wait target, so in a standing queue this ratio is
-// equal for all jobs. The backlog weighted by wait targets yields the ratio.
+// loadWait predicts how long a job waits until the load of its adapter begins. Loads are ordered
+// by wait relative to the wait target, so in a standing queue all jobs reach the same ratio of
+// wait to wait target by the time their loads begin. That ratio is the pressure, which is
+// computed from the backlog.
 func (s *Scheduler) loadWait(now time.Time, j *job) time.Duration {
 	return time.Duration(s.pressure(now, j.adapter.service) * float64(s.waitTarget(j)))
 }
 
-// pressure is the predicted wait for a load as a fraction of the wait target.
+// pressure is the predicted wait for a load as a fraction of the wait target: the backlog, a sum
+// of inverse wait targets, divided by the rate of loads.
 func (s *Scheduler) pressure(now time.Time, v *service) float64 {
 	if s.bucket.share.LoadsPerSecond <= 0 || s.bucket.share.InTransit <= 0 {
 		return math.MaxInt32
--- a/core/ggsschedule/dispatch.go
+++ b/core/ggsschedule/dispatch.go
@@ -115,7 +115,7 @@
 }
 
 // route returns the endpoint with the most free slots on which a job can run at once, or nil.
-// That endpoint is the last to run out of slots.
+// This choice keeps slots free on every endpoint for as long as possible.
 func (s *Scheduler) route(now time.Time, j *job) (*endpoint, *replica) {
 	a := j.adapter
 	var best *endpoint
--- a/core/ggsschedule/plan.go
+++ b/core/ggsschedule/plan.go
@@ -113,9 +113,9 @@
 	return append(all, loadCandidate{adapter: a, score: s.score(now, a)})
 }
 
-// appendBoundCandidates appends the candidates of a baseline policy: each endpoint
-// without the adapter to which queued requests are bound. The score is the longest
-// wait.
+// appendBoundCandidates appends the candidates of a baseline policy: each endpoint without the
+// adapter to which queued requests are bound. The score is the longest wait of these requests so
+// far.
 func (s *Scheduler) appendBoundCandidates(now time.Time, all []loadCandidate, a *adapter) []loadCandidate {
 	first := len(all)
 	for i := range a.queue.All {
@@ -158,9 +158,9 @@
 	return true
 }
 
-// orderRefill orders the load of the most popular adapter in service.refill, the list of
-// adapters lost by a restart or a removal, if no runner has the adapter and one can load it. It
-// reports whether it ordered a load.
+// orderRefill orders, ahead of demand, the load of the most popular adapter in service.refill,
+// the list of adapters lost by a restart or a removal, if no runner has the adapter and one can
+// load it. It reports whether it ordered a load.
 func (s *Scheduler) orderRefill(now time.Time) bool {
 	for _, v := range s.ordered {
 		for len(v.refill) > 0 {
@@ -191,8 +191,8 @@
 	return best
 }
 
-// placement returns where to load an adapter, and which replica to evict for it, if
-// any.
+// placement returns the endpoint where loading an adapter costs least, by occupancy and
+// eviction, and the replica to evict there, if any.
 func (s *Scheduler) placement(now time.Time, c loadCandidate) (*endpoint, *replica) {
 	var best *endpoint
 	var victim *replica
--- a/core/ggsschedule/stories_test.go
+++ b/core/ggsschedule/stories_test.go
@@ -408,9 +408,9 @@
 	c.Assert(orders, qt.DeepEquals, []string{"dispatch q1", "load b"})
 }
 
-// Guards against the eviction of a protected adapter on which an earlier owner's request runs. A
-// report counts one run, which may also be this owner's request, so the adapter must stay after
-// that request ends until a report shows it idle.
+// Guards against the eviction of a protected adapter on which an earlier owner's request began
+// before the ownership was full. A report counts one run, which may also be this owner's
+// request. After that request ends, the adapter must stay until a report shows it idle.
 func TestNewOwnershipPinsAdapters(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsshare/borrow.go
+++ b/core/ggsshare/borrow.go
@@ -104,7 +104,8 @@
 	return []Order{{Kind: OrderDelete, Unit: r.Unit, Prev: r.Revision}}
 }
 
-// release stops using units and returns the deletes of their records.
+// release stops using those of the units that are held and without a call in flight, and returns
+// the deletes of their records.
 func (b *Borrower) release(now time.Time, units []Unit) []Order {
 	orders := []Order{}
 	for _, u := range units {
@@ -135,7 +136,8 @@
 	return list
 }
 
-// needsList reports whether the records must be read.
+// needsList reports whether the records must be read: for more units, at the end of a turn, or
+// to find a record of this borrower that isn't in its state.
 func (b *Borrower) needsList(now time.Time) bool {
 	if b.lease.ID == 0 || !now.Before(b.lease.Expires) {
 		return false
@@ -200,8 +202,9 @@
 }
 
 // yield releases units whose turn has ended, if another borrower has put the WaitMarker record
-// and this one holds more than an equal share; otherwise their next turn begins. After a release
-// yield delays the next attempt to borrow, so that the other borrower attempts first.
+// and this one holds more than an equal share; otherwise the next turn of these units begins.
+// After a release, yield delays the next attempt to borrow, so that the other borrower attempts
+// first.
 func (b *Borrower) yield(now time.Time, otherWaits bool, holders int) []Order {
 	if x := b.unitState(WaitMarker); x.heldRevision != 0 {
 		return b.releaseWaitMarker(now, holders)
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -1,5 +1,6 @@
-// Package ggsshare keeps the loads of a whole deployment within the limits of the weight
-// store, although the groups of the deployment schedule their loads independently.
+// Package ggsshare keeps the loads of a whole deployment within the limits of the weight store.
+// The deployment's endpoints form groups, each with one owner at a time, and the owners schedule
+// their loads independently of each other.
 //
 // # Usage
 //
--- a/core/ggsshare/share.go
+++ b/core/ggsshare/share.go
@@ -44,7 +44,8 @@
 	Seed  uint64
 }
 
-// A Borrower is the state of one borrower.
+// A Borrower is one VM's state of the units that it borrows and of the static units of its
+// group.
 type Borrower struct {
 	options Options
 	rng     *rand.Rand
--- a/core/ggsturn/observed.go
+++ b/core/ggsturn/observed.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// Announces reports whether a turn has to be announced to peers.
+// Announces reports whether a turn has to be announced to peers: if its endpoint is observed or
+// its prefill is long.
 func (t *Table) Announces(now time.Time, n ggscore.PromptTurn) bool {
 	v := t.service(n.Service)
 	return v.knowsAllTurns(now, n.Endpoint) || v.usualPrefillTime(n.Tokens) >= longPrefill
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -69,8 +69,9 @@
 	suspendedUntil time.Time
 }
 
-// RecordGap records a gap between two chunks of a stream, and reports whether prefill made the
-// gap longer than callers accept.
+// RecordGap records a gap between two chunks of a stream. It reports whether the gap exceeds the
+// service's target gap because of prefill; it is false at endpoints whose turns aren't all
+// announced.
 func (t *Table) RecordGap(now time.Time, s ggscore.Service, id ggscore.EndpointID, gap time.Duration) bool {
 	v := t.service(s)
 	if v.targetGap <= 0 || gap <= 0 {
@@ -83,9 +84,10 @@
 	return gap > v.targetGap && float64(v.prefillWithin(t.queue(id), now, gap)) >= minPrefillInGap*float64(gap)
 }
 
-// RecordStream records a stream of this VM: at its end if it wasn't degraded, otherwise when it
-// became degraded. A stream is degraded by a gap for which RecordGap returns true, or by a
-// first chunk that is late only because the prompt waited for its turn.
+// RecordStream records a stream of this VM, unless it is at an endpoint whose turns aren't all
+// announced: at its end if it wasn't degraded, otherwise when it became degraded. A stream is
+// degraded by a gap for which RecordGap returns true, or by a first chunk that is late only
+// because the prompt waited for its turn.
 func (t *Table) RecordStream(now time.Time, s ggscore.Service, id ggscore.EndpointID, degraded bool) {
 	if !t.service(s).knowsAllTurns(now, id) {
 		return
@@ -143,12 +145,14 @@
 	}
 }
 
-// setMode changes the mode and resets the stream counts.
+// setMode starts or stops enforcing turns and resets the stream counts, which apply to one mode
+// only.
 func (m *modeController) setMode(now time.Time, enforced bool) {
 	m.enforced, m.since, m.streams, m.degraded = enforced, now, 0, 0
 }
 
-// expectedDegraded returns the fraction of streams expected to be degraded without turns.
+// expectedDegraded returns the fraction of streams expected to be degraded without turns: the
+// fraction measured before enforcement began, decaying with time.
 func (m *modeController) expectedDegraded(now time.Time) float64 {
 	return m.baseline * math.Exp(-float64(now.Sub(m.since))/float64(baselineTimeConstant))
 }
--- a/core/ggsturn/size.go
+++ b/core/ggsturn/size.go
@@ -27,7 +27,8 @@
 	p.mean += sizeWeight * (float64(tokens) - p.mean)
 }
 
-// orMean returns the size, or the mean if the size is unstated or impossible.
+// orMean returns the size, or the mean if the size is unstated or impossible, or defaultTokens
+// before any size was stated.
 func (p *promptSize) orMean(tokens int) int {
 	switch {
 	case tokens > 0 && tokens <= maxTokens:
--- a/core/ggsturn/table.go
+++ b/core/ggsturn/table.go
@@ -31,9 +31,10 @@
 //	t.ApplyMode(now, mode)                               // the other VMs apply its mode
 //
 // There is no central scheduler. A VM takes the next turn that is free in its own view and
-// announces the turn to its peers at once. Two VMs can take the same turn within the
-// propagation delay of a datagram. Their prompts are then prefilled together, which the
-// bound allows for. A VM that receives nothing from its peers continues with its own view.
+// announces the turn to its peers at once. Two VMs can take the same turn within the propagation
+// delay of a datagram. Confirm then replaces the later turn. Only if the announcement of one
+// turn arrives after the other has begun are their prompts prefilled together. A VM that
+// receives nothing from its peers continues with its own view.
 //
 // A Table isn't safe for concurrent use. It has no clock and no goroutines: the caller passes
 // the time.
@@ -130,7 +131,7 @@
 }
 
 // Estimate estimates the wait for a turn and the time until a prompt is prefilled. Zero tokens
-// mean the usual size.
+// stand for the service's mean prompt size.
 func (t *Table) Estimate(now time.Time, s ggscore.Service, id ggscore.EndpointID, tokens int) ggscore.TurnEstimate {
 	v, q := t.service(s), t.queue(id)
 	prefill := v.prefillTime(q, v.size.orMean(tokens))
@@ -138,9 +139,10 @@
 	return ggscore.TurnEstimate{Wait: begin.Sub(now), Ready: later(begin, q.idleAt).Add(prefill).Sub(now)}
 }
 
-// Take assigns the next turn to a prompt. Zero tokens mean the usual size. If turns are
-// enforced, the turn begins no sooner than the delay with which its announcement reaches the
-// VMs that send to the same endpoint. The turn has to be confirmed when it is due.
+// Take assigns the next turn to a prompt. Zero tokens stand for the service's mean prompt size.
+// If turns are enforced, the turn begins after delay at the earliest, which is the time until
+// its announcement has reached the VMs that send to the same endpoint. The turn has to be
+// confirmed when it is due.
 func (t *Table) Take(now time.Time, s ggscore.Service, id ggscore.EndpointID, tokens int, delay time.Duration) ggscore.PromptTurn {
 	v, q := t.service(s), t.queue(id)
 	v.size.add(tokens)
@@ -209,9 +211,9 @@
 	}
 }
 
-// earliestBegin returns the earliest start of a turn with the given prefill time. Turns begin
-// in the order in which they were taken. Otherwise a long prompt would starve, overtaken by
-// short ones.
+// earliestBegin returns the earliest start of a turn with the given prefill time. It isn't
+// before the last turn that was taken. Otherwise short prompts would overtake a long one, which
+// would starve.
 func (t *Table) earliestBegin(now time.Time, v *service, q *queue, prefill time.Duration) time.Time {
 	limit := v.prefillLimit()
 	if limit <= 0 {
@@ -229,7 +231,7 @@
 		}
 		begun += v.prefillTime(q, n.Tokens)
 	}
-	// The oldest turns leave the window one by one.
+	// Delays the start until enough of the oldest turns have left the window.
 	for ; i < len(q.turns) && begun+prefill > limit; i++ {
 		at = q.turns[i].Begin.Add(v.targetGap)
 		begun -= v.prefillTime(q, q.turns[i].Tokens)
@@ -277,7 +279,7 @@
 	return time.Duration(float64(v.usualPrefillTime(tokens)) * q.slowFactor())
 }
 
-// usualPrefillTime returns the usual prefill time of a prompt at endpoints of the service.
+// usualPrefillTime returns the prefill time of a prompt at an endpoint of normal speed.
 func (v *service) usualPrefillTime(tokens int) time.Duration {
 	return time.Duration(tokens) * v.speed.perToken()
 }
--- a/fakes/ggsfakelink/doc.go
+++ b/fakes/ggsfakelink/doc.go
@@ -8,10 +8,10 @@
 //	err := l.Serve(ctx, listener) // until the context ends
 //	l.SetFaults(ggsfakelink.Faults{Stall: true})
 //
-// A stalled link keeps its connections open and holds all bytes. The bytes arrive when the
-// stall ends, as after a network partition. A refusing link closes its connections, and new
-// ones at once. The link accepts new connections also while it stalls. Unlike on a real
-// network, a dial succeeds then, and the link holds the bytes that are written.
+// A stalled link keeps its connections open and holds all bytes. The bytes arrive when the stall
+// ends, as after a network partition. A refusing link closes its connections, and new ones at
+// once. The link accepts new connections also while it stalls. During a stall a dial therefore
+// succeeds, unlike on a partitioned network, and the link holds the bytes that are written.
 //
 // Handler serves POST /v1/faults {stall,refuse,delay} and GET /v1/stats.
 //
--- a/fakes/ggsfakeweights/store.go
+++ b/fakes/ggsfakeweights/store.go
@@ -15,7 +15,7 @@
 type Options struct {
 	// LoadsPerSecond is the rate at which loads start; zero means no limit.
 	LoadsPerSecond float64
-	// Burst is the burst of LoadsPerSecond.
+	// Burst is the number of loads that may start at once before LoadsPerSecond limits them.
 	Burst int
 	// LoadsAtFullSpeed is the number of loads in transit above which all loads slow down. With
 	// zero, loads never slow down.
