--- a/core/ggsroute/choose.go
+++ b/core/ggsroute/choose.go
@@ -232,7 +232,8 @@
 // would hold only 32 different adapters instead of up to 96, and callers would wait for queued
 // loads. An adapter is loaded in this region if the region's request rate justifies the load:
 // the first request waits for the load, and requests that arrive meanwhile cross. A request that
-// crosses doesn't evict its adapter there, so an adapter can't alternate between regions.
+// crosses causes no load in its own region, so an adapter isn't moved back and forth between
+// regions.
 func (r *Router) avoidsLoad(q *query, local *candidate) bool {
 	price := r.policy.CrossRegionPrice
 	if local.stall <= price {
--- a/core/ggsschedule/bench_driver_test.go
+++ b/core/ggsschedule/bench_driver_test.go
@@ -33,7 +33,7 @@
 	name string
 	// peak multiplies the arrivals in the middle third.
 	peak float64
-	// shift moves the popularity to other adapters at half time.
+	// shift makes other adapters the popular ones at half time.
 	shift bool
 	// restart restarts a third of the runners at half time.
 	restart bool
@@ -52,7 +52,7 @@
 	seed                                   uint64
 }
 
-// An outcome holds the measurements of one run of the driver.
+// An outcome holds the measurements of one run of the driver after its warm-up.
 type outcome struct {
 	stalls, lookupWaits                     []time.Duration
 	used, offered                           float64
--- a/core/ggsschedule/policies_test.go
+++ b/core/ggsschedule/policies_test.go
@@ -114,10 +114,9 @@
 	return b.String()
 }
 
-// TestPolicies guards the cost policy against falling behind rendezvous hashing with
-// LRU, the best baseline. With -v it prints the table of docs/MEASUREMENTS.md. With
-// -short the runs of one domain are too short for the bounds and check only the
-// invariants.
+// Guards against a cost policy that is worse than rendezvous hashing with LRU, the best
+// baseline. With -v it prints the table of docs/MEASUREMENTS.md. With -short the runs of one
+// domain are too short for the bounds, and only the invariants are checked.
 func TestPolicies(t *testing.T) {
 	t.Parallel()
 	best := []ggsschedule.Policy{ggsschedule.PolicyCost, ggsschedule.PolicyRendezvousLRU}
--- a/fakes/ggsfakebatch/fleet_test.go
+++ b/fakes/ggsfakebatch/fleet_test.go
@@ -385,10 +385,9 @@
 	return with, without
 }
 
-// Guards against streams that pause for about 350 ms again and again because a burst of prompts
-// fills the engine's steps. Measured for slowEngine and wideEngine: with turns 1.4 % and 1.3 %
-// of the streams exceed targetGap, without turns 50 % and 44 %. The median first piece takes 90
-// ms and 150 ms.
+// Guards against streams that pause for 350 ms whenever a burst of prompts fills the engine's
+// steps. Without turns, 50 % and 44 % of the streams of slowEngine and wideEngine exceed
+// targetGap, with turns 1.4 % and 1.3 %. Their median first piece takes 90 ms and 150 ms.
 func TestStreamsDontPauseForPrompts(t *testing.T) {
 	t.Parallel()
 	for name, l := range map[string]workload{"slow engine": slowEngine(), "wide engine": wideEngine()} {
