--- a/core/ggsschedule/dispatch.go
+++ b/core/ggsschedule/dispatch.go
@@ -115,7 +115,7 @@
 }
 
 // route returns the endpoint with the most free slots on which a job can run at once, or nil.
-// That endpoint is the last to run out of slots.
+// This choice keeps slots free on every endpoint for as long as possible.
 func (s *Scheduler) route(now time.Time, j *job) (*endpoint, *replica) {
 	a := j.adapter
 	var best *endpoint
@@ -192,8 +192,8 @@
 	return n
 }
 
-// servable reports whether any endpoint could serve the adapter's requests in its
-// present mode, if necessary after a load or a pause.
+// servable reports whether any endpoint, in that endpoint's present mode, could serve the
+// adapter's requests, if necessary after a load or a pause.
 func (a *adapter) servable() bool {
 	for _, e := range a.service.endpoints {
 		if e.spec.Leaving || e.mode == ggscore.ModeNone {
--- a/core/ggsshare/plan.go
+++ b/core/ggsshare/plan.go
@@ -1,5 +1,6 @@
-// Package ggsshare keeps the loads of a whole deployment within the limits of the weight
-// store, although the groups of the deployment schedule their loads independently.
+// Package ggsshare keeps the loads of a whole deployment within the limits of the weight store.
+// The deployment's endpoints form groups, each with one owner at a time, and the owners schedule
+// their loads independently of each other.
 //
 // # Usage
 //
@@ -29,8 +30,8 @@
 import ggscore "greengageslip/core"
 
 // staticShare is the share of units that are static. It is small, since a static unit is idle
-// while its group loads nothing. It isn't zero, since a group that can't reach the platform
-// could then load nothing at all.
+// while its group loads nothing. It isn't zero, since a group that can't reach the platform can
+// use static units only and could then load nothing.
 const staticShare = 0.25
 
 // A Unit is the number of a borrowed unit.
--- a/core/ggsturn/observed.go
+++ b/core/ggsturn/observed.go
@@ -16,8 +16,8 @@
 	minObserved     = 8
 	observedDivisor = 8
 	// observeAllFraction is the fraction of degraded streams from which all endpoints are
-	// observed, for observeAllDuration. It is far below maxDegraded, so that all turns are
-	// known before turns are enforced. Observation goes on for as long as turns may have to be
+	// observed, for observeAllDuration. It is far below maxDegraded, so that all turns are known
+	// before turns are enforced. The duration covers the time in which turns may have to be
 	// enforced again.
 	observeAllFraction = 0.05
 	observeAllDuration = time.Minute
@@ -61,7 +61,8 @@
 	}
 }
 
-// Announces reports whether a turn has to be announced to peers.
+// Announces reports whether a turn has to be announced to peers: if its endpoint is observed or
+// its prefill is long.
 func (t *Table) Announces(now time.Time, n ggscore.PromptTurn) bool {
 	v := t.service(n.Service)
 	return v.knowsAllTurns(now, n.Endpoint) || v.usualPrefillTime(n.Tokens) >= longPrefill
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -14,16 +14,16 @@
 	// minPrefillFraction is the fraction of the allowed gap that prefill gets at least,
 	// however long decoding steps are.
 	minPrefillFraction = 0.25
-	// The estimate of the gap without prefill tracks the quantile decodeGapQuantile of all
-	// gaps, and moves by the factor decodeGapStep with each.
+	// The estimate of the gap without prefill tracks the quantile decodeGapQuantile of all gaps,
+	// and changes by the factor decodeGapStep with each gap.
 	decodeGapQuantile = 0.2
 	decodeGapStep     = 0.05
 	// minPrefillInGap is the fraction of a gap that prefill has to fill for the gap to be
 	// attributed to prompts. A gap due to a lost packet, a slow VM or a stall has another
 	// cause, and enforcing turns would only delay callers.
 	minPrefillInGap = 0.8
-	// degradedTimeConstant is the decay time constant of the stream counts, minStreams the
-	// decayed count below which they aren't evaluated.
+	// degradedTimeConstant is the decay time constant of the stream counts. minStreams is the
+	// decayed count of streams below which the counts aren't evaluated.
 	degradedTimeConstant = 2 * time.Second
 	minStreams           = 30.0
 	// maxDegraded is the fraction of degraded streams from which turns are enforced. Under the
@@ -46,9 +46,9 @@
 
 // A modeController decides whether turns are enforced.
 //
-// Without turns, prefill causes gaps in streams. With turns, prompts wait and endpoints
-// prefill a tenth slower. Both degrade streams. Turns are enforced while many streams are
-// degraded without them and fewer are degraded with them.
+// Without turns, prefill causes gaps in streams. With turns, prompts wait and endpoints prefill
+// a tenth slower. Both degrade streams. Turns are enforced while many streams are degraded
+// without turns and fewer are degraded with turns.
 type modeController struct {
 	// decodeGap is the estimated gap in a stream while its endpoint prefills nothing.
 	decodeGap time.Duration
@@ -69,8 +69,9 @@
 	suspendedUntil time.Time
 }
 
-// RecordGap records a gap between two chunks of a stream, and reports whether prefill made the
-// gap longer than callers accept.
+// RecordGap records a gap between two chunks of a stream. It reports whether the gap exceeds the
+// service's target gap because of prefill; it is false at endpoints whose turns aren't all
+// announced.
 func (t *Table) RecordGap(now time.Time, s ggscore.Service, id ggscore.EndpointID, gap time.Duration) bool {
 	v := t.service(s)
 	if v.targetGap <= 0 || gap <= 0 {
@@ -83,9 +84,10 @@
 	return gap > v.targetGap && float64(v.prefillWithin(t.queue(id), now, gap)) >= minPrefillInGap*float64(gap)
 }
 
-// RecordStream records a stream of this VM: at its end if it wasn't degraded, otherwise when it
-// became degraded. A stream is degraded by a gap for which RecordGap returns true, or by a
-// first chunk that is late only because the prompt waited for its turn.
+// RecordStream records a stream of this VM, unless it is at an endpoint whose turns aren't all
+// announced: at its end if it wasn't degraded, otherwise when it became degraded. A stream is
+// degraded by a gap for which RecordGap returns true, or by a first chunk that is late only
+// because the prompt waited for its turn.
 func (t *Table) RecordStream(now time.Time, s ggscore.Service, id ggscore.EndpointID, degraded bool) {
 	if !t.service(s).knowsAllTurns(now, id) {
 		return
@@ -126,7 +128,7 @@
 	m.at, m.streams, m.degraded = now, m.streams*keep+float64(streams), m.degraded*keep+float64(degraded)
 }
 
-// updateMode starts or stops enforcing turns by the stream counts.
+// updateMode starts or stops enforcing turns, depending on the fraction of degraded streams.
 func (m *modeController) updateMode(now time.Time) {
 	if m.streams < minStreams {
 		return
@@ -143,12 +145,14 @@
 	}
 }
 
-// setMode changes the mode and resets the stream counts.
+// setMode starts or stops enforcing turns and resets the stream counts, which apply to one mode
+// only.
 func (m *modeController) setMode(now time.Time, enforced bool) {
 	m.enforced, m.since, m.streams, m.degraded = enforced, now, 0, 0
 }
 
-// expectedDegraded returns the fraction of streams expected to be degraded without turns.
+// expectedDegraded returns the fraction of streams expected to be degraded without turns: the
+// fraction measured before enforcement began, decaying with time.
 func (m *modeController) expectedDegraded(now time.Time) float64 {
 	return m.baseline * math.Exp(-float64(now.Sub(m.since))/float64(baselineTimeConstant))
 }
