--- a/io/ggsheartbeat/server_test.go
+++ b/io/ggsheartbeat/server_test.go
@@ -204,7 +204,7 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			t.Parallel()
 			perSecond := traffic(n)
-			t.Logf("%d members: each sends and receives %.0f bytes per second", n, perSecond)
+			t.Logf("%d members: %.0f bytes a second a member, sent and received", n, perSecond)
 			qt.Check(t, perSecond < 2000, qt.IsTrue, qt.Commentf("%d members: %.0f", n, perSecond))
 		})
 	}
