--- a/io/ggsclaims/committer.go
+++ b/io/ggsclaims/committer.go
@@ -216,9 +216,10 @@
 	return c.unavailable()
 }
 
-// updatePending updates the number of pending operations after calls of a shard's writer.
-// The parameter before is the writer's number before these calls. When no operation is
-// pending, it ends the waiting flushes. The caller holds c.mu.
+// updatePending updates the number of pending operations after calls of a shard's writer. The
+// parameter before is the number of the writer's pending operations before these calls. When no
+// operation of the Committer is pending, updatePending ends the waiting flushes. The caller holds
+// c.mu.
 func (c *Committer) updatePending(before int, sh *shard) {
 	c.stats.Pending += sh.writer.Len() - before
 	if c.stats.Pending > 0 {
--- a/io/ggsclaims/committer_test.go
+++ b/io/ggsclaims/committer_test.go
@@ -233,8 +233,8 @@
 	b.c.Assert(m.Stats().Shards, qt.Equals, 0)
 }
 
-// A key without an issue time, or with one in the future, can't be assigned to its epoch,
-// so its claim could be read from the wrong shard.
+// Guards against a claim that is read from the wrong shard. A key without an issue time, or with one
+// in the future, can't be assigned to its epoch and must be refused.
 func TestBadKeys(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/io/ggsclaims/options.go
+++ b/io/ggsclaims/options.go
@@ -6,7 +6,7 @@
 	"greengageslip/core/ggsclaim"
 )
 
-// Options holds a Committer's limits.
+// Options configures a Committer.
 type Options struct {
 	Limits ggsclaim.Limits
 	// Workers is the number of shards served concurrently.
