--- a/io/ggsconfig/editor.go
+++ b/io/ggsconfig/editor.go
@@ -60,7 +60,7 @@
 }
 
 // Accepted is the result of an accepted change. Unchanged is set if the section already
-// had this text; no revision was written then, and Revision is the head's.
+// had this text. No revision is written then, and Revision is that of the current head.
 type Accepted struct {
 	Revision  ggscore.Revision
 	Unchanged bool
--- a/io/ggsconfig/editor_test.go
+++ b/io/ggsconfig/editor_test.go
@@ -45,8 +45,8 @@
 	return n.Head
 }
 
-// Two operators edit the same section from revision 2. Without a conflict error, the
-// second change would silently overwrite the first.
+// Guards against a change that silently overwrites another. Two operators edit the same section
+// from revision 2, so the second change must get a conflict error.
 func TestApplyRaceOnOneSection(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -62,7 +62,7 @@
 	})
 }
 
-// Concurrent changes of different sections don't conflict: both are accepted.
+// Guards against a conflict error for concurrent changes of different sections.
 func TestApplyRaceOnTwoSections(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -74,9 +74,8 @@
 	c.Assert(headOf(c, s).Changes, qt.HasLen, 4)
 }
 
-// One operator removes a service while another adds a use of it to a market. Each
-// change is valid against the revision its author read, but both together would leave
-// a market that uses a missing service.
+// Guards against two changes that are valid alone but leave a market that uses a missing service.
+// One operator removes the service while another adds a use of it to the market.
 func TestApplyRaceInvalidCombination(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -93,9 +92,8 @@
 	c.Assert(headOf(c, s).Revision, qt.Equals, ggscore.Revision(4))
 }
 
-// A change is accepted, its answer is lost, and another change follows before the
-// retry. A repeated write would apply the change twice; an error would report an
-// accepted change as failed.
+// Guards against a change that is applied twice, or reported as failed although it was accepted.
+// Its answer is lost, and another change follows before the retry.
 func TestApplyLostAnswer(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -111,8 +109,8 @@
 	c.Assert(countOfB(h), qt.Equals, 1)
 }
 
-// After a lost answer another operator replaces the same section. The first change was
-// accepted, so it must not be reported as a conflict.
+// Guards against a conflict error for a change that was accepted. Its answer is lost, and another
+// operator then replaces the same section.
 func TestApplyLostAnswerThenReplaced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -126,8 +124,8 @@
 	c.Assert(headOf(c, s).Sections["market/cr"].Change, qt.Equals, ggsdocument.ChangeID("other"))
 }
 
-// A write of the head is delayed in the network and its client retries. Both writes are
-// conditional on the same previous revision, so only one may take effect.
+// Guards against a change that is written twice when a write of the head is delayed and retried.
+// Both writes are conditional on the same previous revision, so only one may take effect.
 func TestApplyDelayedWrite(t *testing.T) {
 	t.Parallel()
 	for name, beforeRetry := range map[string]bool{"applied before the retry": true, "applied after the retry": false} {
@@ -150,9 +148,9 @@
 	}
 }
 
-// The platform becomes unavailable right after a write whose answer is lost. The outcome
-// must be reported as unknown, and applying the change again with the same ID must not
-// apply it twice.
+// Guards against a definite result for a change of unknown outcome, and against applying the change
+// twice when it is repeated with the same ID. The platform becomes unavailable right after a write
+// whose answer is lost.
 func TestApplyUnknownOutcome(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -169,8 +167,8 @@
 	c.Assert(countOfB(headOf(c, s)), qt.Equals, 1)
 }
 
-// An operator repeats a change of unknown outcome after the history has dropped it.
-// Applying the change could overwrite later changes, so the outcome stays unknown.
+// Guards against a repeated change that overwrites later changes. The history no longer holds the
+// first attempt, so the outcome must stay unknown.
 func TestApplyRepeatedAfterHistoryTrimmed(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -186,8 +184,8 @@
 	c.Assert(countOfB(headOf(c, s)), qt.Equals, 0)
 }
 
-// After a lost answer the section is changed again, and further changes push the first
-// one out of the history. The outcome can't be determined and must be reported as unknown.
+// Guards against a definite result for a change whose outcome can't be determined. After its lost
+// answer the section is changed again, and further changes push the change out of the history.
 func TestApplyHistoryTrimmed(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -205,8 +203,8 @@
 	c.Assert(errors.As(err, &trimmed), qt.IsTrue)
 }
 
-// The history no longer holds the change, but the section wasn't changed again. The
-// section's state still holds the change's ID, so the outcome is known.
+// Guards against an unknown outcome for a change that is no longer in the history, but whose ID is
+// still in the section's state because the section wasn't changed again.
 func TestApplyHistoryTrimmedSectionUnchanged(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -220,9 +218,9 @@
 	c.Assert(r, qt.Equals, ggscore.Revision(3))
 }
 
-// The platform is restored from an old copy. A change based on a later revision, or made
-// with a MinRevision above the restored head, must be refused: every process would refuse the
-// resulting head as lower than its own.
+// Guards against changes of a head that was restored from an old copy, which every process would
+// refuse as lower than its own. A change based on a later revision, or made with a MinRevision above
+// the restored head, must be refused.
 func TestApplyOnRestoredPlatform(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsconfig/follower_test.go
+++ b/io/ggsconfig/follower_test.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// A change is accepted while nine VMs in three domains follow the document. Each VM must
-// adopt it within seconds, with at most two watches per domain.
+// Guards against a change that doesn't reach each of nine VMs in three domains within seconds, and
+// against more than two watches per domain.
 func TestFollowersGetChange(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -244,8 +244,8 @@
 	c.Assert(watching <= 6, qt.IsTrue)
 }
 
-// The platform is restored from an old copy while processes run. They must keep the
-// accepted revision, and follow again once the platform's head has a higher revision.
+// Guards against a return to a lower revision after the platform is restored from an old copy.
+// Processes must follow again once the platform's head has a higher revision than theirs.
 func TestFollowerRefusesLowerHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -262,9 +262,9 @@
 	await(c, f, 4)
 }
 
-// The platform is restored from an old copy, then an operator changes another section.
-// Without repair, that change gets a revision that all processes refuse, and a later
-// change reverts the change that the copy lacks.
+// Guards against the loss of changes that the restored copy of the platform lacks. Without repair,
+// the next change gets a revision that all processes refuse, and a later change with a higher
+// revision reverts the change that the copy lacks.
 func TestFollowerRepairsRestoredPlatform(t *testing.T) {
 	t.Parallel()
 	for name, restored := range map[string]bool{"old copy": true, "empty": false} {
@@ -294,8 +294,8 @@
 	}
 }
 
-// A change is accepted on the restored platform before a process reads the old head.
-// A repair would overwrite that change, so the process must not repair the platform.
+// Guards against a repair that overwrites a change. The change is accepted on the restored platform
+// before a process reads the old head.
 func TestFollowerDoesNotRepairForkedHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -316,8 +316,8 @@
 	c.Assert(f.Current().Revision, qt.Equals, ggscore.Revision(4))
 }
 
-// A VM starts while the platform is unavailable. It must adopt the highest revision of
-// its peers.
+// Guards against a VM that starts while the platform is unavailable and doesn't adopt the highest
+// revision of its peers.
 func TestFollowerStartsWithPlatformUnavailable(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -331,8 +331,8 @@
 	c.Assert(second.State().From, qt.Equals, "a1")
 }
 
-// A domain is partitioned from the platform and the other domains while a change is
-// accepted. It keeps its document, and reads the change once the partition heals.
+// Guards against a domain that loses its document while it is partitioned from the platform and the
+// other domains, or that misses a change accepted meanwhile once the partition heals.
 func TestFollowerPartitionHeals(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -349,8 +349,8 @@
 	await(c, b, 3)
 }
 
-// A domain can't reach the platform but reaches the other domains. A change must arrive
-// through these.
+// Guards against a domain that misses changes because it can't reach the platform. It must receive
+// them from the other domains.
 func TestFollowerThroughOtherDomain(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -368,8 +368,8 @@
 	}
 }
 
-// The read of a large section takes longer than CallTimeout. If that bound applied to
-// sections, the read would time out and restart forever.
+// Guards against reads of large sections that time out and restart forever. This would happen if
+// CallTimeout bounded them.
 func TestFollowerReadsSectionBeyondCallTimeout(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsconfig/machine_test.go
+++ b/io/ggsconfig/machine_test.go
@@ -36,9 +36,9 @@
 	decoded []ggsdocument.Head
 }
 
-// Random histories of edits with lost answers, delayed writes, concurrent changes and an
-// unavailable platform. A change reported as accepted must be written exactly once, a
-// refused one never. Followers offered heads of any source must not decrease in revision.
+// Guards against wrong outcomes and decreasing revisions under lost answers, delayed writes,
+// concurrent changes and outages. A change reported as accepted must be written exactly once, a
+// refused one never. A follower's revision must not decrease, whichever head it is offered.
 func TestEditorAndFollowers(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -134,7 +134,7 @@
 	m.store.setUnavailable(false)
 }
 
-// other applies another operator's change without faults.
+// other applies a change by another operator, with the store's fault injection off.
 func (m *machine) other(t *rapid.T) {
 	lose, delay, fail := m.store.loseAnswers, m.store.delayWrites, m.store.failWrites
 	m.store.loseAnswers, m.store.delayWrites, m.store.failWrites = 0, 0, 0
--- a/io/ggsconfig/store_test.go
+++ b/io/ggsconfig/store_test.go
@@ -220,7 +220,8 @@
 	s.changed = make(chan struct{})
 }
 
-// servicesText and marketText are the sections of a small valid document.
+// servicesText is the services section of a small valid document, and marketText returns a market's
+// section that offers the adapter version given and its use by the services given.
 
 const servicesText = `[[services]]
 name = "asistente"
--- a/io/ggsconfig/text_test.go
+++ b/io/ggsconfig/text_test.go
@@ -28,8 +28,8 @@
 	return len(l)
 }
 
-// Thousands of changes a day each leave a replaced text. Without deletion of unused
-// texts, the platform's service runs out of space.
+// Guards against a platform service that runs out of space. Thousands of changes a day each replace
+// a text, which must be deleted once it is unused.
 func TestApplyDeletesUnusedTexts(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -41,8 +41,8 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// An operator restores a text that was replaced 64 changes ago, while another editor's
-// change deletes that text as unused. The document must not lose the section.
+// Guards against a document that loses a section. An operator restores a text that was replaced 64
+// changes ago, while another editor's change deletes that text as unused.
 func TestApplyReusesUnusedText(t *testing.T) {
 	t.Parallel()
 	old := marketText("v1x", "asistente")
@@ -73,7 +73,7 @@
 	}
 }
 
-// A dry run must not delete texts that the change would leave unused.
+// Guards against a dry run that deletes the texts that its change would leave unused.
 func TestDryRunDeletesNothing(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
