--- a/io/ggsconn/conn.go
+++ b/io/ggsconn/conn.go
@@ -51,7 +51,7 @@
 }
 
 // seal blocks all further writes and reports whether the current request wrote anything. Without
-// it, the write goroutine of net/http could still send a request that was already reported to the
+// seal, the write goroutine of net/http could still send a request that was already reported to the
 // caller as not sent.
 func (c *conn) seal() bool {
 	c.mu.Lock()
--- a/io/ggsconn/tracker.go
+++ b/io/ggsconn/tracker.go
@@ -25,8 +25,8 @@
 
 // Body returns a request body that net/http can't rewind. If the body is rewindable or absent,
 // net/http repeats a request on its own when a reused connection breaks, provided that its method
-// is GET or that it has an Idempotency-Key header. A deposit release would then run twice. For the
-// same reason, Body also wraps an empty body.
+// is GET or that it has an Idempotency-Key header. A non-idempotent request, such as
+// the release of a deposit, would then run twice. For the same reason, Body also wraps an empty body.
 func Body(b []byte) io.ReadCloser {
 	return io.NopCloser(struct{ io.Reader }{bytes.NewReader(b)})
 }
--- a/io/ggsconn/watchdog.go
+++ b/io/ggsconn/watchdog.go
@@ -8,7 +8,7 @@
 )
 
 // A Watchdog cancels a call when no bytes arrive within a timeout. It doesn't bound the total time
-// of an answer, since a retry from its start would take no less.
+// of an answer, because a retry would start the answer again and take as long.
 type Watchdog struct {
 	cancel      context.CancelFunc
 	timer       *time.Timer
