--- a/io/ggsdispatch/run_test.go
+++ b/io/ggsdispatch/run_test.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// A fakeEngine answers with the adapter serves, whatever the request names.
+// A fakeEngine answers as the adapter named by serves, whichever adapter was requested.
 type fakeEngine struct {
 	serves ggscore.AdapterRef
 	runs   int
