--- a/io/ggsedge/control.go
+++ b/io/ggsedge/control.go
@@ -60,8 +60,8 @@
 	return ggsgossip.HeartbeatInterval(live+1, e.ownership.OwnsAny() || !acked)
 }
 
-// recordsCurrent reports whether the VMs' own records were read in the current epoch.
-// Conditions of writes use their revisions.
+// recordsCurrent reports whether the records that VMs write about themselves were read in the
+// store's current epoch. Writes are conditional on the revisions of these records.
 func (e *Edge) recordsCurrent() bool {
 	c := e.epochs.current()
 	e.mu.Lock()
@@ -139,7 +139,7 @@
 	return heartbeatAcknowledged
 }
 
-// rereadRecords reads the VMs' own records again after a refused heartbeat.
+// rereadRecords reads the records that VMs write about themselves again after a refused heartbeat.
 func (e *Edge) rereadRecords(ctx context.Context) {
 	es, at, err := e.Store.Snapshot(ctx, e.options.Keys.Own+"/", false)
 	if err != nil {
@@ -150,7 +150,8 @@
 	e.requestStoreHeartbeat()
 }
 
-// settledWrite returns the write that records that an epoch is settled.
+// settledWrite returns the write that records that an epoch is settled: all rights to send
+// orders from earlier epochs have expired.
 func (e *Edge) settledWrite(c ggscore.StoreEpoch) []ggscore.TxnWrite {
 	v, err := json.Marshal(&epochRecord{Settled: uint64(c)})
 	if err != nil {
--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -25,7 +25,7 @@
 	"greengageslip/io/ggsrpc"
 )
 
-// An Options configures an Edge.
+// Options configures an Edge.
 type Options struct {
 	Policy  ggscore.Policy
 	VM      ggscore.VMID
@@ -58,7 +58,7 @@
 	MaxBodiesBytes int64
 }
 
-// A Keys has the prefixes and keys in the store that an Edge uses.
+// Keys holds the prefixes and keys in the store that an Edge uses.
 type Keys struct {
 	// Operators is the prefix of the operators' entries, and Config is the key of the
 	// configuration below that prefix.
@@ -66,7 +66,8 @@
 	Config    ggscore.Key
 	// Instances is the prefix of the endpoints' entries.
 	Instances ggscore.Key
-	// Own is the prefix of the records that VMs write themselves.
+	// Own is the prefix of the VMs' own records, which the edges write: each VM's store
+	// heartbeat, the endpoints' owners, and the settled epoch.
 	Own ggscore.Key
 }
 
@@ -78,14 +79,14 @@
 	Version(e ggscore.Entry) (v ggscore.AdapterVersion, ok bool, err error)
 }
 
-// A Store has the calls of the platform's store that an Edge uses.
+// A Store is the part of the platform's store that an Edge uses.
 type Store interface {
 	ggscore.Snapshotter
 	ggscore.Txner
 	ggscore.HistoryWatcher
 }
 
-// A Parts has the dependencies of an Edge.
+// Parts holds the dependencies of an Edge.
 type Parts struct {
 	Store           Store
 	Codec           Codec
@@ -123,7 +124,8 @@
 	node      *ggsrelay.Node
 	retries   *ggsretry.Policy
 	limits    *ggsthrottle.Table
-	// versions are the adapters' versions in use, and versionSum is their sum.
+	// versions are the adapters' versions in use. versionSum is their sum, which heartbeats
+	// carry so that a VM detects peers with newer versions.
 	versions   map[ggscore.ModelAdapter]uint64
 	versionSum uint64
 	newer      newerEntries
@@ -153,7 +155,7 @@
 	listRead           ggscore.StorePosition
 	operatorsRead      ggscore.StorePosition
 	// resyncedEpoch is the last epoch in which the list, the operators' entries and the VMs' own
-	// records were all read. resyncDuration is the time that this took.
+	// records were all read. resyncDuration is how long this VM took to read them in that epoch.
 	resyncedEpoch  ggscore.StoreEpoch
 	resyncDuration time.Duration
 	// operatorsAnnounced is the newest position of the operators' entries that a peer
@@ -163,12 +165,12 @@
 	operatorsSynced    ggscore.StorePosition
 	behindSince        time.Time
 	// operatorsReadTime is when this VM last read the operators' entries, by a snapshot or a
-	// completed watch. operatorsObserved is when this VM or a peer last did.
+	// completed watch. operatorsObserved is when this VM or a peer last read them.
 	operatorsReadTime time.Time
 	operatorsObserved time.Time
 	// listAnnounced is the newest position of a change of the list that a peer announced.
 	// listReadTime is when this VM last read the list. listObserved is when this VM or a peer
-	// last did.
+	// last read it.
 	listAnnounced ggscore.StorePosition
 	listReadTime  time.Time
 	listObserved  time.Time
@@ -183,7 +185,7 @@
 	membersNotified        chan struct{}
 }
 
-// A Stats has the counters of an Edge.
+// Stats holds the counters of an Edge.
 type Stats struct {
 	Requests    atomic.Int64
 	Answered    atomic.Int64
@@ -214,7 +216,7 @@
 	sequence uint64
 }
 
-// A use is an adapter at an endpoint.
+// A use is an adapter at an endpoint, for which requests are counted.
 type use struct {
 	endpoint ggscore.EndpointID
 	target   ggscore.ModelAdapter
@@ -283,11 +285,12 @@
 	}
 }
 
-// minVMs is the minimum number of VMs to divide the slack by, before others are known. It is
-// the size of a small deployment.
+// minVMs is the minimum number of VMs among which the retry slack is divided. A VM that has just
+// started knows no others, and would otherwise take the whole slack. It is the size of a small
+// deployment.
 const minVMs = 9
 
-// retryDepth returns this VM's part of the slack, given the number of VMs.
+// retryDepth returns this VM's part of the retry slack, given the number of VMs.
 func retryDepth(o Options, vms int) float64 {
 	return max(float64(o.RetrySlack)*retryShare/float64(max(vms, minVMs)), 1)
 }
--- a/io/ggsedge/epoch_test.go
+++ b/io/ggsedge/epoch_test.go
@@ -12,7 +12,7 @@
 	ggscore "greengageslip/core"
 )
 
-// An epochFake returns a position and an error from each call, after it has run then.
+// An epochFake is a store whose calls first call the function then, and return at and err.
 type epochFake struct {
 	at   ggscore.StorePosition
 	err  error
@@ -42,7 +42,8 @@
 	return f.answer()
 }
 
-// Guards against using answers of another history of the store than the current one.
+// Guards against the use of answers that name an epoch other than the store's current one. They
+// describe a history of the store that was replaced by a restore.
 func TestAnswersOfAnotherEpochAreRejected(t *testing.T) {
 	t.Parallel()
 	const epoch = 2
@@ -62,7 +63,8 @@
 	is := func(target any) func(error) bool { return func(err error) bool { return errors.As(err, target) } }
 	fine := func(err error) bool { return err == nil }
 	for name, tc := range map[string]struct {
-		// named is the answer's epoch, learned is one that a peer names before the answer arrives.
+		// named is the answer's epoch. learned is an epoch that a peer names before the answer
+		// arrives.
 		named, learned ggscore.StoreEpoch
 		err            error
 		call           func(Store) error
@@ -96,8 +98,8 @@
 	}
 }
 
-// Guards against a condition on a revision that was read before the store was restored from an
-// older copy.
+// Guards against a transaction that is conditional on a revision read before the store was
+// restored from an older copy. That revision may belong to different data now.
 func TestTransactionOfAnEndedEpochIsNotSent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsedge/handler.go
+++ b/io/ggsedge/handler.go
@@ -66,17 +66,18 @@
 	retryGranted bool
 	// fallback is an endpoint's failure to forward if no other endpoint gives a better answer.
 	fallback *keptFailure
-	// turn is the request's turn at the last endpoint, and sentAt is when it was sent there.
+	// turn is the time slot for the request's prompt at the last endpoint, and sentAt is when the
+	// request was sent there.
 	turn   ggscore.PromptTurn
 	sentAt time.Time
-	// turnWait is how long the request waited for its turn.
+	// turnWait is how long the request waited until its prompt could be sent.
 	turnWait time.Duration
 	// lastChunkAt is when the last chunk of the answer arrived.
 	lastChunkAt time.Time
 	// maxGap is the longest gap between two chunks of the answer.
 	maxGap time.Duration
-	// degraded is set if other requests' prompts caused a gap longer than callers of the route
-	// accept, or if the first chunk was late because of the turn.
+	// degraded is set if the gap between two chunks exceeded the route's target because of other
+	// requests' prompts, or if the first chunk missed its target only because of turnWait.
 	degraded bool
 	// firstChunkAfter is the time from the request's arrival to the answer's first chunk.
 	firstChunkAfter time.Duration
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -20,8 +20,8 @@
 	fullHoldingsInterval = 900 * time.Millisecond
 	// heartbeatDelay is the assumed delay of a heartbeat: a trip between regions and a relay.
 	heartbeatDelay = 20 * time.Millisecond
-	// summaryMaxAge is the age of the last summary up to which directly received heartbeats
-	// aren't applied, since the summaries of relays include their counts.
+	// summaryMaxAge is the age of the last relay summary up to which the contents of directly
+	// received heartbeats aren't applied, because the summary already includes them.
 	summaryMaxAge = time.Second
 	// fleet stands for all VMs together in summaries that report the use of adapters.
 	fleet ggscore.VMID = ""
@@ -266,7 +266,7 @@
 	}
 }
 
-// applyView applies the sum over all VMs. Edge.mu is held.
+// applyView applies the state that relays have summed over all VMs. Edge.mu is held.
 func (e *Edge) applyView(v ggsrelay.View) {
 	now := e.Now()
 	e.lastSummary = now
--- a/io/ggsedge/list_test.go
+++ b/io/ggsedge/list_test.go
@@ -40,9 +40,9 @@
 	return []ggscore.Entry{{Key: "list/a", Value: []byte(first)}, {Key: "list/b", Value: []byte(second)}}
 }
 
-// Guards against a change that is found during a resync and not announced. The VM announced
-// only the change that triggered the resync, with the list's fresh age. No other VM read the
-// list for over a second, and a runner got requests 2.6 s after it had announced its departure.
+// Guards against a change that is found during a resync but not announced. With only the first
+// change and a fresh age announced, no other VM read the list for over a second, and a runner got
+// requests 2.6 s after it had announced its departure.
 func TestSecondChangeIsAnnounced(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsedge/members.go
+++ b/io/ggsedge/members.go
@@ -31,7 +31,7 @@
 	ControlAddr  string `json:"control"`
 	// Capacity compares VMs by processor and network link.
 	Capacity uint64 `json:"capacity,omitempty"`
-	// Count makes each store heartbeat a change.
+	// Count grows with each store heartbeat, so that each heartbeat changes the record.
 	Count uint64 `json:"count"`
 	// TurnStates are the learned prefill times of services, for VMs that start.
 	TurnStates []turnStateRecord `json:"shapes,omitempty"`
--- a/io/ggsedge/parts.go
+++ b/io/ggsedge/parts.go
@@ -29,8 +29,8 @@
 
 const partMethod = "Placement.Part"
 
-// A PartArgs requests a part of the store, which is all entries below a prefix, as of revision
-// Up of an epoch or later.
+// A PartArgs requests a part of the store: all entries below a prefix, as read at revision Up of
+// the epoch or at a later one.
 type PartArgs struct {
 	Prefix string
 	Epoch  uint64
--- a/io/ggsedge/placement.go
+++ b/io/ggsedge/placement.go
@@ -119,7 +119,7 @@
 
 const ensureMethod = "Placement.Ensure"
 
-// A Placement is the RPC service for peers.
+// A Placement is the RPC service through which peers have adapters loaded and read entries.
 type Placement struct {
 	edge *Edge
 	ctx  context.Context //nolint:containedctx // net/rpc hands its methods none
--- a/io/ggsedge/relay.go
+++ b/io/ggsedge/relay.go
@@ -15,8 +15,9 @@
 	"greengageslip/io/ggslog"
 )
 
-// maxBufferedBytes is the length up to which an answer is read completely before its head is
-// sent to the caller. A buffered answer that is truncated can still be replaced.
+// maxBufferedBytes is the length up to which a non-streamed answer of known length is read
+// completely before its head is sent. If such an answer is truncated, another endpoint's answer
+// can still be sent instead.
 const maxBufferedBytes = 64 << 10
 
 // chunkBytes is the read size, in bytes, for longer answers and streams.
--- a/io/ggsedge/turns.go
+++ b/io/ggsedge/turns.go
@@ -23,8 +23,8 @@
 	maxTurnChecks = 3
 )
 
-// takeTurn waits until the request's prompt may be sent to the endpoint. It returns false if
-// the caller left or the deadline passed before.
+// takeTurn takes a turn, which is a time slot for the request's prompt at the endpoint, and waits
+// until the turn begins. It returns false if the caller left or the deadline passed before.
 func (e *Edge) takeTurn(ctx context.Context, j *job, i ggscore.Instance) bool {
 	if j.spec.Engine == nil || !e.options.Policy.On(ggscore.MechanismTurns) {
 		return true
@@ -109,7 +109,8 @@
 	}
 }
 
-// routes returns the addresses to send a message to, by how far the receivers relay it.
+// routes returns the addresses to which this VM sends a message, grouped by the range within which
+// the receivers relay it. reach is the range that the message has to cover.
 func (e *Edge) routes(reach ggscore.Relay, sequence uint64) map[ggscore.Relay][]netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -140,7 +141,7 @@
 	e.turns.Add(now, t)
 }
 
-// setTurnEndpoints sets the endpoints that take turns. Edge.mu is held.
+// setTurnEndpoints sets the endpoints at which prompts are scheduled. Edge.mu is held.
 func (e *Edge) setTurnEndpoints(list []ggscore.Instance) {
 	ids := map[ggscore.Service][]ggscore.EndpointID{}
 	for _, i := range list {
--- a/io/ggsedge/worker.go
+++ b/io/ggsedge/worker.go
@@ -233,7 +233,7 @@
 	return 0
 }
 
-// wantModels requests the base model for an endpoint that holds no base model, since it has
+// wantModels requests the base model for an endpoint that holds none because the endpoint has
 // just started. Edge.mu is held.
 func (e *Edge) wantModels(now time.Time, w *worker, g *ggscore.EngineSpec) {
 	for _, m := range g.Models {
