--- a/io/ggsengine/errors.go
+++ b/io/ggsengine/errors.go
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("stream event exceeds %d bytes", e.LimitBytes)
 }
 
-// An IdleTimeoutError reports that an endpoint sent no byte for Settings.SilenceTimeout.
+// An IdleTimeoutError reports that an endpoint sent no byte for Settings.ReadIdleTimeout.
 type IdleTimeoutError struct{}
 
 // Error implements error.
--- a/io/ggsengine/fault_test.go
+++ b/io/ggsengine/fault_test.go
@@ -243,7 +243,8 @@
 	}
 }
 
-// A long body is forwarded in several chunks, of which only the last is final.
+// Guards against a long body whose chunks are lost or marked as final too early. Only the last chunk
+// may be final.
 func TestLongBodyIsForwardedInChunks(t *testing.T) {
 	t.Parallel()
 	for name, size := range map[string]int{"one byte less": 64<<10 - 1, "full chunks": 64 << 10, "one byte more": 64<<10 + 1} {
@@ -263,8 +264,8 @@
 	}
 }
 
-// A request to an address without a listener can't have run, so it may be sent to another
-// endpoint.
+// Guards against the outcome unknown for a request to an address without a listener. The request
+// can't have run, so it may be sent to another endpoint.
 func TestDialFailureIsNotSent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -280,8 +281,8 @@
 	c.Assert(refused.Status, qt.Equals, 0)
 }
 
-// A request whose caller disconnects while the request waits for a connection, because
-// all are in use, was not sent.
+// Guards against the outcome unknown for a request that was never sent. All connections are in use,
+// and the caller disconnects while the request waits for one.
 func TestCancelledBeforeConnectionIsNotSent(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -310,8 +311,8 @@
 	c.Assert(b.engine.Runs(), qt.DeepEquals, map[string]int{"q1": 1})
 }
 
-// Guards against a broken stream without an error. The engine restarts, evicts the adapter
-// or closes its connections while the stream is running.
+// Guards against a broken stream that is reported without an error. It occurs when the engine
+// restarts, evicts the adapter or closes its connections while the stream is running.
 func TestBrokenStreams(t *testing.T) {
 	t.Parallel()
 	for name, interrupt := range map[string]func(context.Context, *qt.C, *fixture){
@@ -353,7 +354,7 @@
 }
 
 // Guards against a run that never ends because a frozen engine keeps its connection open and
-// sends nothing. The run must end after SilenceTimeout.
+// sends nothing. The run must end after ReadIdleTimeout.
 func TestFrozenEngineTimesOut(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsengine/order.go
+++ b/io/ggsengine/order.go
@@ -11,7 +11,7 @@
 	"greengageslip/io/ggsconn"
 )
 
-// Load implements ggscore.AdapterOrderer.
+// Load implements ggscore.AdapterLoader.
 func (c *Client) Load(ctx context.Context, addr netip.AddrPort, a ggscore.AdapterRef, f ggscore.FencingToken) error {
 	return c.order(ctx, addr, pathLoad, a, f)
 }
@@ -31,7 +31,7 @@
 	return r, nil
 }
 
-// Unload implements ggscore.AdapterOrderer.
+// Unload implements ggscore.AdapterLoader.
 func (c *Client) Unload(ctx context.Context, addr netip.AddrPort, a ggscore.AdapterRef, f ggscore.FencingToken) error {
 	return c.order(ctx, addr, pathUnload, a, f)
 }
