--- a/io/ggsheartbeat/server.go
+++ b/io/ggsheartbeat/server.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// Members returns the members that aren't gone, self included, ordered by VM ID.
+// Members returns the members that haven't failed, self included, ordered by VM ID.
 func (s *Server) Members() []ggsmember.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
