--- a/io/ggslog/writer_test.go
+++ b/io/ggslog/writer_test.go
@@ -29,8 +29,8 @@
 	return s.b.Write(p)
 }
 
-// Requests must not wait for a slow reader of the log. Lines are dropped instead,
-// and one line has their number.
+// Guards against requests that wait for a slow reader of the log. Lines are dropped instead, and one
+// line has their number.
 func TestSlowReaderDoesNotBlockWrites(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -49,7 +49,8 @@
 	c.Assert(strings.HasSuffix(s.b.String(), "event=logDropped count=476\n"), qt.IsTrue)
 }
 
-// A burst of refusals would write the same line thousands of times a second.
+// Guards against a log flooded with the same line, thousands of times per second, by a burst of
+// refusals.
 func TestRepeatedLinesAreSampled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -68,7 +69,7 @@
 	c.Assert(b.String(), qt.Equals, "event=logSampled sampled=requestEnded count=700\nevent=requestEnded\n")
 }
 
-// Each event must be described in the operators' documentation.
+// Guards against an event that the operators' documentation doesn't describe.
 func TestEachEventIsDocumented(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
