--- a/io/ggsowners/owners_test.go
+++ b/io/ggsowners/owners_test.go
@@ -199,8 +199,8 @@
 	b.c.Assert(next.Pins(runner), qt.HasLen, 0)
 }
 
-// The answers to an owner's writes are lost. It must not rely on a protection that may not
-// be recorded, and must not lose the runner.
+// Guards against an owner that relies on a protection that may not be recorded, or that loses the
+// runner, because the answers to its writes are lost.
 func TestLostAnswersAreReadBack(t *testing.T) {
 	t.Parallel()
 	b := newBench(t)
@@ -218,7 +218,7 @@
 	b.c.Assert(b.check(o, "rules", ggscore.OrderDispatch), qt.IsNil)
 }
 
-// A record that can't be decoded must not be treated as empty, because its pins would be
+// Guards against a record that can't be decoded and is treated as empty, because its pins would be
 // lost.
 func TestBadRecordIsNotTakenOver(t *testing.T) {
 	t.Parallel()
