--- a/io/ggsplatform/call.go
+++ b/io/ggsplatform/call.go
@@ -23,7 +23,7 @@
 	in any
 	// write is set if the call may change the store.
 	write bool
-	// wait is added to the timeout of the first byte.
+	// wait is added to the timeout until the first byte of the answer.
 	wait  time.Duration
 	key   ggscore.Key
 	prev  ggscore.StoreRevision
--- a/io/ggsplatform/client_test.go
+++ b/io/ggsplatform/client_test.go
@@ -154,8 +154,8 @@
 	c.Assert(upTo, qt.Equals, r3)
 }
 
-// A write takes effect, but its answer is lost with the connection. If the client reported
-// a failure, an operator would repeat the write over another operator's later change.
+// Guards against a write that is reported as failed although it took effect, because its answer is
+// lost with the connection. An operator would repeat it over another operator's later change.
 func TestLostAnswerIsAmbiguous(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -174,8 +174,8 @@
 	c.Assert(string(e.Value), qt.Equals, "new")
 }
 
-// A write's answer is lost, a read right after it shows no effect, and the write takes
-// effect later. A caller that relies on that read would claim a key twice.
+// Guards against callers that rely on a read after a write whose answer was lost. The read shows no
+// effect, the write takes effect later, and the caller would claim a key twice.
 func TestDelayedWriteTakesEffectLate(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -195,8 +195,8 @@
 	c.Assert(string(e.Value), qt.Equals, "late")
 }
 
-// While the platform is down, each call fails at once and without effect, so that a claim
-// can be refused as not run.
+// Guards against ambiguous errors while the platform is down. Each call must fail at once and without
+// effect, so that a claim can be refused as not run.
 func TestUnavailableIsDefinite(t *testing.T) {
 	t.Parallel()
 	for name, stop := range map[string]func(*bench){
@@ -220,8 +220,8 @@
 	}
 }
 
-// The platform accepts a write and doesn't answer before the caller cancels. The write may
-// still take effect, so the error must be ambiguous.
+// Guards against a definite error for a write that the platform accepts but doesn't answer before
+// the caller cancels. The write may still take effect.
 func TestUnansweredWriteIsAmbiguous(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -296,8 +296,8 @@
 	c.Assert(vs[0], qt.Equals, v)
 }
 
-// An answer takes longer than CallTimeout on a slow link. If that bound applied to the whole
-// answer, the call would time out and be repeated forever.
+// Guards against calls that time out and are repeated forever because CallTimeout bounds a whole
+// answer. An answer may take longer than CallTimeout on a slow link.
 func TestLongAnswerOnSlowLink(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsplatform/wrap_test.go
+++ b/io/ggsplatform/wrap_test.go
@@ -42,9 +42,9 @@
 	c.Assert(counts.String(), qt.Equals, `{"errors": 1, "reads": 3, "watches": 1, "writes": 6}`)
 }
 
-// A process that reads many sections at its start must not use up the platform's rate limit.
-// Calls beyond its share wait, and calls that can't proceed before their deadline fail
-// without being sent.
+// Guards against a process that uses up the platform's rate limit, because it reads many sections
+// when it starts. Calls beyond its share must wait, and calls that can't proceed before their
+// deadline must fail without being sent.
 func TestLimitedFailsWithoutSending(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
