--- a/io/ggsrpc/ggsrpc_test.go
+++ b/io/ggsrpc/ggsrpc_test.go
@@ -83,8 +83,8 @@
 	c.Assert(p.Close(), qt.IsNil)
 }
 
-// Guards against long answers that never complete: the time of a call would be bounded, but the
-// length of its answer isn't. Only the time without received bytes is bounded.
+// Guards against long answers that never complete because the total time of a call is bounded. Only
+// the time without received bytes may be bounded.
 func TestLongAnswerMayExceedIdleTimeout(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsrpc/server.go
+++ b/io/ggsrpc/server.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// A Server answers calls from other processes.
+// A Server is a net/rpc server that closes its connections when its context ends.
 type Server struct {
 	rpc   *rpc.Server
 	mu    sync.Mutex
