--- a/io/ggssettings/edge_test.go
+++ b/io/ggssettings/edge_test.go
@@ -11,8 +11,8 @@
 	"greengageslip/io/ggssettings"
 )
 
-// If a misspelt mechanism were ignored, an operator would measure with the mechanism
-// still switched on.
+// Guards against a misspelt mechanism that is ignored. An operator would then measure with the
+// mechanism still switched on.
 func TestReadPolicy(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/io/ggssettings/settings.go
+++ b/io/ggssettings/settings.go
@@ -38,7 +38,7 @@
 	StateListen netip.AddrPort
 	// Platform is the address of the platform's service.
 	Platform netip.AddrPort
-	// Dispatchers are used until the platform's list has been read.
+	// Dispatchers are the addresses that are called until the platform's list has been read.
 	Dispatchers  []netip.AddrPort
 	LogLevel     ggslog.Level
 	DrainTimeout time.Duration
