--- a/io/ggstoml/section_test.go
+++ b/io/ggstoml/section_test.go
@@ -99,8 +99,8 @@
 	c.Assert(*p.Policy, qt.Equals, want)
 }
 
-// A section can have thousands of lines. Without the key and line in the error, an
-// operator can't find an invalid value.
+// Guards against errors without key and line. An operator couldn't find the invalid value in a
+// section of thousands of lines.
 func TestParseSectionErrorHasKeyAndLine(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
