--- a/io/ggsvms/peer.go
+++ b/io/ggsvms/peer.go
@@ -32,7 +32,7 @@
 	VMs(ctx context.Context, p Peer, d ggscore.Digest) (Answer, error)
 }
 
-// Peers fetches the lists of peers over net/rpc.
+// Peers is a PeerLister that asks dispatchers for their lists of VMs over net/rpc.
 type Peers struct{ pool *ggsrpc.Pool }
 
 var _ PeerLister = (*Peers)(nil)
--- a/io/ggsvms/vms.go
+++ b/io/ggsvms/vms.go
@@ -54,7 +54,7 @@
 type Membership interface {
 	// IsReader reports whether this process reads the platform's list.
 	IsReader() bool
-	// Readers returns the peers of this failure domain that read the platform's list. Others
+	// Readers returns the peers of this failure domain that read the platform's list, and Others
 	// returns all other peers.
 	Readers() []Peer
 	Others() []Peer
