--- a/cmd/ggsctl/app.go
+++ b/cmd/ggsctl/app.go
@@ -32,7 +32,7 @@
 	err io.Writer
 }
 
-// A command is one of ggsctl's commands, with its options.
+// A command is one of ggsctl's commands, such as get or apply, with its options.
 type command interface {
 	run(ctx context.Context, a *app) error
 }
--- a/cmd/ggsctl/explain.go
+++ b/cmd/ggsctl/explain.go
@@ -67,7 +67,8 @@
 	return lines, err
 }
 
-// scanLog calls f for each line of a log that contains a text; "-" is standard input.
+// scanLog calls f for each line of a log that contains the given text. The name "-" stands for
+// standard input.
 func (a *app) scanLog(name, text string, f func(logLine)) error {
 	r := a.streams.in
 	if name != "-" {
--- a/cmd/ggsctl/losses.go
+++ b/cmd/ggsctl/losses.go
@@ -7,7 +7,7 @@
 	"greengageslip/io/ggslog"
 )
 
-// A loss is the class of a request by the objective of its route that it missed.
+// A loss classifies a request by the first objective of its route that the request missed.
 type loss string
 
 // The losses, in the order of a report's columns.
@@ -15,8 +15,8 @@
 	// lossNone is a request that met its route's objectives.
 	lossNone loss = "inTime"
 	// lossLoad, lossTurn and lossFirst are late first chunks, by the step that took
-	// longest: the wait for the adapter, the wait for the prompt's turn, or the
-	// endpoint's own work.
+	// longest: the wait for the adapter's load, the wait until the prompt may be sent
+	// (its turn), or the endpoint's own work.
 	lossLoad  loss = "load"
 	lossTurn  loss = "turn"
 	lossFirst loss = "first"
--- a/cmd/ggsctl/report.go
+++ b/cmd/ggsctl/report.go
@@ -25,7 +25,8 @@
 	reportWidth  = 24 * vg.Centimeter
 	reportHeight = 12 * vg.Centimeter
 	barWidth     = 9 * vg.Millimeter
-	// leftGray is the shade for lossLeft, since the palette has one colour too few.
+	// leftGray is the shade of lossLeft in the plot, because the palette has one colour less than
+	// there are losses.
 	leftGray = 0x99
 )
 
--- a/cmd/ggsctl/script_test.go
+++ b/cmd/ggsctl/script_test.go
@@ -60,8 +60,8 @@
 	outageNext atomic.Bool
 }
 
-// Each script is an operator's session at a terminal, compared with a golden
-// transcript of commands, output and exit codes. Labels replace ids and ports.
+// Guards against unintended changes of commands, output and exit codes. Each script is an operator's
+// session at a terminal, compared with a golden transcript in which labels replace ids and ports.
 func TestSessions(t *testing.T) {
 	t.Parallel()
 	testscript.Run(t, testscript.Params{
