--- a/cmd/ggsload/answer.go
+++ b/cmd/ggsload/answer.go
@@ -105,7 +105,7 @@
 	return r.got
 }
 
-// whole reads an answer that isn't streamed.
+// whole reads and checks an answer that isn't streamed.
 func (r *reader) whole(o *runCommand) response {
 	b, err := io.ReadAll(r.body)
 	if err != nil {
--- a/cmd/ggsload/load_test.go
+++ b/cmd/ggsload/load_test.go
@@ -65,8 +65,8 @@
 	return code, r
 }
 
-// A caller may get another caller's answer, or a silently truncated one. A load tool
-// that only counts statuses would not detect it.
+// Guards against a load test that counts another caller's answer, or a silently truncated one, as
+// done. A tool that only counts statuses would not detect either.
 func TestWrongAnswersAreDetected(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
@@ -139,8 +139,8 @@
 	}
 }
 
-// A closed-loop tool sends nothing while the system stalls, so that its percentiles
-// don't show the stall.
+// Guards against percentiles that don't show a stall of the system, because the tool waits for
+// answers and sends nothing during the stall.
 func TestSlowAnswersDontSlowArrivals(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/cmd/ggsload/plan.go
+++ b/cmd/ggsload/plan.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// planStream is the random stream of the plan, so that other users of the same seed
+// planStream selects the plan's stream of random numbers, so that other users of the same seed
 // draw other numbers.
 const planStream = 0x6c6f6164
 
--- a/cmd/ggsload/tally.go
+++ b/cmd/ggsload/tally.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// drop counts a request that was due while too many were in flight.
+// drop counts a request that was not sent, because too many were in flight when it was due.
 func (t *tally) drop(due time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
