--- a/cmd/ggsnode/common.go
+++ b/cmd/ggsnode/common.go
@@ -16,7 +16,7 @@
 	"greengageslip/io/ggsvms"
 )
 
-// A role is a program's name and its source of the document.
+// A role is a program's name and the source from which the program reads the document.
 type role struct {
 	program string
 	// peersOnly makes the program read the document only from dispatchers, not from the store.
--- a/cmd/ggsnode/dispatcher.go
+++ b/cmd/ggsnode/dispatcher.go
@@ -74,8 +74,8 @@
 	return incarnation(u.String()), err
 }
 
-// newDispatcher returns the ownership and the dispatcher, which depend on each other: the ownership
-// authorizes the dispatcher's orders and asks the dispatcher which endpoints are busy.
+// newDispatcher returns the ownership and the dispatcher, which depend on each other. The ownership
+// authorizes the dispatcher's orders, and the dispatcher reports which endpoints are busy.
 func newDispatcher(
 	s *ggssettings.Dispatcher, store ggscore.Store, i incarnation, k *ggsschedule.Scheduler,
 	c *ggsclaims.Committer, t clock, l log.Logger,
--- a/cmd/ggsnode/edge_epoch_test.go
+++ b/cmd/ggsnode/edge_epoch_test.go
@@ -92,8 +92,8 @@
 // reloadBound limits the time from the store's restore until a new adapter is served.
 const reloadBound = 6 * time.Second
 
-// Guards against endpoints that get no orders after a restore, because the heartbeats and
-// ownership records of the previous epoch are lost.
+// Guards against endpoints that get no orders after the store is restored. Heartbeats and ownership
+// records that were written before the restore are no longer valid.
 func TestNewAdaptersAreServedAfterStoreRestore(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct{ older bool }{
--- a/cmd/ggsnode/edge_limit_test.go
+++ b/cmd/ggsnode/edge_limit_test.go
@@ -79,8 +79,8 @@
 	limitMaxArrivals = int(1.5*testLimit*4) + 5
 )
 
-// Guards against an endpoint that has announced a rate limit and still gets its usual load from
-// all VMs together.
+// Guards against VMs that together send an endpoint its usual load after the endpoint has announced
+// a rate limit.
 func TestRateLimitOfAnEndpointHoldsForAllVMsTogether(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/cmd/ggsnode/edge_test.go
+++ b/cmd/ggsnode/edge_test.go
@@ -171,7 +171,7 @@
 	return resp.StatusCode
 }
 
-// A reply is a caller's answer; complete is false if the answer was truncated.
+// A reply is the answer that a caller received. complete is false if the answer was truncated.
 type reply struct {
 	id       string
 	status   int
@@ -374,7 +374,8 @@
 	}
 }
 
-// Guards against a changed or replaced answer if an instance itself answers with a failure.
+// Guards against an endpoint's own failure answer that is changed or replaced on its way to the
+// caller.
 func TestEndpointsFailureIsPassedOn(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
--- a/cmd/ggsnode/endpoints.go
+++ b/cmd/ggsnode/endpoints.go
@@ -124,9 +124,9 @@
 // servableAdapters returns the adapters that an endpoint serves while its owner's lease is not
 // confirmed: the resident adapters that the owner's record protects.
 //
-// In ModeResidentOnly the scheduler serves only protected adapters. An owner that passed on just
-// the pins of earlier owners would refuse all requests after the platform has been unavailable for
-// longer than the lease.
+// In ModeResidentOnly the scheduler serves only the adapters that it is given as protected. If it
+// were given only the pins of earlier owners, it would refuse all requests for other adapters
+// after the platform has been unavailable for longer than the lease.
 func (e *endpointUpdater) servableAdapters(n *ggscore.Endpoint) []ggscore.AdapterRef {
 	if n.Kind == ggscore.KindPlain {
 		return []ggscore.AdapterRef{{}}
--- a/cmd/ggsnode/fault_platform_test.go
+++ b/cmd/ggsnode/fault_platform_test.go
@@ -25,7 +25,7 @@
 	applyBound = 3 * time.Second
 )
 
-// Guards against three failures if a failure domain loses its link to the platform for longer
+// Guards against three failures when a failure domain loses its link to the platform for longer
 // than its leases: refused requests on resident adapters, calls that run without a claim or aren't
 // refused at once, and an outdated document after the link has recovered.
 func TestDomainCutOffFromPlatform(t *testing.T) {
--- a/cmd/ggsnode/fault_process_test.go
+++ b/cmd/ggsnode/fault_process_test.go
@@ -228,7 +228,7 @@
 	return l
 }
 
-// A reply is a caller's answer.
+// A reply is the answer that a caller received.
 type reply struct {
 	status int
 	header http.Header
--- a/cmd/ggsnode/readers.go
+++ b/cmd/ggsnode/readers.go
@@ -13,8 +13,9 @@
 // readersPerDomain is the number of VMs of a domain that read the platform's list.
 const readersPerDomain = 2
 
-// A listMembership selects the readers of the platform's list of VMs: those of a domain's
-// dispatchers that also watch the document.
+// A listMembership divides a domain's dispatchers into the few that read the platform's list of
+// VMs and the others. Readers are chosen by the same ranking as the watchers of the document, so
+// they are usually the same VMs.
 type listMembership struct {
 	node    *ggssettings.Node
 	role    role
--- a/cmd/ggsnode/soak_faults_test.go
+++ b/cmd/ggsnode/soak_faults_test.go
@@ -16,7 +16,7 @@
 // A soakFault causes a fault for some time and then ends it.
 type soakFault struct {
 	name string
-	// planned reports whether callers must not lose any request by the fault.
+	// planned is set if no request of a caller may be lost because of the fault.
 	planned bool
 	run     func(s *soak, r *rand.Rand, d time.Duration)
 }
@@ -109,8 +109,9 @@
 	e.signal(syscall.SIGCONT)
 }
 
-// hangup sends SIGHUP to a process that has a configuration. A SIGHUP before the process ignores
-// the signal would end the process, and the soak, unlike the platform, wouldn't restart it.
+// hangup sends SIGHUP to a process that has a configuration. A SIGHUP that arrives before the
+// process ignores the signal would end the process. The platform would restart the process, but
+// the soak doesn't.
 func (s *soak) hangup(r *rand.Rand, _ time.Duration) {
 	if e := s.edge(r); s.configOf(e) > 0 {
 		e.signal(syscall.SIGHUP)
--- a/cmd/ggsnode/soak_test.go
+++ b/cmd/ggsnode/soak_test.go
@@ -82,8 +82,8 @@
 	soakDrainBound = 2500 * time.Millisecond
 	// soakRewriteBound is the time within which entries lost in a restore are rewritten.
 	soakRewriteBound = 2 * time.Second
-	// soakFaultFree is the time after an unplanned fault for which planned stops and departures
-	// aren't checked.
+	// soakFaultFree is the time after an unplanned fault during which planned stops and departures
+	// aren't checked, because the fault may delay them.
 	soakFaultFree = 3 * time.Second
 )
 
--- a/cmd/ggsnode/state.go
+++ b/cmd/ggsnode/state.go
@@ -5,7 +5,7 @@
 	"greengageslip/io/ggsowners"
 )
 
-// An ownerState is one group of endpoints in the state dump.
+// An ownerState is one group of endpoints, which have a common owner, in the state dump.
 type ownerState struct {
 	Group    int    `json:"group"`
 	Mode     string `json:"mode"`
--- a/cmd/ggsnode/system_test.go
+++ b/cmd/ggsnode/system_test.go
@@ -44,7 +44,8 @@
 	return f
 }
 
-// checkComplete checks that a streamed answer is complete, in order and of the caller's request.
+// checkComplete checks that a streamed answer is complete and in order, and that it answers the
+// caller's request.
 func checkComplete(c *qt.C, h http.Header, text, adapter string, tokens int) {
 	c.Assert(h.Get("X-Served-Model"), qt.Equals, adapter, qt.Commentf("%s", text))
 	id := h.Get("X-Request-Id")
@@ -231,8 +232,8 @@
 	c.Assert(runsOf(ledger, key), qt.Equals, 1)
 }
 
-// Guards against a call that stays without an answer or runs twice, if its endpoint refuses it
-// without running it. The call is retried under the same claim and runs once.
+// Guards against a call that gets no answer or runs twice after its endpoint has refused it without
+// running it. The call must be retried under the same claim and run once.
 func TestRefusedCallIsSentAgainUnderItsClaim(t *testing.T) {
 	t.Parallel()
 	c, b, ledger, g := plainDeployment(t)
@@ -249,7 +250,7 @@
 }
 
 // Guards against a non-idempotent call that runs without a claim while the platform is
-// unavailable, and against calls that need no claim being refused with it.
+// unavailable, and against the refusal of calls that need no claim.
 func TestPlatformOutageRefusesOnlyCallsThatNeedAClaim(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
