--- a/io/ggsclaims/committer.go
+++ b/io/ggsclaims/committer.go
@@ -56,7 +56,7 @@
 	key    ggscore.Key
 	slot   ggsclaim.Slot
 	writer *ggsclaim.Writer
-	// queued is set while the shard is in ready or a worker serves it.
+	// queued is set while the shard is in Committer.ready or a worker serves it.
 	queued bool
 }
 
