--- a/io/ggsdispatch/dispatcher.go
+++ b/io/ggsdispatch/dispatcher.go
@@ -333,7 +333,7 @@
 	return true
 }
 
-// tick calls the scheduler at its next due time, and checks at least every
+// tick calls the scheduler when its next tick is due. It checks for a due tick at least every
 // pollInterval.
 func (d *Dispatcher) tick(ctx context.Context) error {
 	t := time.NewTimer(pollInterval)
