--- a/io/ggsedge/attempt.go
+++ b/io/ggsedge/attempt.go
@@ -33,7 +33,7 @@
 	maxConnShare = 0.25
 )
 
-// run sends the request to endpoints until one answers or the request fails for good.
+// run sends the request to one endpoint after another until one answers or no retry is allowed.
 func (e *Edge) run(ctx context.Context, j *job) {
 	for {
 		choice, err := e.choose(j)
--- a/io/ggsedge/epoch.go
+++ b/io/ggsedge/epoch.go
@@ -110,7 +110,7 @@
 	return a
 }
 
-// epochChanged has everything read again that was read in the previous epoch. It takes no
+// epochChanged makes the loops read again whatever was read in the previous epoch. It takes no
 // lock.
 func (e *Edge) epochChanged(c epochChange) {
 	if c.from > 0 {
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// untilListDue returns the time until the list may change without a change of its entries.
+// untilListDue returns the time until the registry is due, which is when the list may change
+// although no entry of the store has changed.
 func (e *Edge) untilListDue() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,7 +84,8 @@
 	return due.Sub(now)
 }
 
-// listLimit returns the age of the list at which this VM reads it.
+// listLimit returns the age of the list at which this VM reads the list. It differs between VMs, so
+// that usually one VM reads the list and announces changes to the others.
 func (e *Edge) listLimit() time.Duration {
 	live := e.livePeers()
 	if len(live) == 0 {
--- a/io/ggsedge/relay.go
+++ b/io/ggsedge/relay.go
@@ -67,8 +67,9 @@
 	body   []byte
 }
 
-// keepFailure keeps an endpoint's failure answer if the request is sent to another endpoint,
-// else it returns nil. The kept body has at most maxBufferedBytes.
+// keepFailure keeps an endpoint's failure answer as the fallback if the request is sent to another
+// endpoint, and returns the failure for that retry. It returns nil if the request isn't retried, or
+// if the body's length is unknown or exceeds maxBufferedBytes. A truncated answer isn't kept.
 func (e *Edge) keepFailure(ctx context.Context, j *job, i ggscore.Instance, a *ggsexchange.Answer) *ggscore.Failure {
 	f := &ggscore.Failure{Kind: ggscore.FailureEndpoint, Detail: "endpoint answered with status " + strconv.Itoa(a.Status)}
 	if a.Length < 0 || a.Length > maxBufferedBytes || !e.retry(ctx, j, f) {
@@ -99,8 +100,8 @@
 	_, _ = j.w.Write(k.body)
 }
 
-// invalidReason returns why an answer can't be forwarded, empty if it can. A success has to be
-// signed by the endpoint. A body in an encoding that wasn't requested isn't the endpoint's own.
+// invalidReason returns why an answer can't be forwarded, empty if it can. A success must be signed
+// by the endpoint and must have no content encoding, because none was requested.
 func invalidReason(a *ggsexchange.Answer, m ggscore.AnswerMeta, success bool) string {
 	switch {
 	case success && !m.Signed:
