--- a/io/ggsgateway/send.go
+++ b/io/ggsgateway/send.go
@@ -46,8 +46,9 @@
 
 // An attemptHistory records the failed attempts of one request.
 type attemptHistory struct {
-	// tried are the dispatchers of all failed attempts. They are excluded from routing except
-	// while the request waits for a handover. stopped are excluded then as well.
+	// tried are the dispatchers of all failed attempts. They are excluded from routing, except
+	// while the request waits for a handover. stopped are those of them that were stopping,
+	// which are always excluded.
 	tried   []ggscore.VMID
 	stopped []ggscore.VMID
 	// number counts the attempts whose failure was not due to a handover.
