--- a/io/ggsowners/options.go
+++ b/io/ggsowners/options.go
@@ -10,8 +10,9 @@
 // Options holds the settings of Owners.
 type Options struct {
 	Domain ggscore.Domain
-	// Groups is the number of groups in the domain. All dispatchers of the domain must use
-	// the same number, so it may change only while none of them runs.
+	// Groups is the number of groups into which the domain's endpoints are divided. A group has
+	// one owner. All dispatchers of the domain must use the same number, so it may change only
+	// while none of them runs.
 	Groups int
 	Limits ggsowner.Limits
 	// RenewInterval is the mean interval between renewals of the lease. Intervals are
--- a/io/ggsowners/owners.go
+++ b/io/ggsowners/owners.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// wakeGroups makes runGroups serve the involved groups now.
+// wakeGroups makes runGroups serve at once the groups in which this dispatcher is involved.
 func (o *Owners) wakeGroups() {
 	select {
 	case o.wake <- struct{}{}:
--- a/io/ggsowners/serve.go
+++ b/io/ggsowners/serve.go
@@ -37,9 +37,8 @@
 	return true
 }
 
-// isCandidate reports whether this dispatcher takes the group over when its owner stops. It
-// then is the first candidate apart from the owner, or runs on the owner's VM. The caller
-// holds o.mu.
+// isCandidate reports whether this dispatcher takes the group over when its owner stops: it is the
+// preferred candidate other than the owner, or runs on the owner's VM. The caller holds o.mu.
 func (o *Owners) isCandidate(g *group) bool {
 	owner := g.state.Record().Owner.VM
 	first, ok := ggsowner.PreferredCandidate(g.key, o.candidates, owner)
