--- a/io/ggstoml/locate.go
+++ b/io/ggstoml/locate.go
@@ -26,14 +26,14 @@
 	// indexes holds the number of elements of each array of tables, by path.
 	indexes   map[string]int
 	locations []location
-	// names holds the value of the key name or service of each table, quoted and in
-	// brackets, by the table's path.
+	// names holds, by the path of each table, the value of the table's key "name" or
+	// "service", quoted and in brackets.
 	names map[string]string
 }
 
 // locate returns the line of a key in a TOML text, counted from one. The key contains
 // elements of arrays of tables by index, as in adapters[3].current, or by the value of
-// their key name or service, as in adapters["deposits-es"].current. If the key isn't set,
+// their key "name" or "service", as in adapters["deposits-es"].current. If the key isn't set,
 // locate returns the line of its innermost enclosing table, or zero if there is none.
 func locate(text []byte, key string) int {
 	l := newLocator(text)
@@ -110,7 +110,7 @@
 	return location{}, false
 }
 
-// recordName records the name of a table if path is its key name or service.
+// recordName records the name of a table if path is the table's key "name" or "service".
 func (l *locator) recordName(path, value string) {
 	t, k := path, ""
 	if i := strings.LastIndexByte(path, '.'); i >= 0 {
