--- a/cmd/ggsctl/losses.go
+++ b/cmd/ggsctl/losses.go
@@ -7,7 +7,7 @@
 	"greengageslip/io/ggslog"
 )
 
-// A loss classifies a request by the first objective of its route that the request missed.
+// A loss says why a request missed the objectives of its route, or lossNone if it met them.
 type loss string
 
 // The losses, in the order of a report's columns.
