--- a/cmd/ggsload/plan.go
+++ b/cmd/ggsload/plan.go
@@ -116,7 +116,7 @@
 	return q, true
 }
 
-// rate returns the rate in requests a second at the plan's current time.
+// rate returns the rate at the plan's current time, in requests per second.
 func (p *plan) rate() float64 {
 	o := p.options
 	if o.PeakFor > 0 && p.at >= o.PeakAt && p.at < o.PeakAt+o.PeakFor {
