--- a/cmd/ggsnode/edge.go
+++ b/cmd/ggsnode/edge.go
@@ -40,7 +40,8 @@
 
 const (
 	// edgeHeaderTimeout limits the time to read a request's header. The configuration's own
-	// limit isn't known when the program starts to listen; regular callers stay well below both.
+	// limit isn't known when the program starts to listen. Callers whose connection is cut stay
+	// well below both limits.
 	edgeHeaderTimeout = 10 * time.Second
 	// edgeIdleTimeout is the idle time after which callers' connections are closed. Callers use
 	// the configuration's limit of about 15 s, so they close first.
--- a/cmd/ggsnode/edge_test.go
+++ b/cmd/ggsnode/edge_test.go
@@ -306,8 +306,8 @@
 	s.c.Assert(ran > 0, qt.IsTrue)
 }
 
-// Guards against an unsafe request that runs twice: its endpoint runs it and the answer is lost.
-// A retry runs it again, and so does a caller that retries after an answer of not run.
+// Guards against an unsafe request that runs twice after its answer is lost. The edge must not send
+// it again, and must not answer that it has not run, since the caller would then repeat it.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakesite.Fault{
@@ -326,8 +326,8 @@
 	}
 }
 
-// Guards against a safe request that fails with its first instance: it may run twice, so it is
-// retried at another instance.
+// Guards against a safe request that fails only because its first endpoint fails. Such a request
+// may run twice, so it must be retried at another endpoint.
 func TestSafeRequestGoesToAnotherInstance(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]ggsfakesite.Fault{
@@ -348,8 +348,8 @@
 	}
 }
 
-// Guards against a generated 502 in place of the first instance's answer, if a safe request
-// fails there and the retry is refused or fails too.
+// Guards against a generated 502 in place of the first endpoint's failure answer. It occurs when
+// the retry of a safe request is refused or fails too.
 func TestFirstFailureIsReturnedWhenTheRetryFails(t *testing.T) {
 	t.Parallel()
 	for name, other := range map[string]ggsfakesite.Fault{
@@ -386,8 +386,8 @@
 	s.c.Assert(r.header.Get("Server-Stamp"), qt.Not(qt.Equals), "")
 }
 
-// Guards against a truncated stream that its caller takes for complete, if a runner crashes in
-// the middle.
+// Guards against a truncated stream that its caller takes for complete. It occurs when a runner
+// crashes in the middle of an answer.
 func TestBrokenStreamIsIncompleteForTheCaller(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
@@ -418,8 +418,8 @@
 	})
 }
 
-// Guards against an answer of not run if an instance doesn't answer a request within the route's
-// timeout: the request may have run.
+// Guards against the answer that a request has not run, when its endpoint doesn't answer within the
+// route's timeout. The request may have run.
 func TestRouteTimeoutOfARunningRequest(t *testing.T) {
 	t.Parallel()
 	s := startSite(t, 1)
--- a/cmd/ggsnode/soak_test.go
+++ b/cmd/ggsnode/soak_test.go
@@ -56,8 +56,8 @@
 	"limits that overlap": {seed: 1075990872, answers: true, restores: true},
 }
 
-// A soakCase is one run. Faults of answers and restores of the store are optional, so that a seed
-// found without them draws the same faults.
+// A soakCase is one run. Faults that endpoints announce in answers, and restores of the store, are
+// optional, so that a seed found without them still draws the same faults.
 type soakCase struct {
 	seed     uint64
 	answers  bool
