--- a/io/ggsclaims/doc.go
+++ b/io/ggsclaims/doc.go
@@ -18,8 +18,8 @@
 //
 // # Concurrency
 //
-// A shard is one store entry, which holds the claims of a part of the keys issued in one epoch (a
-// fixed span of time). A fixed pool of workers serves the shards. Each shard has at most one I/O in flight, so
-// all operations that arrive during a write are batched into the next one. The
-// Committer's mutex is the only lock and is never held during I/O.
+// A shard is one store entry, which holds the claims of a part of the keys issued in one epoch
+// (a fixed span of time). A fixed pool of workers serves the shards. Each shard has at most
+// one I/O in flight, so all operations that arrive during a write are batched into the next
+// one. The Committer's mutex is the only lock and is never held during I/O.
 package ggsclaims
