--- a/io/ggsedge/edge.go
+++ b/io/ggsedge/edge.go
@@ -286,8 +286,8 @@
 }
 
 // minVMs is the minimum number of VMs among which the retry slack is divided. A VM that has just
-// started knows no others, and would otherwise take the whole slack. It is the size of a small
-// deployment.
+// started knows no others, and would otherwise take retryShare of the slack alone. It is the size
+// of a small deployment.
 const minVMs = 9
 
 // retryDepth returns this VM's part of the retry slack, given the number of VMs.
