--- a/core/claim.go
+++ b/core/claim.go
@@ -17,7 +17,7 @@
 	ClaimGranted ClaimAnswer = iota
 	// ClaimReplay means that the key's request has ended with Result.
 	ClaimReplay
-	// ClaimInProgress means that another holds the claim.
+	// ClaimInProgress means that another attempt of the request holds the claim.
 	ClaimInProgress
 	// ClaimReused means that the key was used with another body before.
 	ClaimReused
@@ -29,7 +29,7 @@
 type ClaimRequest struct {
 	Market Market
 	Key    IdempotencyKey
-	// Body is the digest of operation and body.
+	// Body is the digest of the request's operation and body.
 	Body Digest
 	// Issued is when the caller created the key, zero if the key's text contains the time. A
 	// non-zero Issued is part of the key, so retries carry the same value.
@@ -50,13 +50,14 @@
 	Before time.Time
 }
 
-// A ClaimResult is the recorded result of a request that has ended. The outcome notRun releases
-// the key.
+// A ClaimResult is the recorded result of a request that has ended. A claim that ends with the
+// outcome notRun may be made again.
 type ClaimResult struct {
 	Outcome     Outcome
 	Status      int
 	ContentType string
-	// Body is the answer's body if it was small enough to record. Whole is set if it was.
+	// Body is the answer's body, recorded only if it is small enough. Whole is set if Body is
+	// recorded.
 	Body  []byte
 	Whole bool
 }
--- a/core/document.go
+++ b/core/document.go
@@ -75,8 +75,9 @@
 type PolicySpec struct {
 	// StallWeight, from 0 to 1, trades full batches (0) for short load stalls (1).
 	StallWeight float64
-	// LoadsPerSecond, LoadsAtFullSpeed and LoadsInTransit are the weight
-	// store's limits for the whole deployment.
+	// LoadsPerSecond and LoadsInTransit limit the rate and the number of concurrent loads from
+	// the weight store, for the whole deployment. LoadsAtFullSpeed is the number of concurrent
+	// loads up to which the store serves each at full speed.
 	LoadsPerSecond   float64
 	LoadsAtFullSpeed int
 	LoadsInTransit   int
--- a/core/endpoint.go
+++ b/core/endpoint.go
@@ -36,7 +36,8 @@
 	Service Service
 }
 
-// A ServiceKind distinguishes model services from plain services.
+// A ServiceKind distinguishes model services from plain services, whose endpoints have neither
+// models nor adapters.
 type ServiceKind int
 
 // The kinds of services.
@@ -45,7 +46,8 @@
 	KindPlain
 )
 
-// An Endpoint is a runner or an instance of a plain service.
+// An Endpoint is a runner, which is one engine of a model service, or an instance of a plain
+// service.
 type Endpoint struct {
 	ID      EndpointID
 	Service Service
--- a/core/errors.go
+++ b/core/errors.go
@@ -101,7 +101,8 @@
 // Unwrap returns the cause.
 func (e *AmbiguousOrderError) Unwrap() error { return e.Cause }
 
-// An OrderRefusedError reports that an endpoint refused an order. The order had no effect.
+// An OrderRefusedError reports that an order was refused by an endpoint or was never sent. The
+// order had no effect.
 type OrderRefusedError struct {
 	Addr   netip.AddrPort
 	Status int
@@ -131,7 +132,7 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Outcome returns whether the request is known not to have run.
+// Outcome returns OutcomeNotRun if NotSent is set, and OutcomeUnknown otherwise.
 func (e *CallError) Outcome() Outcome {
 	if e.NotSent {
 		return OutcomeNotRun
--- a/core/ggsclaim/claim.go
+++ b/core/ggsclaim/claim.go
@@ -10,7 +10,8 @@
 
 // The states of claims.
 const (
-	// StateClaimed means that the holder of the claim may dispatch or may have dispatched.
+	// StateClaimed means that the holder of the claim may dispatch the request, or has
+	// dispatched it.
 	StateClaimed State = iota + 1
 	// StateReleased means that the request provably did not run. The key may be claimed
 	// again with the same body.
@@ -21,7 +22,7 @@
 	StateUnknown
 )
 
-// A Result is the response that a done claim stores for repeated requests.
+// A Result is the response that a finished claim stores for repeated requests.
 type Result struct {
 	Status      int
 	ContentType string
@@ -40,14 +41,14 @@
 	Result Result
 }
 
-// claimBytes bounds a claim's size without its response.
+// claimBytes bounds the encoded size of a claim without its response.
 const claimBytes = 96
 
 func (c Claim) bytes() int {
 	return claimBytes + len(c.Result.ContentType) + len(c.Result.Body)
 }
 
-// A Shard holds the claims of one slot. It is immutable once shared.
+// A Shard holds the claims of the keys that share a Slot. It is immutable once shared.
 type Shard struct {
 	Claims    map[KeyHash]Claim
 	size      int
--- a/core/ggsclaim/decision.go
+++ b/core/ggsclaim/decision.go
@@ -21,13 +21,13 @@
 	DecisionInProgress
 	// DecisionReused means that the key was used before with another body.
 	DecisionReused
-	// DecisionExpired means that the key is past its retention, so an earlier outcome may
-	// be deleted.
+	// DecisionExpired means that the key is past its retention. Its claim may already be
+	// deleted, so an earlier run can't be excluded.
 	DecisionExpired
 	// DecisionUnavailable means that the platform's key-value service was unavailable. This
 	// attempt of the request is not dispatched.
 	DecisionUnavailable
-	// DecisionFull means that the key is not claimed and its shard is full.
+	// DecisionFull means that the key is not claimed, because its shard is full.
 	DecisionFull
 	// DecisionRecorded is the answer to Finish if the outcome is recorded.
 	DecisionRecorded
@@ -39,15 +39,14 @@
 type Grant struct {
 	Key Key
 	ID  ClaimID
-	// Before is when the right ends, on the clock of the granting process. It is sent with
-	// every internal copy of the request, so that a late copy can't be dispatched after the
-	// key expires.
+	// Before is when the right ends, on the clock of the process that grants it. It is sent with
+	// every internal copy of the request, so that a late copy can't be dispatched after the key
+	// has expired.
 	Before time.Time
 }
 
-// ParseGrant parses the text of a claim identifier. Any process may use the grant to
-// record the outcome. The text doesn't contain Before. ParseGrant fails with a
-// *BadClaimIDError.
+// ParseGrant parses the text of a claim identifier, so that another process can record the
+// outcome. The text doesn't contain Before. ParseGrant fails with a *BadClaimIDError.
 func ParseGrant(id ggscore.ClaimID) (Grant, error) {
 	b, err := base64.RawURLEncoding.DecodeString(string(id))
 	if err != nil || len(b) != grantBytes {
@@ -83,13 +82,13 @@
 // identifier and issue time.
 const grantBytes = 2*hashBytes + 8
 
-// retryAfter is returned to callers if no better estimate is known.
+// retryAfter is the retry time for callers if no better estimate is known.
 const retryAfter = time.Second
 
-// Failure returns the failure to send to the caller, or nil if the request may be
-// dispatched or a response replayed. firstSend is the caller's assertion that it never
-// sent the key before. Without it, an earlier attempt may have run while the platform's
-// key-value service is unavailable, and the outcome notRun is not proved.
+// Failure returns the failure to send to the caller, or nil if the request may be dispatched or
+// a response replayed. firstSend is the caller's assertion that it never sent the key before.
+// Without firstSend, the outcome notRun is not proved while the platform's key-value service is
+// unavailable, since an earlier attempt may have run.
 func (d Decision) Failure(firstSend bool) *ggscore.Failure {
 	switch d.Kind {
 	case DecisionReplay:
--- a/core/ggsclaim/key.go
+++ b/core/ggsclaim/key.go
@@ -11,11 +11,11 @@
 	ggscore "greengageslip/core"
 )
 
-// Shards is the number of shards of an epoch. It determines where a key is stored, so
-// all processes must agree on it and it is not configurable.
+// Shards is the number of shards of an epoch. It determines where a key is stored, so all
+// processes must use the same value and it is not configurable.
 const Shards = 16
 
-// EpochLength is the span of issue times that share an epoch. Like Shards it is not
+// EpochLength is the range of issue times that belong to one epoch. Like Shards it is not
 // configurable.
 const EpochLength = time.Minute
 
@@ -54,9 +54,9 @@
 	Issued time.Time
 }
 
-// ParseKey parses the issue time from the text of a key. A repeated request then can't
-// state another time, which would select another shard. If the text has no issue time,
-// issued is used and becomes part of the key. ParseKey fails with a *BadKeyError.
+// ParseKey takes the issue time from the text of a key if the text contains one, so that a
+// repeated request can't state another time and thereby select another shard. Otherwise issued
+// is used and becomes part of the key. ParseKey fails with a *BadKeyError.
 func ParseKey(m ggscore.Market, k ggscore.IdempotencyKey, issued time.Time) (Key, error) {
 	if id, ok := parseUUID(string(k)); ok {
 		return Key{Hash: hashKey(m, string(id[:])), Issued: uuidTime(id)}, nil
--- a/core/ggsclaim/limits.go
+++ b/core/ggsclaim/limits.go
@@ -11,8 +11,8 @@
 	// keys are older than Retention plus Margin. A VM with a slow clock therefore can't
 	// grant a key that a VM with a fast clock has already deleted.
 	Margin time.Duration
-	// InProgress is how long a claim counts as in progress. It exceeds every request's
-	// deadline. Later the outcome counts as unknown.
+	// InProgress is how long a claim without an outcome counts as in progress; after that the
+	// outcome counts as unknown. InProgress exceeds every request's deadline.
 	InProgress time.Duration
 	// ShardBytes bounds the size of a shard's value.
 	ShardBytes int
--- a/core/ggsclaim/model_test.go
+++ b/core/ggsclaim/model_test.go
@@ -8,7 +8,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// input is an operation on a key: a claim, or the record of the outcome finish.
+// input is an operation on a key: a claim if finish is zero, otherwise the record of the outcome
+// finish.
 type input struct {
 	key    KeyHash
 	claim  ClaimID
@@ -29,7 +30,7 @@
 	body  BodyHash
 }
 
-// model is the at-most-once register that the claims of a key must implement.
+// model is the specification of a key's claims: the request is dispatched at most once.
 func model() porcupine.Model {
 	m := porcupine.NondeterministicModel{
 		Partition: partition,
--- a/core/ggsclaim/simulation_test.go
+++ b/core/ggsclaim/simulation_test.go
@@ -164,7 +164,7 @@
 	w.history = append(w.history, porcupine.Operation{
 		Input: a.in, Call: a.call, Output: output{kind: d.Kind, state: d.State}, Return: w.tick(),
 	})
-	// From now on an abandoned claim may be released at any time.
+	// The Writer may release an abandoned claim at any time from now on.
 	if d.Kind == DecisionUnavailable {
 		w.recordPossibleRelease(a)
 	}
--- a/core/ggsclaim/writer.go
+++ b/core/ggsclaim/writer.go
@@ -75,8 +75,8 @@
 	inFlight []*operation
 	next     Shard
 	writing  bool
-	// ambiguousRevision is the revision on which an ambiguous write, which may still take
-	// effect, is based.
+	// ambiguousRevision is the shard revision on which the last ambiguous write is based. While
+	// the shard has this revision, that write may still take effect.
 	ambiguousRevision ggscore.StoreRevision
 	ambiguous         bool
 	settled           []Settlement
@@ -155,9 +155,10 @@
 		return w.read()
 	}
 	next, changed := w.apply(now)
-	// An ambiguous write based on the present revision may take effect at any time. Any
-	// successful write on that revision excludes it, even one that changes nothing. Without
-	// such a write, an abandoned claim could be recorded later and stay until it expires.
+	// An ambiguous write based on the present revision may take effect at any time. Another
+	// write is needed, even of an unchanged shard, because its success excludes the ambiguous
+	// one. Otherwise an abandoned claim could be recorded later and block its key until the key
+	// expires.
 	if changed || (w.ambiguous && w.ambiguousRevision == w.revision) {
 		w.next, w.writing = next, true
 		w.inFlight, w.pending = w.pending, nil
@@ -186,8 +187,8 @@
 }
 
 // DecideFromCache decides on a key from the last known shard while the platform's key-value
-// service is unavailable. A recorded response stays valid. Any other claim may have
-// changed since, so the decision states only that the key was seen before.
+// service is unavailable. A recorded response is replayed, since it never changes. Any other
+// claim may have changed since, so the decision states only that the key was seen before.
 func (w *Writer) DecideFromCache(k Key, b BodyHash, retryAfter time.Duration) Decision {
 	c, seen := w.shard.Claims[k.Hash]
 	if seen && c.State == StateDone && c.Body == b {
@@ -261,8 +262,8 @@
 		return Decision{Kind: DecisionReused}, false
 	case ok && (c.State == StateDone || c.State == StateUnknown):
 		return Decision{Kind: DecisionReplay, State: c.State, Result: c.Result}, false
-	// The holder of a claim that is older than every deadline has crashed or lost its
-	// connection. It may have dispatched the request, so the request is not run again.
+	// The claim is older than every deadline, so its holder has crashed or lost its connection.
+	// The holder may have dispatched the request, so the request is not run again.
 	case ok && c.State == StateClaimed && now.Sub(c.At) > w.limits.InProgress:
 		return Decision{Kind: DecisionReplay, State: StateUnknown}, false
 	case ok && c.State == StateClaimed:
@@ -278,9 +279,8 @@
 func (w *Writer) answer(now time.Time, o *operation) {
 	d := o.decision
 	if d.Kind == DecisionGranted {
-		// A claim whose write was delayed past the key's retention may have been recorded in a
-		// new shard after the deletion of the old one. Such a claim doesn't prove that the key
-		// is unused.
+		// The write of a claim may be delayed until the key's shard is deleted, and then create
+		// a new shard. A claim recorded so late doesn't prove that the key is unused.
 		late := !now.Before(d.Grant.Before)
 		if late && !o.abandoned {
 			w.settle(o, Decision{Kind: DecisionExpired})
@@ -346,7 +346,7 @@
 	}
 }
 
-// release turns an abandoned claim into the record that the request did not run.
+// release changes an abandoned claim into a record that the request did not run.
 func (o *operation) release() {
 	if o.finish == 0 {
 		o.finish = StateReleased
--- a/core/ggsclaim/writer_test.go
+++ b/core/ggsclaim/writer_test.go
@@ -11,9 +11,8 @@
 	ggscore "greengageslip/core"
 )
 
-// A caller repeats a request through another gateway while answers of the key-value
-// service are lost, writes take effect late and processes crash. At most one of the
-// repeats may be dispatched.
+// Guards against a second dispatch of a request that a caller repeats through another gateway
+// while answers of the key-value service are lost, writes take effect late and processes crash.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -108,8 +107,8 @@
 	return w.history[len(w.history)-1].Output.(output)
 }
 
-// The write of a claim took effect, but its answer was lost. The writer must read its
-// own claim back and not refuse the attempt because of another's claim.
+// Guards against an attempt that is refused because of its own claim. The claim's write took
+// effect and its answer was lost, so the writer must recognize the claim when it reads it back.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	t.Parallel()
 	for name, how := range map[string]int{"took effect": endLostAfterEffect, "takes effect later": endLostBeforeEffect} {
@@ -129,9 +128,8 @@
 	}
 }
 
-// An attempt is cancelled while its claim's write is delayed. If the write takes effect
-// later, nobody holds the claim and the key stays blocked for a day. The writer must
-// exclude the delayed write or release the claim.
+// Guards against a key that stays blocked for a day because an attempt was cancelled while its
+// claim's write was delayed. The writer must exclude the delayed write or release the claim.
 func TestCancelledClaimIsReleased(t *testing.T) {
 	t.Parallel()
 	for name, applyFirst := range map[string]bool{"applied before the retry": true, "applied after the retry": false} {
@@ -154,8 +152,8 @@
 	}
 }
 
-// An attempt is cancelled while the successful write of its claim is in flight. Without
-// a release the key stays blocked for a day.
+// Guards against a key that stays blocked for a day because an attempt was cancelled while the
+// successful write of its claim was in flight.
 func TestCancelledClaimInFlightIsReleased(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -167,8 +165,8 @@
 	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 }
 
-// A claim took effect, its answer was lost, and the service became unavailable before
-// the claim could be read back. Without a release the key stays blocked.
+// Guards against a key that stays blocked because its claim took effect, the answer was lost,
+// and the service became unavailable before the claim could be read back.
 func TestClaimBeforeOutageIsReleased(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -181,9 +179,8 @@
 	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 }
 
-// A holder that released its claim records an outcome late, over the claim of a later
-// attempt, or a recorded run is later reported as not run. Either would run the request
-// twice.
+// Guards against a late outcome that would let the request run twice: from a holder that has
+// released its claim, over a later attempt's claim; or notRun after a recorded run.
 func TestLateOutcomeChangesNothing(t *testing.T) {
 	t.Parallel()
 	for name, late := range map[string]State{"late done": StateDone, "late release": StateReleased} {
@@ -208,9 +205,8 @@
 	}
 }
 
-// The answer of the first run broke off and its outcome was recorded as unknown. A
-// repeated request must not be dispatched. TestAtMostOnceUnderFaults fails without this
-// guard.
+// Guards against a second run of a request whose answer broke off, so that its outcome was
+// recorded as unknown. TestAtMostOnceUnderFaults fails if such requests are dispatched.
 func TestUnknownOutcomeIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -221,9 +217,9 @@
 	c.Assert(w.claimAndSettle(1), qt.Equals, output{kind: DecisionReplay, state: StateUnknown})
 }
 
-// A holder's release takes effect, but its answer is lost and the key is claimed again
-// before the holder reads. The answer must be DecisionClaimMissing. Seed 5158163687557833157 of
-// TestAtMostOnceUnderFaults showed that the model excluded this.
+// Guards against a wrong answer if a release took effect, its answer was lost, and the key was
+// claimed again: it must be DecisionClaimMissing. The model once excluded this answer (seed
+// 5158163687557833157 of TestAtMostOnceUnderFaults).
 func TestReleaseWithLostAnswer(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -238,8 +234,8 @@
 	c.Assert(porcupine.CheckOperations(model(), w.history), qt.IsTrue, qt.Commentf(w.print()))
 }
 
-// The write of a claim was delayed until the key's epoch was deleted, and then created a
-// new shard. The grant would run the request a second time.
+// Guards against a second run by a grant whose write was delayed until the key's epoch was
+// deleted, and then created a new shard.
 func TestLateGrantIsRefused(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -251,9 +247,9 @@
 	c.Assert(w.granted, qt.HasLen, 0)
 }
 
-// The holder of a claim crashed. A claim older than every deadline must have an unknown
-// outcome instead of staying in progress; the request is not run again, since the
-// holder may have dispatched it.
+// Guards against a crashed holder's claim that stays in progress. Once it is older than every
+// deadline its outcome is unknown, and the request is not run again, since the holder may have
+// dispatched it.
 func TestClaimOfCrashedHolderBecomesUnknown(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -266,8 +262,8 @@
 	c.Assert(w.claimAndSettle(1), qt.Equals, output{kind: DecisionReplay, state: StateUnknown})
 }
 
-// One write per claim exceeded the platform's write rate under load. Claims that arrive
-// during a write must be batched into one next write.
+// Guards against one write per claim, which would exceed the platform's write rate. Claims that
+// arrive during a write must share the next one.
 func TestClaimsAreBatchedIntoOneWrite(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/heartbeat.go
+++ b/core/heartbeat.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// A Heartbeat is the state of a VM and its requests that the VM sends to its peers by gossip.
+// A Heartbeat is the gossip message in which a VM sends its own state and that of its requests
+// to its peers.
 type Heartbeat struct {
 	VM VMID
 	// Sequence numbers the heartbeats of one process. Started is the process's start.
@@ -10,8 +11,9 @@
 	Started  int64
 	// Relay is how far the receiver relays the heartbeat.
 	Relay Relay
-	// CountingRelay is the relay that counts what is sent only once: ends of requests, uses and
-	// samples. It is empty if each receiver counts them itself.
+	// CountingRelay is the relay that counts the increments in the heartbeat (ends of requests,
+	// uses and samples), so that they are counted once. It is empty if each receiver counts them
+	// itself.
 	CountingRelay VMID
 	Progress      StoreProgress
 	// InFlight has the endpoints with requests of the VM in flight, or with requests that
@@ -19,10 +21,11 @@
 	InFlight []InFlight
 	Holdings []Holding
 	Uses     []Use
-	// Samples and Tallies measure how endpoints prefill prompts.
+	// Samples measure how fast endpoints prefill prompts. Tallies count the streams that the
+	// prompts of other requests slowed down.
 	Samples []TurnSample
 	Tallies []TurnTally
-	// Modes are the VM's decisions whether turns are enforced.
+	// Modes state for each service whether the VM has decided to enforce turns (see PromptTurn).
 	Modes []TurnMode
 	// Limits are the rate limits that endpoints recently announced or lifted.
 	Limits []EndpointLimit
@@ -42,14 +45,14 @@
 	ListAge      time.Duration
 	OperatorsAge time.Duration
 	// Config is the version of the configuration in use, and Versions is the sum of the
-	// adapters' versions. Both may be greater than in the store, which may have lost the
-	// newest.
+	// adapters' versions. Both may be greater than in the store if the store was restored from
+	// an older copy.
 	Config   uint64
 	Versions uint64
 }
 
-// Merge combines the newest values of two VMs. The ages are those of readings in the newer
-// epoch.
+// Merge combines the newest values of two VMs. The ages are those of the VM with the newer
+// epoch, or the lesser ones if both VMs know the same epoch.
 func (p StoreProgress) Merge(o StoreProgress) StoreProgress {
 	if p.Epoch < o.Epoch {
 		p, o = o, p
@@ -93,8 +96,8 @@
 	FreeCapacity int
 }
 
-// A Use is an adapter at an endpoint that requests use. Count is the number of such requests
-// sent since the previous heartbeat or summary. Active is set if some of them are in flight.
+// A Use counts the requests for an adapter at an endpoint. Count is the number of requests sent
+// since the previous heartbeat or summary. Active is set if any request is in flight.
 type Use struct {
 	Endpoint EndpointID
 	Target   ModelAdapter
@@ -121,8 +124,8 @@
 	Sequence uint64
 	Started  int64
 	Progress StoreProgress
-	// Included has the newest counted heartbeat of each VM of the domain. Live are the VMs
-	// whose heartbeats arrive; it is only valid if LiveWhole is set.
+	// Included identifies, for each VM of the domain, the newest heartbeat that the summary
+	// counts. Live lists the VMs whose heartbeats arrive, and is only valid if LiveWhole is set.
 	Included  []IncludedHeartbeat
 	Live      []VMHash
 	LiveWhole bool
@@ -132,7 +135,7 @@
 	Demand    []Demand
 	Samples   []TurnSample
 	Tallies   []TurnTally
-	// Decider is the VM with the lowest ID, and Modes are its decisions.
+	// Decider is the VM with the lowest ID, and Modes are that VM's decisions to enforce turns.
 	Decider VMID
 	Modes   []TurnMode
 	Limits  []EndpointLimit
--- a/core/instance.go
+++ b/core/instance.go
@@ -108,8 +108,8 @@
 	Age time.Duration
 }
 
-// A Departure is an endpoint that announced in an answer that it leaves. It takes precedence over
-// the endpoint's entry.
+// A Departure is an endpoint that announced in an answer that it leaves. The announcement takes
+// precedence over the endpoint's entry in the store.
 type Departure struct {
 	Endpoint EndpointID
 	// StartedAt distinguishes the endpoint's process from others under the same identity.
@@ -179,13 +179,13 @@
 	InTransit []ModelAdapter
 }
 
-// An PlacementClient sends orders to instances and requests their status.
+// A PlacementClient sends orders to instances and requests their status.
 type PlacementClient interface {
 	Order(ctx context.Context, o PlacementOrder) (PlacementAnswer, error)
 	Status(ctx context.Context, id EndpointID, addr netip.AddrPort) (InstanceStatus, error)
 }
 
-// An AdapterVersion is an adapter in the version that requests have to start on.
+// An AdapterVersion is an adapter with one of its versions.
 type AdapterVersion struct {
 	Target  ModelAdapter
 	Version uint64
--- a/core/lease.go
+++ b/core/lease.go
@@ -5,8 +5,8 @@
 // A FencingToken orders the owners of an endpoint: each later owner has a greater token.
 type FencingToken uint64
 
-// A Lease is an ownership as its holder knows it. Expires is on the holder's monotonic clock,
-// with the margin for the platform's clock already subtracted.
+// A Lease is an ownership as its holder knows it. Expires is a time on the holder's monotonic
+// clock, from which the margin for clock differences to the platform is already subtracted.
 type Lease struct {
 	Owner   VMID
 	Fence   FencingToken
--- a/core/policy.go
+++ b/core/policy.go
@@ -8,7 +8,8 @@
 
 // The mechanisms.
 const (
-	// MechanismTurns makes prompts start one after the other at an endpoint.
+	// MechanismTurns gives each prompt a turn, so that an endpoint prefills one prompt after the
+	// other.
 	MechanismTurns Mechanism = "turns"
 	// MechanismHomes makes all VMs load an adapter at the same endpoints, its homes.
 	MechanismHomes Mechanism = "homes"
@@ -25,11 +26,13 @@
 	MechanismFailures Mechanism = "failures"
 	// MechanismBreakers excludes endpoints after consecutive failures.
 	MechanismBreakers Mechanism = "breakers"
-	// MechanismRegions counts the latency to another region as delay.
+	// MechanismRegions makes endpoints in other regions less preferred, by the latency between
+	// regions.
 	MechanismRegions Mechanism = "regions"
 	// MechanismConcurrentPolls polls for loads in transit concurrently with other orders.
 	MechanismConcurrentPolls Mechanism = "questions"
-	// MechanismWarm prefers endpoints that still have an adapter in their own memory.
+	// MechanismWarm prefers endpoints that probably still have an evicted adapter in their
+	// memory.
 	MechanismWarm Mechanism = "warm"
 )
 
--- a/core/position.go
+++ b/core/position.go
@@ -6,9 +6,9 @@
 	"math"
 )
 
-// A StoreEpoch numbers the histories of the platform's store. It increases each time the store
-// is restored from an older copy. Writes since the copy are then lost, and their revisions are
-// assigned again. Zero means that the epoch wasn't named.
+// A StoreEpoch numbers the restorations of the platform's store from an older copy. Each
+// restoration loses the writes since the copy was made, and later writes get the same revisions
+// again. Zero means that an answer didn't name its epoch.
 type StoreEpoch uint64
 
 // UnreadableEpoch means that an epoch was named but couldn't be parsed.
@@ -47,9 +47,9 @@
 // String returns "epoch.revision".
 func (p StorePosition) String() string { return fmt.Sprintf("%d.%d", p.Epoch, p.Revision) }
 
-// An EpochChangedError reports that the store was restored from an older copy between the reading
-// that a call is based on and the call's answer. A write may have been executed in either
-// history, and isn't acknowledged.
+// An EpochChangedError reports that the store was restored from an older copy after the data
+// that a call is based on was read, and before the call was answered. A write may have been
+// executed before or after the restoration, and counts as not acknowledged.
 type EpochChangedError struct{ From, To StoreEpoch }
 
 // Error implements error.
--- a/core/relay.go
+++ b/core/relay.go
@@ -9,7 +9,8 @@
 	RelayNone Relay = iota
 	// RelayDomain messages are relayed to the VMs of the receiver's failure domain.
 	RelayDomain
-	// RelayDomains messages are also relayed to the other failure domains of its region.
+	// RelayDomains messages are also relayed to the other failure domains of the receiver's
+	// region.
 	RelayDomains
 	// RelayRegions messages are also relayed to the other regions.
 	RelayRegions
--- a/core/request.go
+++ b/core/request.go
@@ -28,8 +28,8 @@
 	Priority Priority
 	// Arrived is when the gateway admitted the request, by its own clock.
 	Arrived time.Time
-	// Budget is the time that remained for the answer's first byte when the request was handed
-	// over. Processes exchange durations because their clocks differ.
+	// Budget is the time that remained for the answer's first byte when the request was sent to
+	// this process. It is a duration because the clocks of processes differ.
 	Budget time.Duration
 	// Deferrable is how long the request may wait for a fuller batch.
 	Deferrable time.Duration
--- a/core/schedule.go
+++ b/core/schedule.go
@@ -50,7 +50,8 @@
 const (
 	// ModeNone forbids everything, because another VM may be the owner.
 	ModeNone OwnerMode = iota
-	// ModeResidentOnly allows requests for protected adapters, but no orders.
+	// ModeResidentOnly allows requests whose adapters the ownership record protects, but neither
+	// loads nor evictions.
 	ModeResidentOnly
 	// ModeFull allows everything.
 	ModeFull
--- a/core/txn.go
+++ b/core/txn.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A TxnCondition holds while the key is at the revision. Revision zero means that the key
-// doesn't exist.
+// A TxnCondition is met while Key is at Revision. Revision zero means that the key doesn't
+// exist.
 type TxnCondition struct {
 	Key      Key
 	Revision StoreRevision
@@ -20,26 +20,26 @@
 }
 
 // A Txn is a set of writes and deletes that take effect atomically, and only if all conditions
-// hold.
+// are met.
 type Txn struct {
-	// Epoch is the epoch in which the conditions' revisions were read. In another epoch the
-	// conditions may hold by chance.
+	// Epoch is the epoch in which the conditions' revisions were read. In another epoch the same
+	// revisions belong to other writes, so the conditions could be met by chance.
 	Epoch      StoreEpoch
 	Conditions []TxnCondition
 	Writes     []TxnWrite
 	Deletes    []Key
 }
 
-// A Txner executes transactions. A condition that doesn't hold gives a *TxnConflictError, and a
-// lost answer gives an *AmbiguousWriteError. The returned position's epoch is the epoch of the
-// answer, even if the answer is an error.
+// A Txner executes transactions. An unmet condition gives a *TxnConflictError, and a lost answer
+// gives an *AmbiguousWriteError. The returned position's epoch is the epoch of the answer, even
+// if the answer is an error.
 type Txner interface {
 	Txn(ctx context.Context, t Txn) (StorePosition, error)
 }
 
-// A Snapshotter reads all entries below a prefix. The position is the store's position at the
-// first page. A stale reading is cheaper and may be seconds old. The returned position's epoch
-// is the epoch of the answer, even if the answer is an error.
+// A Snapshotter reads all entries below a prefix, in pages. The returned position is the store's
+// position when the first page was read. A stale reading is cheaper and may be seconds old. The
+// position's epoch is the epoch of the answer, even if the answer is an error.
 type Snapshotter interface {
 	Snapshot(ctx context.Context, prefix Key, stale bool) ([]Entry, StorePosition, error)
 }
@@ -50,7 +50,7 @@
 	Watch(ctx context.Context, prefix Key, after StorePosition, wait time.Duration) ([]Entry, StorePosition, error)
 }
 
-// A TxnConflictError reports that a condition of a transaction didn't hold. Nothing was written.
+// A TxnConflictError reports that a condition of a transaction wasn't met. Nothing was written.
 type TxnConflictError struct{ Entries []Entry }
 
 // Error implements error.
