--- a/core/claim.go
+++ b/core/claim.go
@@ -50,8 +50,8 @@
 	Before time.Time
 }
 
-// A ClaimResult is the recorded result of a request that has ended. A claim that ends with the
-// outcome notRun may be made again.
+// A ClaimResult is the recorded result of a request that has ended. If the outcome is notRun,
+// the key may be claimed again.
 type ClaimResult struct {
 	Outcome     Outcome
 	Status      int
--- a/core/document.go
+++ b/core/document.go
@@ -73,7 +73,8 @@
 
 // A PolicySpec holds the settings of the whole deployment.
 type PolicySpec struct {
-	// StallWeight, from 0 to 1, trades full batches (0) for short load stalls (1).
+	// StallWeight, from 0 to 1, weighs two goals of the scheduler against each other: 0 prefers
+	// full batches, 1 prefers short waits for adapter loads.
 	StallWeight float64
 	// LoadsPerSecond and LoadsInTransit limit the rate and the number of concurrent loads from
 	// the weight store, for the whole deployment. LoadsAtFullSpeed is the number of concurrent
--- a/core/ggsdocument/check.go
+++ b/core/ggsdocument/check.go
@@ -11,7 +11,7 @@
 	ggscore "greengageslip/core"
 )
 
-// maxNameLength bounds names, since they become parts of keys and of URLs.
+// maxNameLength bounds names, in bytes, since names become parts of keys and of URLs.
 const maxNameLength = 128
 
 // A checker validates the values of one section and keeps the first failure.
@@ -61,13 +61,13 @@
 	}
 }
 
-// enterNamed moves to an element of an array of tables that is identified by its key
-// name. The path of the array is outer and array.
+// enterNamed starts the validation of element i of an array of tables, which its key name
+// identifies. The path of the array is outer followed by array.
 func (c *checker) enterNamed(outer, array string, i int, name string, dup bool) {
 	c.enterElement(outer, array, "name", i, name, dup)
 }
 
-// enterElement moves to an element of an array of tables that is identified by key.
+// enterElement is like enterNamed for elements that the given key identifies.
 func (c *checker) enterElement(outer, array, key string, i int, name string, dup bool) {
 	if c.err != nil {
 		return
--- a/core/ggsdocument/delta.go
+++ b/core/ggsdocument/delta.go
@@ -19,8 +19,8 @@
 	Sum ggscore.Digest
 }
 
-// Extends reports whether the head is known to be a later state of another one: the
-// latest change of the other head is in this head's history.
+// Extends reports whether h is known to be a later state than o: the latest change of o is in
+// the history of h.
 func (h Head) Extends(o Head) bool {
 	if len(o.Changes) == 0 {
 		return o.Revision == 0 && h.Revision > 0
@@ -40,8 +40,8 @@
 	return d
 }
 
-// Apply returns the head after applying a delta since its revision. The new head has no
-// history, which only editors need.
+// Apply returns the head that results from applying to h a delta since the revision of h. The
+// result has no history, which only editors need.
 //
 // The checksum guards against a fork. After the platform was restored from an older
 // copy, two processes may have different heads of the same revision, and a delta for
--- a/core/ggsdocument/follower.go
+++ b/core/ggsdocument/follower.go
@@ -65,8 +65,8 @@
 	return f.adoptIfComplete()
 }
 
-// DropPending drops the pending head if it has the given revision. The caller uses it if the
-// source of the head can't deliver its sections, so that a complete head from another
+// DropPending drops the pending head if it has the given revision. The caller uses DropPending
+// when the source of that head can't deliver its sections, so that a complete head from another
 // source can be adopted. Sections that were delivered already are kept.
 func (f *Follower) DropPending(r ggscore.Revision) {
 	if f.pending != nil && f.pending.Revision == r {
--- a/core/ggsdocument/follower_test.go
+++ b/core/ggsdocument/follower_test.go
@@ -72,8 +72,8 @@
 	c.Assert(f.Current().Markets["wa"].Weight, qt.Equals, 2)
 }
 
-// A platform restored from an old copy, or a peer that was disconnected, offers an
-// earlier head. Adopting it would undo an accepted change.
+// Guards against undoing an accepted change by adopting an earlier head, which a platform
+// restored from an old copy or a peer that was disconnected offers.
 func TestFollowerRefusesLowerHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -94,8 +94,8 @@
 	c.Assert(f.Current().Markets["cr"].Weight, qt.Equals, 2)
 }
 
-// A peer offers a head and crashes before its sections were pulled. The follower must
-// then adopt a lower head that is still higher than the current one.
+// Guards against a follower that waits for the sections of a head whose source has crashed. It
+// must adopt another head that is lower, but higher than the current one.
 func TestFollowerDropsPendingHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -113,8 +113,8 @@
 	c.Assert(adopted, qt.IsTrue)
 }
 
-// A newer client wrote a head that this process can't parse. The follower must skip it
-// and adopt the next valid head.
+// Guards against a follower that gets stuck at a head that it can't parse, written by a newer
+// client. It must skip that head and adopt the next valid one.
 func TestFollowerSkipsInvalidHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -161,9 +161,8 @@
 	c.Assert(r, qt.Equals, ggscore.Revision(1))
 }
 
-// Two processes have different heads of one revision, since the platform was restored
-// from an older copy in between. A delta between them would result in a document that
-// nobody accepted.
+// Guards against a document that nobody accepted. It would result from a delta between two
+// different heads of one revision, which exist if the platform was restored from an older copy.
 func TestDeltaAndExtends(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsdocument/head.go
+++ b/core/ggsdocument/head.go
@@ -54,7 +54,7 @@
 
 // The outcomes of changes.
 const (
-	// ChangeUnknown means that the history doesn't reach back far enough.
+	// ChangeUnknown means that the history doesn't reach back far enough to decide.
 	ChangeUnknown ChangeStatus = iota
 	// ChangeAccepted means that the change was accepted as a revision.
 	ChangeAccepted
@@ -108,9 +108,9 @@
 	return h.Revision == o.Revision && maps.Equal(h.Sections, o.Sections)
 }
 
-// UnusedTexts returns the digests of texts that the previous head needed and this head
-// doesn't: the texts replaced by changes that left the history. Texts are kept as long
-// as the history, since a reader may still hold an earlier head.
+// UnusedTexts returns the digests of texts that the previous head needed and this head doesn't.
+// A replaced text stays in use while the change that replaced it is in the history, since a
+// reader may still hold an earlier head.
 func (h Head) UnusedTexts(before Head) []ggscore.Digest {
 	used := map[ggscore.Digest]bool{{}: true}
 	for _, s := range h.Sections {
--- a/core/ggsepoch/tracker.go
+++ b/core/ggsepoch/tracker.go
@@ -22,11 +22,11 @@
 import ggscore "greengageslip/core"
 
 const (
-	// MaxEpoch is the greatest epoch that is accepted. Fencing tokens hold the epoch in their
-	// upper half.
+	// MaxEpoch is the greatest epoch that is accepted. An epoch has to fit into the upper half
+	// of a fencing token.
 	MaxEpoch ggscore.StoreEpoch = 1<<31 - 1
-	// maxStep is the greatest increase that is accepted. An epoch increases by one each time,
-	// and a VM may have missed some epochs.
+	// maxStep is the greatest increase of the epoch that is accepted. Each restoration of the
+	// store increases the epoch by one, and a VM may have missed some restorations.
 	maxStep = 1 << 16
 )
 
--- a/core/ggsfencing/claims.go
+++ b/core/ggsfencing/claims.go
@@ -9,9 +9,9 @@
 	ggscore "greengageslip/core"
 )
 
-// Claims returns the ownership records for this VM to write: those of endpoints without an
-// owner where this VM is the preferred owner, and those that renew a right of this VM from an
-// earlier epoch.
+// Claims returns the ownership records for this VM to write: those of endpoints without an owner
+// where this VM is the preferred owner, and those that renew a right to send orders that this VM
+// acquired in an earlier epoch.
 //
 // A record that this VM released itself is claimed again without delay. No other VM has sent
 // orders since the release, because its claim would have replaced the record. With a delay,
@@ -40,8 +40,9 @@
 	return cs
 }
 
-// renewal returns the claim of an endpoint that no other VM may send orders to: this VM holds
-// a right from an earlier epoch, or released the record in the current epoch.
+// renewal returns this VM's claim of an endpoint, and whether no other VM may send orders to the
+// endpoint: this VM holds an unexpired right from an earlier epoch, or released the record in
+// the current epoch.
 func (t *OwnershipTracker) renewal(now time.Time, id ggscore.EndpointID) (Claim, bool) {
 	c := Claim{Endpoint: id, Epoch: t.epoch}
 	r := t.records[id]
@@ -54,8 +55,8 @@
 	return c, r.Released && r.Owner == t.options.Self
 }
 
-// claim returns the claim of an endpoint, and whether its previous owner can no longer send
-// orders.
+// claim returns this VM's claim of an endpoint, and whether the previous owner of the endpoint
+// can no longer send orders.
 func (t *OwnershipTracker) claim(now time.Time, id ggscore.EndpointID) (Claim, bool) {
 	c := Claim{Endpoint: id, Epoch: t.epoch}
 	r := t.records[id]
@@ -64,7 +65,8 @@
 	}
 	c.RecordRevision = r.Revision
 	if !t.inCurrentEpoch(r.Record) {
-		// A delayed write from an earlier epoch may have replaced a record of this epoch.
+		// The record is from an earlier epoch. Its delayed write may have replaced a record of
+		// this epoch, whose owner may send orders until takeoverWait has passed.
 		return c, now.Sub(r.since) >= t.takeoverWait()
 	}
 	if r.Released {
--- a/core/ggsfencing/explore_test.go
+++ b/core/ggsfencing/explore_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// recovers runs rounds without faults, and returns a violated invariant or an endpoint that
-// is left without an owner, empty for none.
+// recovers runs rounds without faults. It returns a violated invariant, or an endpoint that is
+// left without an owner; empty for none.
 func (x *exploration) recovers() string {
 	for range 3 {
 		for _, v := range x.vms {
--- a/core/ggsfencing/reading.go
+++ b/core/ggsfencing/reading.go
@@ -7,10 +7,10 @@
 	ggscore "greengageslip/core"
 )
 
-// Observe applies a reading of the store as of a position. A reading that is older than the
-// last one is ignored. The zero position marks a partial reading from a peer. A partial
-// reading proves nothing about records that are absent from it, and it is only used until
-// this VM has read the store.
+// Observe applies a reading of the store as of a position. A reading that is older than the last
+// one is ignored. The zero position marks a partial reading from a peer. A record that is absent
+// from a partial reading may still exist, so partial readings are only used until this VM has
+// read the store.
 func (t *OwnershipTracker) Observe(now time.Time, at ggscore.StorePosition, r Reading) {
 	if at.IsZero() && t.synced || at.Before(ggscore.StorePosition{Epoch: t.epoch, Revision: t.readRevision}) && !at.IsZero() {
 		return
--- a/core/ggsfencing/simulation_test.go
+++ b/core/ggsfencing/simulation_test.go
@@ -190,7 +190,7 @@
 	return m
 }
 
-// claim writes a VM's claim with index n.
+// claim writes the claim at index n of those that a VM has to write.
 func (w *simulation) claim(v *vm, n int, f outcome, late time.Duration) {
 	cs := v.tracker.Claims(w.now, w.endpoints)
 	if n >= len(cs) {
@@ -239,8 +239,8 @@
 	}
 }
 
-// read makes a VM read the store's state before the last few changes. That state may be from
-// an earlier epoch.
+// read makes a VM read the state that the store had the given number of changes ago, which may
+// be from an earlier epoch.
 func (w *simulation) read(v *vm, back int) {
 	s := w.history[len(w.history)-1-min(back, len(w.history)-1)]
 	v.tracker.Observe(w.now, s.at(), s.reading())
--- a/core/ggsfencing/tracker.go
+++ b/core/ggsfencing/tracker.go
@@ -61,18 +61,19 @@
 
 // Defaults of Options.
 const (
-	// DefaultValidity is how long a VM sends orders after the last acknowledged heartbeat.
-	// It covers a store outage of 8 s, because adapters can't be loaded without orders. The
-	// endpoints of a VM that fails for good get no orders for about Validity plus MinOrderGap.
+	// DefaultValidity is how long a VM sends orders after the last acknowledged heartbeat. It is
+	// chosen for store outages of 8 s: without orders, no adapter can be loaded. The endpoints
+	// of a VM that fails for good get no orders for about Validity plus MinOrderGap.
 	DefaultValidity = 9 * time.Second
-	// DefaultMargin covers an order in flight when the validity ends. It equals the order's
-	// timeout of 1 s.
+	// DefaultMargin is the time in which an order that is in flight when the validity ends still
+	// arrives. It equals the timeout of an order, 1 s.
 	DefaultMargin = time.Second
 	// DefaultClaimDelay is how long a new VM waits before its first claims, so that VMs that
 	// start together share the endpoints.
 	DefaultClaimDelay = 1500 * time.Millisecond
 	// DefaultRecordRetention is how long an endpoint is off the list before its record is
-	// deleted. It exceeds the wait before a takeover, so no order can be recent by then.
+	// deleted. It exceeds the wait before a takeover, so by then the previous owner's right to
+	// send orders has expired.
 	DefaultRecordRetention = 20 * time.Second
 	// DefaultMaxRecords bounds the records of a VM. A store transaction takes at most 32
 	// conditions: one is for the VM's own heartbeat and maxDrops are for deleted records.
@@ -151,8 +152,8 @@
 	OwnerRevision ggscore.StoreRevision
 }
 
-// An OwnershipTracker tracks the ownership records and heartbeats that one VM has read, and this
-// VM's rights to send orders.
+// An OwnershipTracker tracks the ownership records and heartbeats that one VM has read, and the
+// endpoints to which that VM may send orders.
 type OwnershipTracker struct {
 	options Options
 	started time.Time
@@ -170,7 +171,7 @@
 	heartbeats    map[ggscore.VMID]*heartbeat
 	// ownRevision is the revision of this VM's own heartbeat, zero for none.
 	ownRevision ggscore.StoreRevision
-	// rights are this VM's rights to send orders.
+	// rights are the endpoints to which this VM may send orders, and until when.
 	rights map[ggscore.EndpointID]right
 	// previousOwners are the owners in the previous epoch.
 	previousOwners map[ggscore.EndpointID]ggscore.VMID
@@ -211,8 +212,8 @@
 	}
 }
 
-// takeoverWait is the time after which a right has expired and its last order is at least
-// MinOrderGap old.
+// takeoverWait is the time after which a VM's right to send orders has expired and the last
+// order of that VM is at least MinOrderGap old.
 func (t *OwnershipTracker) takeoverWait() time.Duration {
 	return t.options.Validity + t.options.MinOrderGap + t.options.Margin
 }
@@ -238,9 +239,9 @@
 }
 
 // HeartbeatAnswered records the store's answer to a heartbeat that was sent at the given time.
-// After a refusal, the caller has to read the store again. Another VM may own one of the
-// heartbeat's records by then, so no order is sent for any of them until a later heartbeat is
-// acknowledged.
+// After a refusal, another VM may own one of the heartbeat's records. The caller has to read the
+// store again, and AuthorizeOrder permits no order for any of the records until a later
+// heartbeat is acknowledged.
 func (t *OwnershipTracker) HeartbeatAnswered(sent time.Time, p HeartbeatPlan, at ggscore.StorePosition, refused bool) {
 	if p.Epoch != t.epoch || at.Epoch != t.epoch {
 		return
@@ -281,8 +282,8 @@
 // epochShift reserves the lower half of a fencing token for the record's revision.
 const epochShift = 32
 
-// fence returns the fencing token of a record. Tokens increase from epoch to epoch even though
-// revisions may decrease.
+// fence returns the fencing token of a record. The epoch is the token's upper half, so tokens
+// increase from epoch to epoch even though revisions may decrease.
 func fence(r Record) ggscore.FencingToken {
 	return ggscore.FencingToken(uint64(r.Epoch)<<epochShift | uint64(r.Revision))
 }
--- a/core/ggsfencing/tracker_test.go
+++ b/core/ggsfencing/tracker_test.go
@@ -56,9 +56,9 @@
 	c.Assert(ok, qt.IsFalse)
 }
 
-// Guards against orders of a VM that lost its record to an operator's tool or to another VM.
-// Its heartbeat is refused. Orders that it sent until it had read the store again would
-// interleave with those of the new owner.
+// Guards against orders that interleave with those of a new owner. A VM whose heartbeat is
+// refused may have lost its record to an operator's tool or to another VM, and must send no
+// orders until it has read the store again.
 func TestRefusedHeartbeatEndsOrdersAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -102,8 +102,8 @@
 	c.Assert(o.Owner(runner), qt.Equals, ggscore.VMID(""))
 }
 
-// Guards against a rolling restart that leaves endpoints without orders for four seconds. Each
-// VM was back within a second, but waited MinOrderGap after its own release.
+// Guards against a rolling restart that leaves endpoints without orders for four seconds,
+// because VMs that are back within a second wait MinOrderGap after their own release.
 func TestOwnReleasedRecordIsClaimedAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -118,8 +118,8 @@
 	c.Assert(ok, qt.IsTrue)
 }
 
-// A process that is killed and restarts within a second on the same VM keeps its records. It
-// sends orders again once a heartbeat under their condition is acknowledged.
+// Guards against a process that is killed, restarts within a second on the same VM and loses its
+// records. It sends orders again once a heartbeat under their condition is acknowledged.
 func TestRestartedOwnerKeepsItsRecords(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -140,9 +140,8 @@
 	c.Assert(fence, qt.Equals, ggscore.FencingToken(10))
 }
 
-// Guards against records of removed endpoints that exhaust the conditions of the VM's heartbeat
-// after weeks in which endpoints were added and removed. The store then refused the heartbeat,
-// and no endpoint got orders.
+// Guards against heartbeats that the store refuses, so that no endpoint gets orders, because the
+// records of endpoints removed over weeks exhaust the conditions of the transaction.
 func TestRecordsOfRemovedEndpointsAreDeleted(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -40,9 +40,9 @@
 	Relay ggscore.Relay
 }
 
-// Routes returns the VMs to send a message to, where reach is how far the message is to be
-// sent. The VM of another domain or region that forwards the message changes with the sequence,
-// so that an unreachable one affects only some of the messages.
+// Routes returns the VMs to send a message to. reach is the range that the message has to cover.
+// The VM that forwards the message in another domain or region changes with the sequence, so
+// that an unreachable VM affects only some of the messages.
 func Routes(self Member, peers []Member, reach ggscore.Relay, sequence uint64) []Route {
 	var rs []Route
 	domains := map[ggscore.Domain][]ggscore.VMID{}
@@ -71,7 +71,7 @@
 	return rs
 }
 
-// forwarder returns the one of vms that forwards the message with a sequence.
+// forwarder selects the one of vms that forwards the sender's message with the given sequence.
 //
 // VMs that started at the same time have the same sequences. If the sequence alone selected the
 // forwarder, one VM of a domain would forward the heartbeats of all VMs of other domains at the
@@ -99,9 +99,10 @@
 	// readAge is the age at which the list of endpoints is read again. An endpoint must get no
 	// requests later than 2.5 s after it announced that it is leaving.
 	readAge = 700 * time.Millisecond
-	// readStep is the delay between the reads of VMs of consecutive ranks. The other VMs know
-	// of a read after a heartbeat interval of 150 ms and the network delay. With reads spread
-	// at random over 0.6 s instead, half of 9 VMs and 18 of 65 VMs read.
+	// readStep is the delay between the reads of VMs of consecutive ranks. The other VMs know of
+	// a read after a heartbeat interval of 150 ms and the network delay, and then need no read
+	// of their own. With reads spread at random over 0.6 s instead, half of 9 VMs and 18 of 65
+	// VMs read.
 	readStep = 200 * time.Millisecond
 	// maxRank is the rank from which all VMs have the same delay.
 	maxRank = 3
@@ -140,9 +141,9 @@
 func AloneReadAge() time.Duration { return aloneAge }
 
 const (
-	// minWatchWait is the least time that a watch waits for changes. A watch with a stalled
-	// connection is detected after its wait plus a call's timeout, within the 3 s for which a
-	// stall may delay a configuration.
+	// minWatchWait is the least time that a watch waits for changes. A stalled connection is
+	// detected after the watch's wait plus a call's timeout. With the least wait this is below 3
+	// s, the time by which a stall may delay a configuration.
 	minWatchWait = time.Second
 	// aloneWatchWait is added to minWatchWait if no peer is reachable.
 	aloneWatchWait = 800 * time.Millisecond
@@ -159,9 +160,10 @@
 // that relies on relays watches the entries itself.
 const MaxOperatorsAge = 3 * time.Second
 
-// WatchGrace is how long a watch may continue without receiving a byte after a peer's notification
-// of the change has arrived. The store answers the watches of a change one after the other,
-// and the answer to a watch costs less than the full snapshot that would replace it.
+// WatchGrace is how long a watch may continue without receiving a byte after a peer's
+// notification of the change has arrived. The store answers the watches of a change one after
+// the other, and waiting for this answer costs less than the full snapshot that would replace
+// it.
 const WatchGrace = 400 * time.Millisecond
 
 // WatchWait returns how long a watch of the operators' entries waits for changes. vms is the
--- a/core/ggsmember/member.go
+++ b/core/ggsmember/member.go
@@ -27,8 +27,9 @@
 // A Heartbeat carries the state of its sender and recent updates about other members.
 type Heartbeat struct {
 	Sender Member
-	// Monitor requests that the receiver monitors the sender, and marks it as gone when its
-	// heartbeats stop. The sender sets it, since only the sender knows where it sends.
+	// Monitor requests that the receiver monitors the sender: the receiver marks the sender as
+	// gone when the sender's heartbeats stop. The request comes from the sender because only the
+	// sender knows to which members it sends its heartbeats.
 	Monitor bool
 	Updates []Member
 }
@@ -46,11 +47,13 @@
 	Interval time.Duration
 	// Timeout is the time without heartbeats after which a member counts as gone.
 	Timeout time.Duration
-	// UnlistedTimeout is the same for a member that the platform's list doesn't contain.
+	// UnlistedTimeout replaces Timeout for a member that the platform's list doesn't contain.
 	UnlistedTimeout time.Duration
-	// AllToAll is the largest number of members at which each sends to all others.
+	// AllToAll is the largest number of members at which each member sends its heartbeats to all
+	// others.
 	AllToAll int
-	// Monitors is the number of members that each sends to in a larger domain.
+	// Monitors is the number of members to which each member sends its heartbeats in a larger
+	// domain.
 	Monitors int
 	// MaxUpdates bounds the updates in one heartbeat. UpdateSends is the number of heartbeats
 	// that carry an urgent update.
--- a/core/ggsmember/table.go
+++ b/core/ggsmember/table.go
@@ -21,9 +21,9 @@
 	lastDirect time.Time
 	// monitored is set if the member requested to be monitored by this one.
 	monitored bool
-	// sendsAsMonitor is the number of heartbeats that the member still gets as a monitor of
-	// this one. It is renewed while the member is a monitor. Afterwards a few more heartbeats
-	// withdraw the request to monitor this member.
+	// sendsAsMonitor is the number of heartbeats still to be sent to the member as a monitor of
+	// this VM. It is renewed while the member is selected as a monitor. After that, the
+	// remaining heartbeats withdraw the request to monitor this VM.
 	sendsAsMonitor int
 	listed         bool
 	// listedLeaving is the leaving state in the list, which applies to later incarnations too.
@@ -165,8 +165,8 @@
 	for _, id := range t.order {
 		e := t.entries[id]
 		monitor := e.sendsAsMonitor > t.limits.UpdateSends
-		// A member that is gone but still listed stays a target, since it may only be
-		// unreachable for a while.
+		// A member that is gone but still listed stays a target, since it may be unreachable
+		// only temporarily.
 		if (e.sendsAsMonitor > 0 || t.broadcasts > 0) && (!e.gone || e.listed) && e.member.Addr.IsValid() {
 			to = append(to, Target{Addr: e.member.Addr, Monitor: monitor})
 		}
@@ -220,8 +220,9 @@
 		case e.monitored && now.Sub(e.lastDirect) > t.timeout(e):
 			e.gone = true
 			t.markUrgent(e)
-		// The state of a member that others monitor arrives round-robin. When it stops
-		// arriving, all members with newer state of it are gone or unreachable too.
+		// This VM knows the state of a member that others monitor from round-robin updates. If
+		// that state stops arriving, all members that have newer state of the member are gone or
+		// unreachable too.
 		case now.Sub(e.lastSeen) > retention:
 			e.gone = true
 		}
@@ -282,14 +283,15 @@
 			e.gone = true
 			t.markUrgent(e)
 		}
-		// A state of the member from before it was marked as gone must not make it live
-		// again, though that state may be newer than the one known here.
+		// A state of the member that was sent before it was marked as gone must not make it live
+		// again, even if that state is newer than the one known here.
 		e.member.Sequence = max(e.member.Sequence, m.Sequence)
 		return nil
 	}
 	changed := m.Leaving && !e.member.Leaving
 	if m.Sequence > e.member.Sequence {
-		// A member that was gone may send its heartbeats to other monitors now.
+		// A member that was gone may have other monitors now, so its earlier request to be
+		// monitored ends.
 		e.monitored = e.monitored && !e.gone
 		changed = changed || e.gone
 		e.gone = false
--- a/core/policy.go
+++ b/core/policy.go
@@ -22,14 +22,16 @@
 	MechanismDemand Mechanism = "demand"
 	// MechanismWantedFirst loads the adapter with the highest demand first.
 	MechanismWantedFirst Mechanism = "wantedFirst"
-	// MechanismFailures counts failures as additional delay.
+	// MechanismFailures makes endpoints with recent failures less preferred, as if the failures
+	// added delay.
 	MechanismFailures Mechanism = "failures"
 	// MechanismBreakers excludes endpoints after consecutive failures.
 	MechanismBreakers Mechanism = "breakers"
 	// MechanismRegions makes endpoints in other regions less preferred, by the latency between
 	// regions.
 	MechanismRegions Mechanism = "regions"
-	// MechanismConcurrentPolls polls for loads in transit concurrently with other orders.
+	// MechanismConcurrentPolls polls instances for loads in transit while other orders are in
+	// flight.
 	MechanismConcurrentPolls Mechanism = "questions"
 	// MechanismWarm prefers endpoints that probably still have an evicted adapter in their
 	// memory.
