--- a/core/ggsfencing/tracker.go
+++ b/core/ggsfencing/tracker.go
@@ -17,17 +17,17 @@
 //	for _, c := range t.Claims(now, ready) { … t.ClaimAcknowledged(sent, c, at) }
 //	fence, ok := t.AuthorizeOrder(now, endpoint) // immediately before each order
 //
-// An ownership record in the store names the VM that sends orders to an endpoint. Each VM
-// writes its own heartbeat under the condition that its records are unchanged. It sends orders
-// until Validity has passed since it sent the last acknowledged heartbeat. Another VM takes a
-// record over under the condition that the owner's heartbeat is unchanged since that VM first
-// saw it, at least Validity plus MinOrderGap plus Margin ago. At the takeover, the previous
+// An ownership record in the store names the VM that sends orders to an endpoint. Each VM writes
+// its own heartbeat under the condition that its records are unchanged. A VM sends orders until
+// Validity has passed since it sent its last acknowledged heartbeat. Another VM takes a record
+// over once it has seen the owner's heartbeat unchanged for Validity plus MinOrderGap plus
+// Margin, and under the condition that the heartbeat still is. At the takeover, the previous
 // owner's last order is therefore at least MinOrderGap old.
 //
-// Neither leases, nor synchronized clocks, nor messages between the two VMs are needed, so
-// the guarantee also holds when messages are lost or late and when VMs are suspended or
-// partitioned. A delayed heartbeat write only delays a takeover. A delayed takeover write
-// only takes effect while its conditions still hold.
+// Neither leases, nor synchronized clocks, nor messages between the previous and the new owner
+// are needed, so the guarantee also holds when messages are lost or late and when VMs are
+// suspended or partitioned. A delayed heartbeat write only delays a takeover. A delayed takeover
+// write only takes effect while its conditions still hold.
 //
 // # Epochs
 //
--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -230,8 +230,8 @@
 // reports whether the VM has the state that it needs to serve; a VM that doesn't serve yet
 // always retries after the initial pause. x is a random number from 0 to 1 for the jitter.
 //
-// Refused calls count and are billed like others. 65 VMs with three kinds of calls, each made
-// five times a second, made 900 calls a second to an unreachable store.
+// Refused calls count and are billed like others. Without backoff, 65 VMs with three kinds
+// of calls, each made five times a second, made 900 calls a second to an unreachable store.
 func RetryPause(failures int, serves bool, x float64) time.Duration {
 	d := initialRetryPause
 	for range failures - 1 {
--- a/core/ggsowner/candidate.go
+++ b/core/ggsowner/candidate.go
@@ -8,7 +8,7 @@
 
 // PreferredCandidate returns the candidate that takes a group over, and false if there is none.
 // It uses rendezvous hashing, so that the groups of a failed VM are distributed
-// over all other VMs. Candidates on the VM except are skipped.
+// over all other VMs. Candidates on the VM with the ID except are skipped.
 func PreferredCandidate(group ggscore.Key, candidates []Holder, except ggscore.VMID) (Holder, bool) {
 	var first Holder
 	var best uint64
--- a/core/ggsowner/doc.go
+++ b/core/ggsowner/doc.go
@@ -30,11 +30,11 @@
 // time to live from before it sent the renewal, less a margin, on the monotonic
 // clock, so that its lease ends before the platform allows a takeover.
 //
-// An owner whose lease isn't confirmed continues to serve the adapters that the
-// record protects, but sends no other orders. A new owner treats these adapters
-// as pinned until the earlier owner is known to have stopped. A request is
-// dispatched only if the record protects its adapter, also while the lease is
-// held, so that runs that began before the lease expired are protected too.
+// An owner whose lease isn't confirmed continues to serve the adapters that the record protects,
+// but sends no other orders. A new owner treats these adapters as pinned, which means that it
+// doesn't evict them, until the earlier owner is known to have stopped. A request is dispatched
+// only if the record protects its adapter, also while the lease is held, so that runs that began
+// before the lease expired are protected too.
 //
 // The package has no clock, goroutine or lock of its own: callers pass the time,
 // do the I/O and serialize the calls.
--- a/core/ggsowner/group.go
+++ b/core/ggsowner/group.go
@@ -53,8 +53,8 @@
 	leaseExpired
 )
 
-// A Group is one dispatcher's state of a group of endpoints. At most one I/O per
-// Group is in flight.
+// A Group is one dispatcher's state of a group of endpoints, which always have the same owner.
+// At most one I/O per Group is in flight.
 type Group struct {
 	self       Holder
 	record     Record
@@ -62,8 +62,8 @@
 	upToDate   bool
 	ownerLease leaseState
 	candidate  bool
-	// desired contains the adapters that the record should protect. confirmed
-	// contains those that it protects whether or not ambiguous writes take effect.
+	// desired contains the adapters that the record should protect. confirmed contains those
+	// that the record certainly protects, whether or not ambiguous writes take effect.
 	desired   AdapterSet
 	confirmed AdapterSet
 	releasing bool
@@ -99,9 +99,9 @@
 	if m == ggscore.ModeNone || (m == ggscore.ModeResidentOnly && k != ggscore.OrderDispatch) {
 		return 0, &NotOwnerError{Endpoint: id, Mode: m}
 	}
-	// If the lease expires during a run, the next owner evicts adapters that the
-	// record doesn't protect, and a run that uses one of them breaks off. The next
-	// owner treats adapters that the record protects as pinned.
+	// The next owner treats the adapters that the record protects as pinned. It may evict any
+	// other adapter if the lease expires during a run, and a run that uses that adapter breaks
+	// off.
 	if k == ggscore.OrderDispatch && !a.IsZero() && !g.confirmed.Has(id, a) {
 		return 0, &NotProtectedError{Endpoint: id, Adapter: a}
 	}
@@ -138,9 +138,9 @@
 	if step.Kind != StepIdle {
 		return step
 	}
-	// An ambiguous write on the present revision may take effect at any time. It
-	// could remove the protection of an adapter in use, or make a VM the owner that
-	// no longer expects it. Any write that succeeds on that revision prevents this.
+	// An ambiguous write on the present revision may take effect at any time. It could remove
+	// the protection of an adapter in use, or make a VM the owner although that VM no longer
+	// expects to become it. Any successful write on that revision excludes the ambiguous one.
 	if mayTakeEffect := g.inDoubt && g.inDoubtRevision == g.revision; !changed && !mayTakeEffect {
 		return Step{}
 	}
@@ -155,8 +155,8 @@
 // Invalidate makes Next read the record again.
 func (g *Group) Invalidate() { g.upToDate = false }
 
-// Protect sets the adapters that the record of an owned group should protect, and
-// reports whether the record must be written for that.
+// Protect sets the adapters that the record of an owned group should protect. It reports whether
+// the record has to be written to protect them.
 func (g *Group) Protect(s AdapterSet) bool {
 	if !g.Owned() {
 		return false
@@ -291,9 +291,9 @@
 	return next, true, Step{}
 }
 
-// hasStopped reports whether a holder's pins may be removed. This holder's own pins
-// may be removed if it is idle, or if it is the owner again. Earlier processes on
-// its VM have stopped.
+// hasStopped reports whether a holder's pins may be removed. This holder's own pins may be
+// removed if it is idle, or if it is the owner again. Other processes on this VM ran earlier and
+// have stopped.
 func (g *Group) hasStopped(h Holder) bool {
 	if h == g.self {
 		return g.idle || g.Owned()
--- a/core/ggsowner/group_test.go
+++ b/core/ggsowner/group_test.go
@@ -10,9 +10,9 @@
 	ggscore "greengageslip/core"
 )
 
-// The owner of a runner is partitioned or paused. Another dispatcher takes over and
-// evicts an adapter that the first one uses, so that a caller's answer breaks off,
-// or both order loads at the same time.
+// Guards against a new owner that evicts an adapter in use by the previous one, which is
+// partitioned or paused, so that a caller's answer breaks off; and against two dispatchers that
+// order loads at the same time.
 func TestSingleOwnerUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -75,8 +75,8 @@
 	s.runSteps(0)
 }
 
-// A paused dispatcher resumes after its lease has expired. It still regards itself as
-// the owner and evicts an adapter that the new owner uses.
+// Guards against a dispatcher that was paused until its lease expired and, still regarding
+// itself as the owner, evicts an adapter that the new owner uses.
 func TestPausedOwnerCannotOrder(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -89,8 +89,8 @@
 	c.Assert(n.Mode, qt.Equals, ggscore.ModeResidentOnly)
 }
 
-// Two owners order loads at the same time: the first has a new lease, but the record
-// still names its expired lease, so that another dispatcher may take over.
+// Guards against two owners that order loads at the same time: the first has a new lease, but
+// the record still names its expired lease, so another dispatcher may take over.
 func TestNewLeaseMustBeRecorded(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -107,8 +107,8 @@
 	c.Assert(s.record.Fence, qt.Equals, ggscore.FencingToken(2))
 }
 
-// Two owners order loads at the same time: a candidate reads that the first owner's
-// lease has expired and takes over from the second owner, whose lease is held.
+// Guards against two owners that order loads at the same time: a candidate reads that the first
+// owner's lease has expired, and takes over from the second owner, whose lease is held.
 func TestExpiryAppliesToOneOwnerOnly(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -130,7 +130,8 @@
 	c.Assert(s.record.Owner.VM, qt.Equals, vm(1))
 }
 
-// A candidate without a lease takes a group over, and no dispatcher can serve it.
+// Guards against a takeover by a candidate without a lease, after which no dispatcher can serve
+// the group.
 func TestTakeoverRequiresLease(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -139,9 +140,9 @@
 	c.Assert(s.dispatchers[0].group.Owned(), qt.IsFalse)
 }
 
-// A failure domain is partitioned from the platform, and the new owner of a group
-// evicts adapters that the old one still serves. Adapters that the record protects
-// must stay until the old owner reports that it is idle.
+// Guards against a new owner that evicts adapters that the old one still serves while its
+// failure domain is partitioned from the platform. Adapters that the record protects must stay
+// until the old owner reports that it is idle.
 func TestNewOwnerKeepsAdaptersPinnedByOld(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -168,9 +169,8 @@
 	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.IsNil)
 }
 
-// A run breaks off because its adapter was loaded just before a takeover, and the
-// new owner evicted it: the record didn't protect the adapter yet. An adapter must
-// not be used before the record protects it.
+// Guards against a run that breaks off because its adapter was loaded just before a takeover and
+// evicted by the new owner. An adapter must not be used before the record protects it.
 func TestUnprotectedAdapterIsNotDispatched(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -183,9 +183,9 @@
 	c.Assert(s.order(t, 0, adapter(2), ggscore.OrderDispatch), qt.IsNil)
 }
 
-// The owner reverts an ambiguous change of its protected set and skips the write,
-// since the record already has that set. The delayed earlier write then removes the
-// protection of an adapter in use.
+// Guards against a delayed write that removes the protection of an adapter in use. It can if the
+// owner reverts an ambiguous change of its protected set and skips the write, since the record
+// as last read already has that set.
 func TestDelayedWriteCannotRemoveProtection(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -204,9 +204,8 @@
 	c.Assert(s.record.Protected.Has(runner, a), qt.IsTrue)
 }
 
-// During a planned stop, requests wait until the lease expires, because the next owner
-// can't take over earlier. A released group must be taken over at once, with the
-// adapters of the leaving owner's runs still pinned.
+// Guards against requests that wait until a stopped owner's lease expires. A released group must
+// be taken over at once, with the adapters of the leaving owner's runs still pinned.
 func TestReleasedGroupIsTakenOverAtOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -231,8 +230,8 @@
 	c.Assert(s.order(t, 1, a, ggscore.OrderUnload), qt.IsNil)
 }
 
-// Two owners order loads at the same time: a candidate takes over while the owner's
-// lease is held.
+// Guards against two owners that order loads at the same time because a candidate takes over
+// while the owner's lease is held.
 func TestHeldLeaseIsNotTakenOver(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsowner/record.go
+++ b/core/ggsowner/record.go
@@ -57,7 +57,8 @@
 	return c
 }
 
-// A Pin protects the adapters that an earlier owner may still be using.
+// A Pin prevents the eviction of the adapters that an earlier owner's requests may still be
+// using.
 type Pin struct {
 	Holder    Holder
 	Protected AdapterSet
@@ -71,10 +72,10 @@
 	// only while it holds this lease.
 	Lease ggscore.LeaseID
 	Fence ggscore.FencingToken
-	// Released is set if the owner sends no more orders and accepts no new
-	// requests. The adapters of its requests in flight are in Pins.
+	// Released is set if the owner sends no more orders and accepts no new requests. The
+	// adapters of the owner's requests in flight are in Pins.
 	Released bool
-	// Protected contains the adapters that the owner may use.
+	// Protected contains the adapters for which the owner may dispatch requests.
 	Protected AdapterSet
 	Pins      []Pin
 }
--- a/core/ggsplace/choose.go
+++ b/core/ggsplace/choose.go
@@ -19,29 +19,31 @@
 	// costWarm is the time to load an adapter that the runner still has in its own memory: a
 	// tenth of a load from the weight store.
 	costWarm = costLoad / 10
-	// costNotHome is added for a load at a runner that isn't one of the adapter's homes. The
-	// adapter can't be in the memory of that runner, and loading it evicts another adapter.
-	// The cost equals the delay of about 30 more requests in flight.
+	// costNotHome is added for a load at a runner that isn't one of the adapter's homes. That
+	// runner can't have the adapter in memory, and the load evicts another adapter. The cost
+	// equals the delay of about 30 requests in flight, so the adapter is loaded at a home unless
+	// the home has that many more.
 	costNotHome = 400 * time.Millisecond
 	// costQueuedLoad is added for each adapter that is queued for loading before this one. A
 	// runner loads four at once, in 250 ms.
 	costQueuedLoad = costLoad / 4
-	// costSlotWait is added for each queued adapter for which no adapter slot is free. A busy
-	// runner's 18 slots are held by streams of 1.1 s on average, some slots by several
-	// streams.
+	// costSlotWait is added for each queued adapter for which no adapter slot is free. The 18
+	// slots of a busy runner are held by streams of 1.1 s on average, which would free a slot
+	// every 61 ms. It takes longer because several streams hold some of the slots.
 	costSlotWait = 80 * time.Millisecond
-	// costExtraReplica is added for a load of an adapter that already has enough replicas.
-	// The load evicts another adapter, whose next request then waits for a load. The cost exceeds
-	// that of crossing regions plus that of sending to a busier runner.
+	// costExtraReplica is added for a load of an adapter that already has enough replicas. The
+	// load evicts another adapter, whose next request then waits for a load. The cost exceeds
+	// that of sending the request to a busier runner in another region.
 	costExtraReplica = 200 * time.Millisecond
-	// costRegion covers a round trip to another region and the price of the bytes transferred.
+	// costRegion is added for an endpoint in another region: the round-trip time plus a penalty
+	// for the paid traffic, expressed as a delay.
 	costRegion = 40 * time.Millisecond
-	// costFailure is the delay of a failed request, most of a deadline. It is multiplied by
-	// the fraction of requests that fail. An endpoint where a third fail costs more than a
-	// load elsewhere. Where all endpoints fail alike, the cost makes no difference.
+	// costFailure is the delay of a failed request, most of a deadline. It is multiplied by the
+	// fraction of requests that fail. An endpoint where a third of the requests fail thus costs
+	// more than a load elsewhere. Where all endpoints fail alike, the cost makes no difference.
 	costFailure = 3 * time.Second
-	// usualFailures is the fraction that fails at healthy endpoints: a twentieth of a ledger's
-	// requests look up records that don't exist.
+	// usualFailures is the fraction of requests that may fail at a healthy endpoint. For
+	// example, 5% of the requests to a ledger service look up records that don't exist.
 	usualFailures = 0.08
 	// failurePriorRate, in requests per second, is added to the rate of ended requests, so that
 	// a single failure after an idle time has little weight.
--- a/core/ggsplace/homes.go
+++ b/core/ggsplace/homes.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// replicaRate is the rate in requests per second for which an adapter gets one more home.
-	// A runner prefills 45 prompts per second. The busiest adapter draws up to 80 and should
-	// share its runners with others.
+	// replicaRate is the rate in requests per second for which an adapter gets one more home. It
+	// is far below the 45 prompts per second that a runner prefills. The busiest adapter draws
+	// up to 80 requests per second, and should leave most of its runners' time to other
+	// adapters.
 	replicaRate = 6.0
 	// regionRate is the rate in requests per second from which an adapter has a home in each
-	// region. A replica costs as much as 12 answers across regions, and stays resident for some
-	// seconds at least.
+	// region. A load costs as much as 12 answers that cross regions. At this rate a replica
+	// saves that many in 5 s, and it usually stays resident for some seconds at least.
 	regionRate = 2.5
 	// maxHomes bounds an adapter's homes: one for each runner of a 12-runner deployment.
 	maxHomes = 12
@@ -66,7 +67,7 @@
 	return homes
 }
 
-// A ranking is an endpoint's rank among the homes of an adapter.
+// A ranking is the position of an endpoint among the possible homes of an adapter.
 type ranking struct {
 	e *endpoint
 	// limited endpoints, which have announced a rate limit, rank after all others.
@@ -106,8 +107,8 @@
 
 // otherReplicaWeight is the weight of requests for an adapter that is also resident at another
 // endpoint. Such requests are routed there, at the cost of at most one round trip between
-// regions. The last replica of an adapter is kept before a second replica of one that is three
-// times as popular.
+// regions. An adapter's last replica is therefore kept in preference to one of several replicas
+// of an adapter that is up to three times as popular.
 const otherReplicaWeight = 0.3
 
 // MissRate implements ggscore.AdapterDemand.
--- a/core/ggsplace/inflight.go
+++ b/core/ggsplace/inflight.go
@@ -32,7 +32,7 @@
 	t.addInFlight(p, 1)
 }
 
-// allPeers is the key of a report that sums up all peers.
+// allPeers is the key of the report that sums up all peers, in place of a VM's ID.
 const allPeers ggscore.VMID = ""
 
 // summed reports whether the peers' requests are reported as one sum.
--- a/core/ggsplace/table.go
+++ b/core/ggsplace/table.go
@@ -63,7 +63,8 @@
 	Policy   ggscore.Policy
 }
 
-// A Table is a VM's view of the endpoints.
+// A Table holds what a VM knows about the endpoints' load and resident adapters, and chooses an
+// endpoint for each request.
 type Table struct {
 	options      Options
 	rng          *rand.Rand
@@ -86,7 +87,8 @@
 	reported   map[ggscore.ModelAdapter]uint64
 	reportedAt time.Time
 	missing    map[ggscore.ModelAdapter]time.Time
-	// warm holds the version and time of each adapter last seen at the endpoint.
+	// warm holds the adapters that were last seen at the endpoint, with their versions and
+	// times. The endpoint is assumed to have them in its own memory after their eviction.
 	warm map[ggscore.ModelAdapter]warmAdapter
 	// ended and failed are the recent rates of requests of all VMs that ended and failed.
 	// unreported counts this VM's ended and failed requests not yet reported to peers.
@@ -243,8 +245,10 @@
 // reports that it is: the interval of registry entries plus their propagation delay.
 const missingTTL = 1500 * time.Millisecond
 
-// holds reports whether the adapter is resident at the endpoint, according to the most recent
-// report or registry entry.
+// holds reports whether the adapter is resident at the endpoint in the given version, zero for
+// any. The source is the owner's report if it is younger than heldMaxAge, otherwise the registry
+// entry; base models are only in the entry. An endpoint's answer that the adapter isn't resident
+// overrides either for missingTTL.
 func (e *endpoint) holds(now time.Time, a ggscore.ModelAdapter, version uint64) bool {
 	m := e.entry
 	if a.Adapter != "" && now.Sub(e.reportedAt) < heldMaxAge {
--- a/core/ggsplace/table_test.go
+++ b/core/ggsplace/table_test.go
@@ -64,8 +64,8 @@
 	return choice
 }
 
-// Guards against VMs that choose different homes for an adapter that is resident nowhere. Nine
-// VMs would load it nine times and evict eight other adapters.
+// Guards against VMs that choose different endpoints to load the same adapter. Nine VMs would
+// load it at nine endpoints, eight of them needlessly, each evicting another adapter.
 func TestRareAdapterHasOneHomeForAllVMs(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -162,9 +162,9 @@
 	}
 }
 
-// Guards against waiting 900 ms for a load at a runner whose owner was lost, before its
-// lease expires. With a different fallback on each VM, the adapter is loaded at several
-// runners.
+// Guards against waiting 900 ms for a load at a runner that gets no orders, because its owner
+// was lost and the owner's lease hasn't expired. The fallback must be the same on each VM, or
+// the adapter is loaded at several runners.
 func TestFallbackHomeIsTheSameForAllVMs(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -182,8 +182,8 @@
 	}
 }
 
-// Guards against fetching an adapter again when a new runner becomes its home. Another runner
-// still has it in memory, and the weight store is at its limit.
+// Guards against fetching an adapter from the weight store, which is at its limit, when a new
+// runner becomes the adapter's home while another runner still has the adapter in memory.
 func TestWarmRunnerIsPreferredToHome(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -300,8 +300,8 @@
 	c.Assert(tb.SetInstances(l), qt.DeepEquals, ggsplace.Change{})
 }
 
-// Guards against loading a rarely used adapter at its home, which has it in memory, while it
-// is resident in another region. Each such load evicts a third adapter.
+// Guards against loading a rarely used adapter from the memory of its home while the adapter is
+// resident in another region. Each such load evicts another adapter.
 func TestRarelyUsedAdapterGetsNoSecondReplica(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -376,8 +376,8 @@
 	c.Assert(inFlight(), qt.Equals, 0)
 }
 
-// Guards against requests to a runner that is assumed to have an adapter in memory but has
-// dropped it.
+// Guards against requests to a runner that is assumed to have an adapter in memory although the
+// runner has dropped it.
 func TestWarmMemoryScalesWithAdapterSlots(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
--- a/core/ggspopularity/demand.go
+++ b/core/ggspopularity/demand.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxAdapters bounds the adapters whose demand is kept, using 2 MB. A deployment of 72
-	// runners gets requests for fewer adapters within evictAfter.
+	// maxAdapters bounds the adapters whose demand is kept, which use up to 2 MB of memory. A
+	// deployment of 72 runners gets requests for fewer adapters within evictAfter.
 	maxAdapters = 16384
 	// evictAfter is the idle time after which the demand of an adapter can be evicted.
 	evictAfter = 20 * time.Second
--- a/core/ggspopularity/drift.go
+++ b/core/ggspopularity/drift.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// driftFast and driftSlow are the window lengths, in arrivals, of the two averages of the
-	// fraction of surprises.
+	// driftFast and driftSlow are the window lengths, in arrivals, of two moving averages of the
+	// fraction of surprises (see Observe).
 	driftFast = 24
 	driftSlow = 2000
-	// driftThreshold is the rise of the fraction that counts as a shift: four standard
-	// deviations of the fast average.
+	// driftThreshold is the excess of the fast over the slow average that counts as a shift. It
+	// is four standard deviations of the fast average.
 	driftThreshold = 0.3
 	// driftMinInterval is the least number of arrivals between two shifts.
 	driftMinInterval = 200
--- a/core/ggsqueue/queue.go
+++ b/core/ggsqueue/queue.go
@@ -34,8 +34,8 @@
 	weight  float64
 	virtual float64
 	backlog int
-	// rank is the market's position in the order of first use, for a tie-break that
-	// gives the same decisions for the same events. Less doesn't use it.
+	// rank is the market's position in the order of first use. It is meant for a
+	// tie-break that gives the same decisions for the same events, but Less doesn't use it.
 	rank int
 }
 
--- a/core/ggsqueue/queue_test.go
+++ b/core/ggsqueue/queue_test.go
@@ -11,9 +11,9 @@
 	"greengageslip/core/ggsqueue"
 )
 
-// Two markets always have work waiting, at any weights. If one exceeded its share
-// by more than one dispatch of each market, in any order of arrival, its load would
-// determine the waits of the other's callers.
+// Guards against a market that exceeds its share by more than one dispatch of each market, so
+// that its load determines the waits of the other market's callers. Both markets always have work waiting; weights and order
+// of arrival vary.
 func TestSharesFollowWeights(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -52,8 +52,8 @@
 	})
 }
 
-// A market sends a burst after a long idle time. If it received credit for that
-// time, the burst would block all other markets for as long.
+// Guards against a market that receives credit for a long idle time. Its next burst would block
+// all other markets for as long.
 func TestIdleMarketGetsNoCredit(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsregistry/registry.go
+++ b/core/ggsregistry/registry.go
@@ -36,7 +36,8 @@
 	// endpoints write their entries again within about that time.
 	MissingGrace = 2 * time.Second
 	// StaleCopyPeriod is how long after the start of an epoch a copied entry may belong to a
-	// process that has ended. By its end such entries have expired, after three missed heartbeats.
+	// process that has ended. After this period the entries of such processes have expired,
+	// since three heartbeats were missed.
 	StaleCopyPeriod = 10 * time.Second
 	// removalMaxAge is how long the removal of an endpoint is remembered. Copies of the store are
 	// only seconds old.
--- a/core/ggsrelay/node.go
+++ b/core/ggsrelay/node.go
@@ -27,11 +27,11 @@
 	// relays of the other domains have detected that failure too.
 	domainSettleTime = 500 * time.Millisecond
 	fleetSettleTime  = remoteRelayTimeout + 4*RelayInterval
-	// maxSettledAge is the age of the last complete counts beyond which incomplete counts
-	// are used.
+	// maxSettledAge is the age of the last complete counts from which a VM uses incomplete
+	// counts instead.
 	maxSettledAge = 700 * time.Millisecond
-	// sentHistory is the number of this VM's last heartbeats that are kept, which are those
-	// that a current summary may include.
+	// sentHistory is the number of this VM's last heartbeats that are kept. A current summary
+	// includes one of them.
 	sentHistory = 24
 )
 
@@ -246,8 +246,9 @@
 	return ms, own, ok
 }
 
-// domainSummaries returns the summaries of this VM's domain for the other domains. Each goes
-// to one relay of the other domain, and the relays alternate.
+// domainSummaries returns the summaries of this VM's domain for the other domains. Each is sent
+// to one relay of the other domain, and consecutive summaries go to different relays.
+// Every probePeriod summaries, an unreachable VM gets one too, as a probe.
 func (n *Node) domainSummaries(now time.Time, ownerDomain func(ggscore.EndpointID) ggscore.Domain) []Message {
 	s := n.table.stateSummary(now)
 	n.setHeader(&s)
--- a/core/ggsrelay/pick.go
+++ b/core/ggsrelay/pick.go
@@ -19,8 +19,9 @@
 	// of its summaries.
 	localRelayTimeout  = 500 * time.Millisecond
 	remoteRelayTimeout = 1000 * time.Millisecond
-	// firstSummaryTimeout is the time that a VM has from its selection to its first summary.
-	// The new relay may learn of the other VMs one read of the store later than they do.
+	// firstSummaryTimeout is the time that a VM has from its selection to its first summary. The
+	// new relay may learn of the other VMs one read of the store later than these learn of the
+	// relay.
 	firstSummaryTimeout = 1500 * time.Millisecond
 	// maxProbed is the number of VMs of a domain that are probed in turn, and probePeriod is
 	// the number of summaries from one probe to the next.
--- a/core/ggsrelay/table.go
+++ b/core/ggsrelay/table.go
@@ -21,7 +21,8 @@
 	domains    map[ggscore.Domain]*remoteDomain
 	// loadStates holds the last load state of each endpoint, to detect changes.
 	loadStates map[ggscore.EndpointID]loadState
-	// domainPending is pending for the other domains, fleetPending for the VMs of this one.
+	// domainPending holds the updates for the next summary to the other domains, and
+	// fleetPending those for the next summary to the VMs of this domain.
 	domainPending *pendingUpdates
 	fleetPending  *pendingUpdates
 }
@@ -220,8 +221,8 @@
 	slices.Sort(s.Live)
 }
 
-// mergeLimits merges the limits of a heartbeat or summary that arrived the passed time ago
-// into a list. The newest limit of each endpoint is kept.
+// mergeLimits merges the limits of a heartbeat or summary into a list, where passed is the time
+// since their arrival. The newest limit of each endpoint is kept.
 func mergeLimits(ls, others []ggscore.EndpointLimit, passed time.Duration) []ggscore.EndpointLimit {
 	for _, l := range others {
 		l.Age += passed
