--- a/core/ggsclaim/writer_test.go
+++ b/core/ggsclaim/writer_test.go
@@ -179,8 +179,8 @@
 	c.Assert(w.claimAndSettle(1).kind, qt.Equals, DecisionGranted)
 }
 
-// Guards against a late outcome that would let the request run twice: from a holder that has
-// released its claim, over a later attempt's claim; or notRun after a recorded run.
+// Guards against a second run of a request after a late outcome. A holder that has released its
+// claim must not record over a later attempt's claim, and a recorded run must not become notRun.
 func TestLateOutcomeChangesNothing(t *testing.T) {
 	t.Parallel()
 	for name, late := range map[string]State{"late done": StateDone, "late release": StateReleased} {
--- a/core/ggsfencing/tracker_test.go
+++ b/core/ggsfencing/tracker_test.go
@@ -118,8 +118,8 @@
 	c.Assert(ok, qt.IsTrue)
 }
 
-// Guards against a process that is killed, restarts within a second on the same VM and loses its
-// records. It sends orders again once a heartbeat under their condition is acknowledged.
+// Guards against the loss of a VM's records when its process is killed and restarts within a
+// second. The new process sends orders once a heartbeat under their condition is acknowledged.
 func TestRestartedOwnerKeepsItsRecords(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/heartbeat.go
+++ b/core/heartbeat.go
@@ -21,8 +21,8 @@
 	InFlight []InFlight
 	Holdings []Holding
 	Uses     []Use
-	// Samples measure how fast endpoints prefill prompts. Tallies count the streams that the
-	// prompts of other requests slowed down.
+	// Samples measure how fast endpoints prefill prompts. Tallies count streams, and the
+	// degraded ones among them.
 	Samples []TurnSample
 	Tallies []TurnTally
 	// Modes state for each service whether the VM has decided to enforce turns (see PromptTurn).
