--- a/core/ggsgossip/gossip.go
+++ b/core/ggsgossip/gossip.go
@@ -104,7 +104,7 @@
 	// of their own. With reads spread at random over 0.6 s instead, half of 9 VMs and 18 of 65
 	// VMs read.
 	readStep = 200 * time.Millisecond
-	// maxRank is the rank from which all VMs have the same delay.
+	// maxRank is the rank from which on all VMs have the same delay before a random one is added.
 	maxRank = 3
 	// readSpread is the range of a random delay that VMs from maxRank on add.
 	readSpread = 200 * time.Millisecond
--- a/core/ggsmember/table.go
+++ b/core/ggsmember/table.go
@@ -245,7 +245,7 @@
 
 // retention is how long a member is kept without newer state, so that late heartbeats of one
 // that is gone don't add it as a new member. A round of the round-robin updates takes as many
-// heartbeats as there are members.
+// heartbeats as there are members, so the retention grows with their number.
 func (t *Table) retention() time.Duration {
 	return max(retentionTimeouts*t.limits.Timeout, retentionRounds*time.Duration(len(t.order))*t.limits.Interval)
 }
--- a/core/ggsmember/table_test.go
+++ b/core/ggsmember/table_test.go
@@ -252,8 +252,8 @@
 }
 
 // Guards against live VMs that repeatedly count as gone for a minute after a brief partition of two
-// others: each member computed from its own view whom it monitors, and marked members as gone that
-// sent elsewhere. Found by TestMembershipUnderFaults, seed 2478101328009285172.
+// others: each member computed from its own view whom it monitors, and marked members as gone whose
+// heartbeats went to other monitors. Found by TestMembershipUnderFaults, seed 2478101328009285172.
 func TestViewsConvergeAfterPartition(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsplace/table.go
+++ b/core/ggsplace/table.go
@@ -213,7 +213,8 @@
 	e.reportedAt = now
 }
 
-// SetLoadable records whether the endpoint has an owner.
+// SetLoadable records whether the endpoint has an owner. Without an owner, no adapter can be
+// loaded there.
 func (t *Table) SetLoadable(id ggscore.EndpointID, loadable bool) {
 	if e := t.endpoints[id]; e != nil {
 		e.loadable = loadable
--- a/core/ggsrelay/node.go
+++ b/core/ggsrelay/node.go
@@ -19,7 +19,7 @@
 	// RelayDelay is the time that a state takes through relays, beyond the delay of a
 	// heartbeat that is sent directly.
 	RelayDelay = 300 * time.Millisecond
-	// liveListPeriod is the number of summaries of which one lists the live VMs.
+	// liveListPeriod is the interval, in summaries, at which a summary lists the live VMs.
 	liveListPeriod = 2
 	// domainSettleTime is the time after which a relay's sum of its domain is complete,
 	// counted from when the VM became a relay or resumed: by then the VMs of the domain have
--- a/core/ggsrelay/pick.go
+++ b/core/ggsrelay/pick.go
@@ -87,7 +87,7 @@
 }
 
 // relays returns the relays of the domain. An unreachable VM is eligible again once a summary
-// of it arrives: a VM never counts itself as unreachable, so it keeps sending summaries. If
+// from it arrives: a VM never counts itself as unreachable, so it keeps sending summaries. If
 // all VMs are unreachable, all become eligible again, since none is known to be better.
 func (s *relaySelector) relays(now time.Time) []ggscore.VMID {
 	vms := s.selectRelays(now)
--- a/core/instance.go
+++ b/core/instance.go
@@ -163,9 +163,10 @@
 	// PlacementConflict means that the number of accepted orders differs from the expected
 	// one, or that the instance is executing another order.
 	PlacementConflict
-	// PlacementFenced means that a newer owner has sent orders.
+	// PlacementFenced means that the order was refused because a newer owner has sent orders.
 	PlacementFenced
-	// PlacementMisdirected means that another instance has the address.
+	// PlacementMisdirected means that another instance, which has the address now, received and
+	// refused the order.
 	PlacementMisdirected
 	// PlacementRefused means that the order can't be executed.
 	PlacementRefused
