--- a/core/ggsrelay/node.go
+++ b/core/ggsrelay/node.go
@@ -19,7 +19,7 @@
 	// RelayDelay is the time that a state takes through relays, beyond the delay of a
 	// heartbeat that is sent directly.
 	RelayDelay = 300 * time.Millisecond
-	// liveListPeriod is the number of summaries of which one lists the live VMs.
+	// liveListPeriod is the interval, in summaries, at which a summary lists the live VMs.
 	liveListPeriod = 2
 	// domainSettleTime is the time after which a relay's sum of its domain is complete,
 	// counted from when the VM became a relay or resumed: by then the VMs of the domain have
@@ -27,11 +27,11 @@
 	// relays of the other domains have detected that failure too.
 	domainSettleTime = 500 * time.Millisecond
 	fleetSettleTime  = remoteRelayTimeout + 4*RelayInterval
-	// maxSettledAge is the age of the last complete counts beyond which incomplete counts
-	// are used.
+	// maxSettledAge is the age of the last complete counts from which a VM uses incomplete
+	// counts instead.
 	maxSettledAge = 700 * time.Millisecond
-	// sentHistory is the number of this VM's last heartbeats that are kept, which are those
-	// that a current summary may include.
+	// sentHistory is the number of this VM's last heartbeats that are kept. A current summary
+	// includes one of them.
 	sentHistory = 24
 )
 
@@ -246,8 +246,9 @@
 	return ms, own, ok
 }
 
-// domainSummaries returns the summaries of this VM's domain for the other domains. Each goes
-// to one relay of the other domain, and the relays alternate.
+// domainSummaries returns the summaries of this VM's domain for the other domains. Each is sent
+// to one relay of the other domain, and consecutive summaries go to different relays.
+// Every probePeriod summaries, an unreachable VM gets one too, as a probe.
 func (n *Node) domainSummaries(now time.Time, ownerDomain func(ggscore.EndpointID) ggscore.Domain) []Message {
 	s := n.table.stateSummary(now)
 	n.setHeader(&s)
--- a/core/instance.go
+++ b/core/instance.go
@@ -108,8 +108,8 @@
 	Age time.Duration
 }
 
-// A Departure is an endpoint that announced in an answer that it leaves. It takes precedence over
-// the endpoint's entry.
+// A Departure is an endpoint that announced in an answer that it leaves. The announcement takes
+// precedence over the endpoint's entry in the store.
 type Departure struct {
 	Endpoint EndpointID
 	// StartedAt distinguishes the endpoint's process from others under the same identity.
@@ -163,9 +163,10 @@
 	// PlacementConflict means that the number of accepted orders differs from the expected
 	// one, or that the instance is executing another order.
 	PlacementConflict
-	// PlacementFenced means that a newer owner has sent orders.
+	// PlacementFenced means that the order was refused because a newer owner has sent orders.
 	PlacementFenced
-	// PlacementMisdirected means that another instance has the address.
+	// PlacementMisdirected means that another instance, which has the address now, received and
+	// refused the order.
 	PlacementMisdirected
 	// PlacementRefused means that the order can't be executed.
 	PlacementRefused
@@ -179,13 +180,13 @@
 	InTransit []ModelAdapter
 }
 
-// An PlacementClient sends orders to instances and requests their status.
+// A PlacementClient sends orders to instances and requests their status.
 type PlacementClient interface {
 	Order(ctx context.Context, o PlacementOrder) (PlacementAnswer, error)
 	Status(ctx context.Context, id EndpointID, addr netip.AddrPort) (InstanceStatus, error)
 }
 
-// An AdapterVersion is an adapter in the version that requests have to start on.
+// An AdapterVersion is an adapter with one of its versions.
 type AdapterVersion struct {
 	Target  ModelAdapter
 	Version uint64
