--- a/cmd/ggsload/plan.go
+++ b/cmd/ggsload/plan.go
@@ -134,7 +134,8 @@
 	return fmt.Sprintf(format, n)
 }
 
-// parseKind parses a kind of request.
+// parseKind parses a kind of request: stream, whole, call:SERVICE/OPERATION or
+// once:SERVICE/OPERATION.
 func parseKind(s string) (kind, error) {
 	switch s {
 	case "stream":
--- a/cmd/ggsload/tally.go
+++ b/cmd/ggsload/tally.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// add records the response to a request that was due at a time of the run.
+// add records the response to a request that was due at the offset due from the start of the run.
 func (t *tally) add(due time.Duration, a response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/cmd/ggsnode/soak_check_test.go
+++ b/cmd/ggsnode/soak_check_test.go
@@ -223,9 +223,9 @@
 	}
 }
 
-// checkDrains checks that leaving endpoints run no requests after the bound. Endpoints with an
-// unplanned fault around or after their departure are excluded, since a fault may delay the
-// update.
+// checkDrains checks that no request begins to run at a leaving endpoint later than soakDrainBound
+// after its departure. It skips a departure if any unplanned fault of the site ended after it or
+// less than soakFaultFree before it, since a fault may delay the update.
 func (s *soak) checkDrains() {
 	for id, at := range s.drainedAt {
 		until := at.Add(soakDrainBound)
--- a/core/claim.go
+++ b/core/claim.go
@@ -76,7 +76,8 @@
 	Check(now time.Time, id EndpointID, a AdapterRef, k OrderKind) (FencingToken, error)
 }
 
-// A ReportObserver receives runners' reports.
+// A ReportObserver receives the runners' reports and learns from them which adapters are resident
+// or loading at each endpoint.
 type ReportObserver interface {
 	Observe(r RunnerReport)
 }
--- a/core/ggsclaim/writer.go
+++ b/core/ggsclaim/writer.go
@@ -85,9 +85,10 @@
 // NewWriter returns a Writer that has not read its shard yet.
 func NewWriter(l Limits) *Writer { return &Writer{limits: l} }
 
-// Unavailable reports that a read failed, or that a write had no effect because the platform's
-// key-value service did not accept it. Claims are answered at once by DecideFromCache and not
-// dispatched. Outcomes stay pending and are retried.
+// Unavailable tells the Writer that a read failed, or that a write had no effect because the
+// platform's key-value service did not accept it. Pending claims are answered at once by
+// DecideFromCache, which grants none. Those that may be recorded already stay pending to be
+// released. Operations that record an outcome stay pending and are retried.
 func (w *Writer) Unavailable(retryAfter time.Duration) {
 	w.requeue()
 	w.cached = false
@@ -275,7 +276,8 @@
 	return w.grant(o), true
 }
 
-// answer settles an operation whose decision is recorded in the shard.
+// answer settles an operation whose decision is recorded in the shard. A grant that is late or
+// abandoned is released instead. If it is late and not abandoned, it is answered as expired.
 func (w *Writer) answer(now time.Time, o *operation) {
 	d := o.decision
 	if d.Kind == DecisionGranted {
--- a/core/ggsfencing/tracker.go
+++ b/core/ggsfencing/tracker.go
@@ -61,8 +61,8 @@
 
 // Defaults of Options.
 const (
-	// DefaultValidity is how long a VM sends orders after the last acknowledged heartbeat. It is
-	// chosen for store outages of 8 s: without orders, no adapter can be loaded. The endpoints
+	// DefaultValidity is how long a VM sends orders after the last acknowledged heartbeat. It
+	// exceeds a store outage of 8 s: without orders, no adapter can be loaded. The endpoints
 	// of a VM that fails for good get no orders for about Validity plus MinOrderGap.
 	DefaultValidity = 9 * time.Second
 	// DefaultMargin is the time in which an order that is in flight when the validity ends still
@@ -75,8 +75,9 @@
 	// deleted. It exceeds the wait before a takeover, so by then the previous owner's right to
 	// send orders has expired.
 	DefaultRecordRetention = 20 * time.Second
-	// DefaultMaxRecords bounds the records of a VM. A store transaction takes at most 32
-	// conditions: one is for the VM's own heartbeat and maxDrops are for deleted records.
+	// DefaultMaxRecords bounds the endpoints that a VM owns, each with one ownership record. A
+	// store transaction takes at most 32 conditions: 27 for these records, one for the VM's own
+	// heartbeat, and 4 (maxDrops) for records to delete.
 	DefaultMaxRecords = 27
 )
 
--- a/core/ggsgossip/gossip_test.go
+++ b/core/ggsgossip/gossip_test.go
@@ -66,8 +66,9 @@
 	return received, domains, regions
 }
 
-// Guards against duplicate messages and excess traffic between domains. Heartbeats to each VM of a
-// region were 75% of the bytes between failure domains, with 65 VMs and two domains a region.
+// Guards against messages that a VM receives twice, and against one copy per VM between domains.
+// With 65 VMs and two domains a region, heartbeats sent directly to each VM of a region were 75%
+// of the bytes between failure domains.
 func TestEachVMReceivesAMessageOnce(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct{ regions, domains, vms, betweenDomains, betweenRegions int }{
--- a/core/ggsplace/choose.go
+++ b/core/ggsplace/choose.go
@@ -62,10 +62,10 @@
 // LoadWait is how long a request waits for an adapter at one endpoint before it is rerouted.
 // Callers of streams leave after 2 s or more without a first chunk.
 //
-// With 0.9 s, an overloaded weight store that needed more than a second per adapter got half
-// as many loads again, because rerouted requests had the adapter loaded a second time.
-// Adapters then arrived after their requests had left, and a fifth of the callers were refused
-// for as long as the overload lasted.
+// A shorter wait adds loads when the weight store is overloaded: each rerouted request has its
+// adapter loaded again elsewhere. At 0.9 s, that was 50% more loads from a store that took more
+// than a second per adapter. Adapters became resident only after their callers had gone, and a
+// fifth of the callers were refused for as long as the overload lasted.
 const LoadWait = 2500 * time.Millisecond
 
 // plainQueueFactor bounds the requests at a plain endpoint, in multiples of its slots. A
--- a/core/ggspopularity/demand.go
+++ b/core/ggspopularity/demand.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// maxAdapters bounds the adapters whose demand is kept, which use up to 2 MB of memory. A
-	// deployment of 72 runners gets requests for fewer adapters within evictAfter.
+	// maxAdapters is the number of adapters above which idle ones are evicted. At that number,
+	// the demand uses up to 2 MB of memory. More are kept if all were requested within
+	// evictAfter. A deployment of 72 runners gets requests for fewer in that time.
 	maxAdapters = 16384
 	// evictAfter is the idle time after which the demand of an adapter can be evicted.
 	evictAfter = 20 * time.Second
--- a/core/ggsresident/ledger_test.go
+++ b/core/ggsresident/ledger_test.go
@@ -386,9 +386,10 @@
 	c.Assert(l.RecentlyMisdirected(at(2*time.Second)), qt.IsFalse)
 }
 
-// Guards against a runner that crashes because it is ordered to load too many adapters: the
-// ledger assumes that an eviction was executed because its repetition is refused. The runner
-// refuses it because it accepted a late order of the VM's previous process instead.
+// Guards against a runner that crashes because it is ordered to load more adapters than it has
+// slots for. An eviction without an answer is repeated, and the repetition is refused. The refusal
+// doesn't prove that the eviction was executed: the runner may have accepted a late order of the
+// VM's previous process in between.
 func TestRefusedRepeatFreesNoSlot(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/core/ggsschedule/dispatch.go
+++ b/core/ggsschedule/dispatch.go
@@ -9,7 +9,8 @@
 	"greengageslip/core/ggsqueue"
 )
 
-// bind selects the only endpoint on which a baseline policy allows a job.
+// bind sets the only endpoint on which a baseline policy (any but PolicyCost) allows a job. The
+// job stays unbound if it needs no replica or if no endpoint serves its adapter.
 func (s *Scheduler) bind(now time.Time, j *job) {
 	j.bound = nil
 	if s.options.Policy == PolicyCost || j.adapter.needsNoReplica() {
--- a/core/ggsschedule/loads.go
+++ b/core/ggsschedule/loads.go
@@ -47,9 +47,10 @@
 	b.failureRate += (x - b.failureRate) / failureSmoothing
 }
 
-// fill adds the tokens that accrued up to now. The bucket's capacity is one token or
-// one second's worth, whichever is more. The shares of all owners add up to the weight
-// store's limit, and so do their bursts.
+// fill adds the tokens that accrued up to now. The bucket holds at most one second's
+// worth, but at least one token, less the reserved tokens. The shares of all owners add
+// up to the weight store's limit, so their bursts together are at most one second of
+// that limit plus one load per owner.
 func (b *bucket) fill(now time.Time) {
 	d := now.Sub(b.at)
 	if d <= 0 {
--- a/core/ggsschedule/scheduler.go
+++ b/core/ggsschedule/scheduler.go
@@ -13,7 +13,7 @@
 type Scheduler struct {
 	options Options
 	random  *rand.Rand
-	// origin is the time of the first call. Times in sums are offsets from origin.
+	// origin is the time of the first call. adapter.queuedSum adds up times as offsets from it.
 	origin    time.Time
 	services  map[ggscore.Service]*service
 	ordered   []*service
--- a/core/ggsschedule/tables.go
+++ b/core/ggsschedule/tables.go
@@ -168,8 +168,8 @@
 	waiting int
 	// inRefill is set if the adapter is in service.refill.
 	inRefill bool
-	// bound counts the queued jobs that a baseline policy bound to each endpoint, and
-	// boundCount counts all of them.
+	// bound counts, for each endpoint, the queued jobs that a baseline policy (any but
+	// PolicyCost) bound to it. boundCount is their total.
 	bound      map[*endpoint]int
 	boundCount int
 	// jobs counts the adapter's requests that haven't ended.
--- a/core/ggsturn/observed.go
+++ b/core/ggsturn/observed.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// knowsAllTurns reports whether the turns of all VMs at an endpoint are announced.
+// knowsAllTurns reports whether this VM learns of every turn (the planned prefill of a prompt) at
+// an endpoint, because all VMs announce theirs.
 func (v *service) knowsAllTurns(now time.Time, id ggscore.EndpointID) bool {
 	return v.observed == nil || v.observed[id] || v.mode.observesAll(now)
 }
--- a/core/ggsturn/pauses.go
+++ b/core/ggsturn/pauses.go
@@ -56,7 +56,8 @@
 	// mode, decayed to the time at.
 	streams, degraded float64
 	at                time.Time
-	// enforced reports whether turns are enforced. since is the time of the last change.
+	// enforced reports whether prompts must wait for their turns. since is when enforced last
+	// changed.
 	enforced bool
 	since    time.Time
 	// baseline is the degraded fraction when enforcement began.
--- a/io/ggsconfig/follower_test.go
+++ b/io/ggsconfig/follower_test.go
@@ -294,8 +294,8 @@
 	}
 }
 
-// Guards against a repair that overwrites a change. The change is accepted on the restored platform
-// before a process reads the old head.
+// Guards against a repair that overwrites a change: after a restore from an older copy, the
+// platform accepts a change before a follower with the newer document has read the restored head.
 func TestFollowerDoesNotRepairForkedHead(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
--- a/io/ggsconfig/poll.go
+++ b/io/ggsconfig/poll.go
@@ -126,7 +126,8 @@
 	return f.options.Peers.Head(ctx, m.Addr, f.Head())
 }
 
-// others returns all members except this VM.
+// others returns the members to poll: all but this VM, or all for a process with
+// Options.PeersOnly.
 func (f *Follower) others() []Member {
 	l := slices.Clone(f.options.Members.Members())
 	if f.options.PeersOnly {
--- a/io/ggsconn/watchdog.go
+++ b/io/ggsconn/watchdog.go
@@ -33,7 +33,7 @@
 // bytes.
 func (w *Watchdog) Reader(r io.Reader) io.Reader { return &watchedReader{Reader: r, watchdog: w} }
 
-// Explain returns a *IdleTimeoutError if the watchdog has cancelled the call, and err otherwise.
+// Explain returns an *IdleTimeoutError if the watchdog has cancelled the call, and err otherwise.
 func (w *Watchdog) Explain(err error) error {
 	if w.fired.Load() {
 		return &IdleTimeoutError{}
--- a/io/ggsedge/follow.go
+++ b/io/ggsedge/follow.go
@@ -117,8 +117,9 @@
 	return e.Now().Sub(e.listObserved)
 }
 
-// listBehind reports whether a peer announced a change of the list that this VM has not read,
-// or the store was restored from an older copy since.
+// listBehind reports whether this VM's list of endpoints is out of date: a peer announced a newer
+// change of it, or the store's epoch changed (a restore from an older copy) after the list was
+// last read.
 func (e *Edge) listBehind() bool {
 	epoch := e.epochs.current()
 	e.mu.Lock()
--- a/io/ggsedge/heartbeats.go
+++ b/io/ggsedge/heartbeats.go
@@ -16,7 +16,8 @@
 const (
 	// heartbeatInterval is the time between heartbeats that go to each VM directly.
 	heartbeatInterval = 150 * time.Millisecond
-	// fullHoldingsInterval is the time after which all holdings are sent, changed or not.
+	// fullHoldingsInterval is the time after which the adapters held by each of this VM's
+	// endpoints are all sent again, even if unchanged.
 	fullHoldingsInterval = 900 * time.Millisecond
 	// heartbeatDelay is the assumed delay of a heartbeat: a trip between regions and a relay.
 	heartbeatDelay = 20 * time.Millisecond
--- a/io/ggsedge/heartbeats_bench_test.go
+++ b/io/ggsedge/heartbeats_bench_test.go
@@ -50,7 +50,8 @@
 	return list
 }
 
-// benchView returns a view as a relay's summary gives it.
+// benchView returns the state of the deployment that a VM reads from a relay's summary, with every
+// endpoint in use.
 func benchView(e *Edge) ggsrelay.View {
 	v := ggsrelay.View{CountsValid: true}
 	for vm := range e.peers {
--- a/io/ggsowners/owners.go
+++ b/io/ggsowners/owners.go
@@ -102,8 +102,9 @@
 	if err != nil {
 		return 0, err
 	}
-	// An adapter is protected from the load order on, so that it can be used as soon as
-	// it is loaded.
+	// Requests may be dispatched only for adapters that the stored record protects from
+	// eviction by later owners. An adapter is protected from its load order on, so that it
+	// can be used as soon as it is loaded.
 	if k == ggscore.OrderLoad {
 		e.loading[a] = now
 		o.protect(e.group, now)
@@ -286,7 +287,8 @@
 	return ok && now.Sub(at) >= o.opts.AbsenceTimeout
 }
 
-// markStopped marks the holders of a group's pins that have stopped. The caller holds o.mu.
+// markStopped marks those earlier owners of a group that hold a Pin and whose process has stopped.
+// The caller holds o.mu.
 func (o *Owners) markStopped(s *ggsowner.Group, now time.Time) {
 	for _, p := range s.Record().Pins {
 		if o.hasStopped(p.Holder, now) {
--- a/io/ggsrpc/pool.go
+++ b/io/ggsrpc/pool.go
@@ -50,9 +50,10 @@
 	return p.wait(ctx, addr, c, c.Go(method, args, reply, make(chan *rpc.Call, 1)))
 }
 
-// CallLong is like Call, but for an answer whose length grows with the amount of data. The call may
-// take as long as bytes arrive on its connection. It fails once no bytes have arrived for
-// idleTimeout. The connection is then closed, so that the rest of the answer isn't sent.
+// CallLong is like Call, but for an answer whose length grows with the amount of data. It has no
+// time limit of its own while bytes arrive on the connection, and fails once none have arrived for
+// idleTimeout. If it fails so, or ctx ends, the connection is closed so that the rest of the
+// answer isn't sent.
 func (p *Pool) CallLong(ctx context.Context, idleTimeout time.Duration, addr netip.AddrPort, method string, args, reply any) error {
 	dial, cancelDial := context.WithTimeout(ctx, idleTimeout)
 	defer cancelDial()
